--- a/benchmarks/seam.py
+++ b/benchmarks/seam.py
@@ -16,7 +16,7 @@
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory  # noqa: E402
 
-from lemonhall.seam import Asked, Message, Playing, Reader, encode  # noqa: E402
+from lemonhall.ipc import Message, MessageDecoder, PlaybackStarted, SetUpRequested, encode  # noqa: E402
 
 KINDS = {"i": 3, "u": 4, "d": 1, "?": 8, "s": 9, "f": 1}  # protobuf's types
 ROUNDS, EACH = 5, 3_000
@@ -26,7 +26,7 @@
     """The same fields as a protobuf message (pairs, which are empty here, left out)."""
     file = descriptor_pb2.FileDescriptorProto(name=f"{kind.__name__}.proto", package="bench", syntax="proto3")
     made = file.message_type.add(name=kind.__name__)
-    for n, (field, code) in enumerate(zip(fields(kind), kind.FORM, strict=True), 1):  # type: ignore[arg-type]
+    for n, (field, code) in enumerate(zip(fields(kind), kind.FIELD_CODES, strict=True), 1):  # type: ignore[arg-type]
         if code in KINDS:
             made.field.add(name=field.name, number=n, type=KINDS[code], label=3 if code == "f" else 1)
     pool = descriptor_pool.DescriptorPool()
@@ -36,11 +36,11 @@
 
 def main() -> None:
     viewer = (0x5255D2B1A7E3F00D, 2, 0, 0, 0)
-    asked = Asked(
+    asked = SetUpRequested(
         1 << 32, 1, 0, 0x6BE2E37A9C1F0A11, 0, 4, *viewer, 123456.75, False, False, False,
         "/browse/", (), "", "", "5e1f00d5e1f00d55", "/browse/title-17", "127.0.0.1", "",
     )  # fmt: skip
-    for message in (asked, Playing(1 << 32, 0, 7, 12.5, (0.25, 0.5))):
+    for message in (asked, PlaybackStarted(1 << 32, 0, 7, 12.5, (0.25, 0.5))):
         kind = type(message)
         proto = protobuf_of(kind)
         names = {f.name for f in proto.DESCRIPTOR.fields}
@@ -51,7 +51,7 @@
             return [getattr(found, n) for n in names]
 
         ways: dict[str, tuple[Callable[[], bytes], Callable[[bytes], Any]]] = {
-            "seam": (lambda m=message: encode(m), lambda data: Reader().feed(data)),  # type: ignore[misc]
+            "seam": (lambda m=message: encode(m), lambda data: MessageDecoder().feed(data)),  # type: ignore[misc]
             "protobuf": (lambda p=proto, v=values: p(**v).SerializeToString(), read_proto),  # type: ignore[misc]
             "pickle": (lambda m=message: pickle.dumps(m, 5), pickle.loads),  # type: ignore[misc]
             "json": (lambda m=message: json.dumps(asdict(m)).encode(), json.loads),  # type: ignore
--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -57,7 +57,7 @@
         deciding = (kin_of(pid, "--decide") or [pid])[0]
         kin = [c for c in kin_of(os.getpid(), "spawn") if c != pid]
         others = {f"{c}": rig.cpu_s(c) for c in kin}
-        carriers = {f"worker {c}": rig.cpu_s(c) for c in kin_of(pid, "carrier")}
+        carriers = {f"worker {c}": rig.cpu_s(c) for c in kin_of(pid, "worker_process")}
         before, decided, began = family_cpu(pid), rig.cpu_s(deciding), time.monotonic()
         for each in channels:
             each.orders.put("cycles")
--- a/lemonhall/cli/serve.py
+++ b/lemonhall/cli/serve.py
@@ -22,15 +22,15 @@
 from lemonhall.config.schema import SETTINGS
 from lemonhall.config.settings import FrontSettings, make_settings, read_tree
 from lemonhall.front.deciding import asks
-from lemonhall.front.guarding import guard
-from lemonhall.front.guarding.guard import GuardedDaemon
+from lemonhall.front.handover import front_handover
+from lemonhall.front.handover.front_handover import ReplaceableDaemon
 from lemonhall.front.process.channel import Channel
-from lemonhall.front.process.daemon import Daemon, Taken, load_module
-from lemonhall.front.process.supervise import supervise
-from lemonhall.front.workers import changing
-from lemonhall.front.workers.build import settle_memory
-from lemonhall.front.workers.lines import Lines
-from lemonhall.front.workers.parent import Parent, ignore_terminal, wait_for_go
+from lemonhall.front.process.daemon import Daemon, InheritedSockets, load_module
+from lemonhall.front.process.supervisor import supervise
+from lemonhall.front.workers import parent_handover
+from lemonhall.front.workers.build_id import freeze_garbage_collector
+from lemonhall.front.workers.parent import Parent, ignore_terminal_interrupts, wait_for_activation
+from lemonhall.front.workers.worker_connections import WorkerConnections
 from lemonhall.loop import Loop
 from lemonhall.problem import BadInput
 
@@ -60,9 +60,9 @@
         with_workers(made, settings, module, replace, die_at)
         return
     wall = Wall(made.name)
-    daemon = GuardedDaemon(made, load_module(module) if module else decide.Front, wall=wall)
-    daemon.remember(str(settings), pickle.dumps(typed))
-    daemon.point = guard.die_at(die_at) if not made.workers else daemon.point
+    daemon = ReplaceableDaemon(made, load_module(module) if module else decide.Front, wall=wall)
+    daemon.remember_settings(str(settings), pickle.dumps(typed))
+    daemon.failpoint = front_handover.exit_at_failpoint(die_at) if not made.workers else daemon.failpoint
     if check or kept or replace:
         daemon.hooks.load()
     if check:
@@ -89,7 +89,9 @@
 def with_workers(made: FrontSettings, settings: Path, module: str, replace: bool, die_at: str) -> None:
     """This process is the parent."""
     parent = Parent(settings, made, log_format(), module, Loop())
-    point = guard.die_at("" if die_at in asks.POINTS else die_at, changing.POINTS)
+    point = front_handover.exit_at_failpoint(
+        "" if die_at in asks.POINTS else die_at, parent_handover.FAILPOINTS
+    )
     parent.die_at = die_at if die_at in asks.POINTS else ""
     wrong: list[str] = []
 
@@ -98,7 +100,7 @@
             listening(parent, settings)
         parent.open()
         if made.guard:
-            changing.Giving(parent, made.guard, point)
+            parent_handover.ParentHandoverSource(parent, made.guard, point)
 
     def refused(why: str) -> None:
         wrong.append(why)
@@ -109,7 +111,7 @@
         """Once one stands by, so that the place is empty for a moment only."""
         parent.on_spare = lambda: None
         try:
-            changing.Taking(parent, made.guard, opened, refused, point)
+            parent_handover.ParentHandoverTarget(parent, made.guard, opened, refused, point)
         except OSError:
             click.echo("no front serves there: starting as the first", err=True)
             opened(True)
@@ -142,42 +144,42 @@
 
 def decide_for(settings: Path, module: str, text: str, die_at: str) -> None:
     """This process is the decider, or will be: its parent says when, and by which settings."""
-    ignore_terminal()
+    ignore_terminal_interrupts()
     given = json.loads(text)
     control = socket.socket(fileno=given["control"])
-    tree, sockets = wait_for_go(control)
+    tree, sockets = wait_for_activation(control)
     typed = pickle.loads(tree) if tree else read_tree(settings, SETTINGS)[1]
     made = make_settings(typed)
     wall = Wall(made.name)
     daemon = Daemon(made, load_module(module) if module else decide.Front, wall=wall)
-    daemon.remember(str(settings), pickle.dumps(typed))
-    daemon.asks.point = guard.die_at(die_at, asks.POINTS)
+    daemon.remember_settings(str(settings), pickle.dumps(typed))
+    daemon.asks.point = front_handover.exit_at_failpoint(die_at, asks.POINTS)
 
     def heard(message: dict[str, Any], _: list[int]) -> None:
         if "alive" in message:
             channel.send(message)
         if "leave" in message:
-            daemon.leave()
+            daemon.step_down()
 
     def orphaned() -> None:
         """Without its parent it goes, whatever fails on the way."""
         try:
-            daemon.leave()
+            daemon.step_down()
         finally:
             daemon.loop.stop()
 
     channel = Channel(daemon.loop, control, heard, orphaned)
-    daemon.workers = Lines(daemon, sockets["seam"], given["family"], channel.send)
-    daemon.taken = Taken(viewers=sockets["viewers"], status=sockets.get("status"))
+    daemon.workers = WorkerConnections(daemon, sockets["seam"], given["family"], channel.send)
+    daemon.inherited = InheritedSockets(viewers=sockets["viewers"], status=sockets.get("status"))
 
     def keep(tree: bytes) -> None:
         channel.send({"tree": base64.b64encode(tree).decode()})
 
-    daemon.on_tree = keep
+    daemon.on_settings_changed = keep
     opened(daemon, settings)
-    keep(daemon.tree)
+    keep(daemon.settings_tree)
     channel.send({"open": True})
-    settle_memory()
+    freeze_garbage_collector()
     if channel.open:  # else its parent ended while it came up
         run(daemon)
 
@@ -200,7 +202,7 @@
     try:
         daemon.loop.run()
     except Exception as error:
-        daemon.crashed(error)
+        daemon.report_crash(error)
         sys.exit(CRASHED)
     daemon.loop.close()
 
@@ -246,15 +248,15 @@
         raise BadInput(str(settings), '--replace needs a guard in the settings: front ... guard="FILE"')
     wrong: list[str] = []
     try:
-        successor = guard.Successor(
-            daemon, daemon.settings.guard, lambda: opened(daemon, settings), wrong.append, daemon.point
+        successor = front_handover.FrontHandoverTarget(
+            daemon, daemon.settings.guard, lambda: opened(daemon, settings), wrong.append, daemon.failpoint
         )
     except OSError:
         click.echo("no front serves there: starting as the first", err=True)
         opened(daemon, settings)
         return
     daemon.loop.on_error = wrong_in_start
-    guard.wait_for(daemon.loop, successor)
+    front_handover.wait_for_handover(daemon.loop, successor)
     daemon.loop.on_error = daemon.on_error
     if wrong:
         raise BadInput(str(settings), wrong[0])
--- a/lemonhall/day/runner.py
+++ b/lemonhall/day/runner.py
@@ -34,7 +34,7 @@
 
 READY_S = 30.0  # for all processes to start
 OVER_S = 40.0  # behind the day's length, for its last viewers
-CARRIER = "lemonhall.front.workers.carrier"  # how a worker is called
+CARRIER = "lemonhall.front.workers.worker_process"  # how a worker is called
 PORTS, PORT_RANGE = SystemRandom(), (15_000, 32_000)  # below those that the kernel gives away
 SEEN_S = 0.5  # after which whoever keeps the list has seen that a process is gone
 
--- a/lemonhall/front/deciding/asks.py
+++ b/lemonhall/front/deciding/asks.py
@@ -31,32 +31,32 @@
 from lemonhall.front.keeping.record import Recorder
 from lemonhall.hooks.advice import merge
 from lemonhall.interface import Outcome
-from lemonhall.loop import Loop
-from lemonhall.loop.stream import Address
-from lemonhall.seam import (
-    Asked,
-    Book,
-    Broken,
-    Cancel,
-    Carried,
-    Cleared,
-    Ended,
-    Failed,
-    Finish,
-    Gone,
-    Lapsed,
+from lemonhall.ipc import (
+    AttemptFinished,
+    AttemptRecorded,
+    AttemptRegistry,
+    CancelAttempt,
+    ChangeRung,
+    DeadlineExpired,
+    EndSession,
+    Execution,
+    FailRequest,
+    MalformedMessage,
     Message,
-    Move,
-    Noted,
-    Over,
-    Playing,
-    Proof,
-    Reader,
-    Refused,
-    Rung,
-    SetUp,
+    MessageDecoder,
+    MoveSession,
+    OngoingSession,
+    PlaybackStarted,
+    RefuseRequest,
+    ServerNote,
+    SessionClosed,
+    SetUpRequested,
+    StartAttempt,
+    ViewerGone,
 )
-from lemonhall.seam.book import Out
+from lemonhall.ipc.attempt_registry import OpenAttempt
+from lemonhall.loop import Loop
+from lemonhall.loop.stream import Address
 from lemonhall.store import Begun, Hold, Token, Verdict
 
 log = structlog.get_logger("lemonhall.front")
@@ -75,11 +75,11 @@
 
 
 class Ask:
-    def __init__(self, line: Line, said: Asked) -> None:
-        self.line, self.said, self.number, self.deadline = line, said, said.ask, said.deadline
+    def __init__(self, line: Line, said: SetUpRequested) -> None:
+        self.line, self.said, self.number, self.deadline = line, said, said.request_id, said.deadline
         self.rung = 0
         self.attempts = 0
-        self.out: Out | None = None  # the attempt that is out, or plays
+        self.out: OpenAttempt | None = None  # the attempt that is out, or plays
         self.answered = False
         self.came = 0.0  # when it was asked for
         self.advice = i.NO_ADVICE  # what the module was told of wishes for it
@@ -118,7 +118,7 @@
         self.loop, self.settings, self.bridge, self.counts = loop, settings, bridge, counts
         self.addresses, self.hooks = addresses, hooks
         self.open: dict[int, Ask] = {}
-        self.book = Book()
+        self.book = AttemptRegistry()
         self.holds: dict[tuple[int, int], Hold] = {}  # of attempts that are out, by ask and attempt
         self.point: Callable[[str], object] = lambda name: None
         self.on_took: Callable[[float], object] = lambda ms: None
@@ -131,14 +131,14 @@
         self.waiting: dict[int, Verdict] = {}  # held back by the return: what was said of their claims
         self.pools = Pools(settings, self.held_at, self.counts, Random(random.random()))
         self.hear: dict[type[Message], Callable[[Line, Any], object]] = {
-            Asked: self.asked,
-            Playing: self.playing,
-            Ended: self.ended,
-            Noted: self.noted,
-            Gone: self.gone,
-            Lapsed: self.lapsed,
-            Over: self.over,
-            Carried: self.carried,
+            SetUpRequested: self.asked,
+            PlaybackStarted: self.playing,
+            AttemptFinished: self.ended,
+            ServerNote: self.noted,
+            ViewerGone: self.gone,
+            DeadlineExpired: self.lapsed,
+            SessionClosed: self.over,
+            OngoingSession: self.carried,
         }
         bridge.carry_out.update(
             {
@@ -160,27 +160,27 @@
 
     def held_at(self) -> Counter[int]:
         """Attempts that are out or play, by server."""
-        return Counter(out.server for out in self.book.out.values())
+        return Counter(out.server for out in self.book.open_attempts.values())
 
     # what workers say
 
-    def asked(self, line: Line, said: Asked) -> None:
+    def asked(self, line: Line, said: SetUpRequested) -> None:
         """The module is told now, or when a claim's own front has spoken. What is late has had its answer."""
         now = self.loop.now()
-        if said.deadline <= now or not self.book.enter(line.number, said.ask):
+        if said.deadline <= now or not self.book.add_request(line.number, said.request_id):
             self.counts["asked_late"] += 1
             return
-        ask = self.open[said.ask] = Ask(line, said)
+        ask = self.open[said.request_id] = Ask(line, said)
         ask.came = now
         self.counts["asked"] += 1
         if self.recorder and not said.moved:
             self.recorder.asked(said, now * 1000)
         claim = None if said.moved else Token.parse(said.claim)
         if claim is None:
-            self.admit(ask, Verdict.RAN if said.ran else Verdict.GO)
+            self.admit(ask, Verdict.RAN if said.maybe_ran else Verdict.GO)
             return
-        if said.unsent_made and self.keeper:
-            self.keeper.unsent(claim, said.unsent_turn, said.unsent_made)
+        if said.unsent_attempt and self.keeper:
+            self.keeper.unsent(claim, said.unsent_turn, said.unsent_attempt)
         self.claims.begin(claim, ASK_PART * (said.deadline - now), partial(self.begun, ask))
 
     def begun(self, ask: Ask, begun: Begun) -> None:
@@ -188,7 +188,7 @@
         if self.open.get(ask.number) is not ask:
             return
         ask.hold = begun.hold
-        verdict = Verdict.RAN if ask.said.ran else begun.verdict
+        verdict = Verdict.RAN if ask.said.maybe_ran else begun.verdict
         self.counts[f"claim_{verdict.value}"] += verdict is not Verdict.GO
         self.admit(ask, verdict)
 
@@ -242,8 +242,8 @@
     def take_room(self, ask: Ask, limits: LimitsDesk) -> None:
         """Under the limits of the whole fleet, or it is wished away with a pause."""
         said = ask.said
-        moved = said.session if said.moved else ""
-        ruling = limits.ask(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
+        moved = said.session_id if said.moved else ""
+        ruling = limits.ask(ask.number, said.tenant, ask.cls, str(said.title), said.top_rung, moved)
         advice = i.Advice(cap=ruling.cap)
         if ruling.refused:
             self.counts["over_limit"] += 1
@@ -259,7 +259,7 @@
             viewer=said.viewer,
             title=said.title,
             left_ms=left_ms,
-            top=said.top,
+            top=said.top_rung,
             first_cell=said.first_cell,
             cells=said.cells,
             tenant=said.tenant,
@@ -269,8 +269,8 @@
             maybe_ran=ran,
         )
 
-    def playing(self, line: Line, word: Playing) -> None:
-        ask = self.mine(line, word.ask, word.attempt)
+    def playing(self, line: Line, word: PlaybackStarted) -> None:
+        ask = self.mine(line, word.request_id, word.attempt)
         if ask is None or ask.answered:
             return
         ask.answered, ask.since = True, self.loop.now()
@@ -280,7 +280,7 @@
             self.halls.playing(ask.number, word.server)
         if self.keeper:
             said = ask.said
-            self.keeper.playing(said.session, said.claim, said.path, said.cls, word.server)
+            self.keeper.playing(said.session_id, said.claim, said.path, said.cls, word.server)
         self.bridge.tell(i.Playing(ask.number, word.attempt, word.server, word.took_ms))
         for name, value in zip(self.settings.terms.report_fields, word.report, strict=False):
             if kind := {"x0": i.NoteKind.LINK, "x1": i.NoteKind.UPLINK}.get(name):
@@ -293,9 +293,9 @@
             return None
         return ask
 
-    def noted(self, line: Line, word: Noted) -> None:
-        if self.mine(line, word.ask, word.attempt):
-            self.note(word.ask, word.attempt, word.server, word.note, word.value)
+    def noted(self, line: Line, word: ServerNote) -> None:
+        if self.mine(line, word.request_id, word.attempt):
+            self.note(word.request_id, word.attempt, word.server, word.note_kind, word.value)
 
     def note(self, ask: int, attempt: int, server: int, kind: int, value: float) -> None:
         self.bridge.tell(i.Note(ask, attempt, server, kind, value))
@@ -304,9 +304,9 @@
         if kind == i.NoteKind.LINK:
             self.hooks.hear(server, value)
 
-    def gone(self, line: Line, word: Gone) -> None:
+    def gone(self, line: Line, word: ViewerGone) -> None:
         """The module is told now; of the end of an attempt that is out when it comes."""
-        ask = self.open.get(word.ask)
+        ask = self.open.get(word.request_id)
         if ask is None or ask.line is not line:
             return
         self.counts["viewer_gone"] += not ask.answered
@@ -315,95 +315,95 @@
         if ask.out is None:
             self.drop(ask)
 
-    def ended(self, line: Line, word: Ended) -> None:
-        out = self.book.ended(line.number, word.ask, word.attempt)
+    def ended(self, line: Line, word: AttemptFinished) -> None:
+        out = self.book.finish_attempt(line.number, word.request_id, word.attempt)
         if out is None:
             return
         outcome = Outcome(word.outcome)
-        self.settle(out, word.left and outcome not in NEVER_RAN)
-        if self.limits and word.moving and word.ask in self.open:
-            self.limits.park(word.ask, self.open[word.ask].said.session)
+        self.settle(out, word.request_sent and outcome not in NEVER_RAN)
+        if self.limits and word.moving and word.request_id in self.open:
+            self.limits.park(word.request_id, self.open[word.request_id].said.session_id)
         else:
-            self.give_room_back(word.ask)
+            self.give_room_back(word.request_id)
         if self.halls:
             self.halls.seen(word.server, outcome)
-        ask = self.open.get(word.ask)
+        ask = self.open.get(word.request_id)
         if ask is None or ask.out is not out:
             return
         ask.out = None
         self.counts[f"ended_{outcome.name.lower()}"] += 1
-        if outcome not in (Outcome.OK, Outcome.MOOT, Outcome.CANCELLED) and not word.gone:
+        if outcome not in (Outcome.OK, Outcome.MOOT, Outcome.CANCELLED) and not word.viewer_gone:
             self.broke(ask, outcome, word)
         told = i.AttemptEnded(
-            ask.number, word.attempt, word.server, outcome, word.closed, word.took_ms, word.report
+            ask.number, word.attempt, word.server, outcome, word.request_closed, word.took_ms, word.report
         )
         self.bridge.tell(told)
-        if word.closed:
+        if word.request_closed:
             self.drop(ask)
 
-    def settle(self, out: Out, ran: bool) -> None:
-        hold = self.holds.pop((out.ask, out.number), None)
+    def settle(self, out: OpenAttempt, ran: bool) -> None:
+        hold = self.holds.pop((out.request_id, out.number), None)
         if hold and self.keeper:
             self.keeper.settle(hold, ran)
 
-    def broke(self, ask: Ask, outcome: Outcome, word: Ended) -> None:
+    def broke(self, ask: Ask, outcome: Outcome, word: AttemptFinished) -> None:
         """The hooks are heard of a break before the module is told of it."""
         facts = {"outcome": outcome.name.lower(), "played": word.played_ms}
         ruling = self.hooks.ask("break", ask, word.moving, **facts)
         if not ask.answered:
             self.advise(ask, ruling.advice)
 
-    def lapsed(self, line: Line, word: Lapsed) -> None:
+    def lapsed(self, line: Line, word: DeadlineExpired) -> None:
         """The worker has answered in our place: the module was silent, or this process did not run."""
-        ask = self.open.get(word.ask)
+        ask = self.open.get(word.request_id)
         if ask is None or ask.line is not line:
             return
         self.counts["overdue"] += 1
-        log.error("no answer by the deadline", session=ask.said.session, ask=ask.number)
+        log.error("no answer by the deadline", session=ask.said.session_id, ask=ask.number)
         if ask.told:
             self.bridge.left(ask.told)
         self.drop(ask)
 
-    def over(self, line: Line, word: Over) -> None:
+    def over(self, line: Line, word: SessionClosed) -> None:
         if self.recorder:
             played = word.played_ms if word.played_ms >= 0 else None
-            self.recorder.over(word.session, played, word.vanished)
+            self.recorder.over(word.session_id, played, word.vanished)
         if word.played_ms >= 0 and self.keeper:
-            self.keeper.over(word.session)
+            self.keeper.over(word.session_id)
 
-    def carried(self, line: Line, word: Carried) -> None:
+    def carried(self, line: Line, word: OngoingSession) -> None:
         """It plays, under a set-up of a decider that is gone, or of a front that this one relieves."""
-        said = Reader().feed(word.asked)[0]
-        if isinstance(said, Broken) or not isinstance(said, Asked):
+        said = MessageDecoder().feed(word.request)[0]
+        if isinstance(said, MalformedMessage) or not isinstance(said, SetUpRequested):
             self.counts["carried_unreadable"] += 1
             return
-        said.ask = word.ask
-        if not self.book.enter(line.number, word.ask):
+        said.request_id = word.request_id
+        if not self.book.add_request(line.number, word.request_id):
             return
-        ask = self.open[word.ask] = Ask(line, said)
-        ask.answered, ask.rung, ask.attempts, ask.since = True, word.rung, 1, word.since
+        ask = self.open[word.request_id] = Ask(line, said)
+        ask.answered, ask.rung, ask.attempts, ask.since = True, word.rung, 1, word.playing_since
         if word.memo:
             ask.cls, ask.advice, ask.reason = remembered(word.memo)
         ask.told = self.new_session(ask, max(1.0, (said.deadline - self.loop.now()) * 1000), False)
-        ask.out = self.book.set_up(word.ask, 0, word.server, True)
+        ask.out = self.book.add_attempt(word.request_id, 0, word.server, True)
         if self.keeper:
-            self.keeper.playing(said.session, said.claim, said.path, said.cls, word.server)
-            if word.made and (claim := Token.parse(said.claim)):
-                self.holds[word.ask, 0] = Hold(claim, word.turn, 0)
+            self.keeper.playing(said.session_id, said.claim, said.path, said.cls, word.server)
+            if word.claim_attempts and (claim := Token.parse(said.claim)):
+                self.holds[word.request_id, 0] = Hold(claim, word.claim_turn, 0)
         self.counts["carried"] += 1
         if self.halls:
-            self.halls.carried(word.ask, ask.cls, word.rung, word.server)
+            self.halls.carried(word.request_id, ask.cls, word.rung, word.server)
         if self.limits:
-            self.limits.carried(word.ask, said.tenant, ask.cls, str(said.title), word.rung)
+            self.limits.carried(word.request_id, said.tenant, ask.cls, str(said.title), word.rung)
         self.bridge.tell(i.HandedOver(ask.told, word.server))
-        self.bridge.tell(i.Note(word.ask, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
+        self.bridge.tell(i.Note(word.request_id, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
 
     def lose(self, line: Line) -> None:
         """A worker's link has ended: every end that it owes is told here, once."""
-        asks, ends = self.book.lost(line.number)
+        asks, ends = self.book.remove_connection(line.number)
         for out, proof in ends:
-            self.settle(out, proof is Proof.MAYBE)
-        told = {out.ask: out for out, _ in ends}
+            self.settle(out, proof is Execution.MAY_HAVE_RUN)
+        told = {out.request_id: out for out, _ in ends}
         for number in asks:
             ask = self.open.pop(number)
             if self.waiting.pop(number, None) and self.returning:
@@ -414,10 +414,10 @@
             if ask.hold and self.keeper:
                 self.keeper.ledger.over(ask.hold)
             if ask.answered and self.keeper:
-                self.keeper.over(ask.said.session)
+                self.keeper.over(ask.said.session_id)
             if self.recorder:
                 played = (self.loop.now() - ask.since) * 1000 if ask.answered else None
-                self.recorder.over(ask.said.session, played, not ask.answered)
+                self.recorder.over(ask.said.session_id, played, not ask.answered)
             if ask.told:
                 self.bridge.left(ask.told)
             if ask.out and (last := told.get(number)):
@@ -440,7 +440,7 @@
     def drop(self, ask: Ask) -> None:
         if self.keeper and ask.hold:
             self.keeper.ledger.over(ask.hold)
-        self.book.drop(ask.number)
+        self.book.remove_request(ask.number)
         self.open.pop(ask.number, None)
         if self.waiting.pop(ask.number, None) and self.returning:
             self.returning.drop(ask.number)
@@ -452,7 +452,7 @@
         """Once nothing of it is asked for, out, or plays: what a limit counts stands at a server."""
         if self.limits and number not in self.open:
             attempts = range(self.settings.terms.max_attempts)
-            if not any((number, n) in self.book.out for n in attempts):
+            if not any((number, n) in self.book.open_attempts for n in attempts):
                 self.limits.over(number)
 
     def end_session(self, number: int, why: str) -> None:
@@ -461,9 +461,9 @@
         if ask:
             self.counts["ended_by_limit"] += 1
             if ask.answered:
-                ask.line.send(Finish(number, why))
+                ask.line.send(EndSession(number, why))
             elif ask.out:
-                ask.line.send(Cancel(number, ask.out.number))
+                ask.line.send(CancelAttempt(number, ask.out.number))
 
     def advise(self, ask: Ask, advice: i.Advice) -> None:
         """Tells the module of other wishes for a session, if they are any."""
@@ -505,7 +505,7 @@
             moot = record is None  # passed on, or taken by a later ask, meanwhile
         if not moot:
             assert address is not None
-            message = SetUp(
+            message = StartAttempt(
                 ask.number,
                 number,
                 action.server,
@@ -522,7 +522,7 @@
                 self.counts["attempts"] += 1
                 if self.halls:
                     self.halls.set_up(ask.number, action.server)
-                ask.out = self.book.set_up(ask.number, number, action.server, record is None)
+                ask.out = self.book.add_attempt(ask.number, number, action.server, record is None)
                 if ask.hold:
                     self.holds[ask.number, number] = ask.hold
                     self.point("given")
@@ -535,13 +535,13 @@
 
     def cleared(self, ask: int, number: int, why: str) -> None:
         """The ledger has it, or says why not: only now may the request leave."""
-        out = self.book.out.get((ask, number))
+        out = self.book.open_attempts.get((ask, number))
         found = self.open.get(ask)
         if out is None or found is None or found.out is not out:
             return
         self.point("written")
-        if why or self.book.clear(ask, number):
-            found.line.send(Cleared(ask, number, why))
+        if why or self.book.allow_send(ask, number):
+            found.line.send(AttemptRecorded(ask, number, why))
             self.loop.call_later(0.0, self.point, "cleared")  # once it has left
 
     def rate(self, ask: Ask, rung: int) -> float:
@@ -556,7 +556,7 @@
         before, ask.rung = ask.rung, action.rung
         if ask.out:
             self.counts["rung_changes"] += 1
-            ask.line.send(Rung(ask.number, action.rung, self.rate(ask, action.rung)))
+            ask.line.send(ChangeRung(ask.number, action.rung, self.rate(ask, action.rung)))
             self.changed(ask, before)
 
     def changed(self, ask: Ask, before: int) -> None:
@@ -569,11 +569,11 @@
     def refuse(self, action: i.Refuse) -> None:
         if ask := self.final(action.id, "refused"):
             reason = ask.reason if ask.advice.refuse and not ask.attempts else ""
-            ask.line.send(Refused(action.id, action.pause_ms, reason))
+            ask.line.send(RefuseRequest(action.id, action.pause_ms, reason))
 
     def fail(self, action: i.Fail) -> None:
         if ask := self.final(action.id, "failed"):
-            ask.line.send(Failed(action.id, 502))
+            ask.line.send(FailRequest(action.id, 502))
 
     def final(self, number: int, name: str) -> Ask | None:
         """The module's last word; the end of an attempt that is still out is the ledger's alone."""
@@ -593,9 +593,9 @@
             return
         self.counts["moved"] += 1
         ask.moving = True
-        ask.line.send(Move(action.id))
+        ask.line.send(MoveSession(action.id))
 
     def cancel(self, action: i.Cancel) -> None:
         ask = self.open.get(action.id)
         if ask and not ask.answered and ask.out and ask.out.number == action.attempt:
-            ask.line.send(Cancel(action.id, action.attempt))
+            ask.line.send(CancelAttempt(action.id, action.attempt))
--- a/lemonhall/front/deciding/hooks.py
+++ b/lemonhall/front/deciding/hooks.py
@@ -21,8 +21,8 @@
 from lemonhall.hooks.code import Program
 from lemonhall.hooks.vocabulary import FACTS
 from lemonhall.hooks.windows import Lately
+from lemonhall.ipc import SetUpRequested
 from lemonhall.problem import BadInput
-from lemonhall.seam import Asked
 
 log = structlog.get_logger("lemonhall.front")
 HEARD_MS = 30_000.0  # a report of a link's use is believed for so long
@@ -61,15 +61,15 @@
 
 
 class Builder(Protocol):
-    """Whoever reads and compiles elsewhere. `ask` raises `OSError` if nobody can."""
+    """Whoever reads and compiles elsewhere. `submit` raises `OSError` if nobody can."""
 
-    def ask(self, job: tuple[Any, ...], done: Callable[[Any], None]) -> None: ...
+    def submit(self, job: tuple[Any, ...], done: Callable[[Any], None]) -> None: ...
 
 
 class Subject(Protocol):
     """What a ruling is about."""
 
-    said: Asked
+    said: SetUpRequested
     attempts: int
 
 
@@ -122,7 +122,7 @@
             return
         try:
             sources = read_sources(self.settings)
-            self.builder.ask(
+            self.builder.submit(
                 ("hooks", sources, self.engine.known), lambda result: self.built(sources, result)
             )
             self.building = True
@@ -206,7 +206,7 @@
             "paid": cls.repeat is not i.Repeat.SAFE,
             "again": asked.again,
             "moved": moved,
-            "rung": float(asked.top),
+            "rung": float(asked.top_rung),
             "floor": float(cls.floor),
             "sessions": float(self.sessions()),
             "attempt": float(subject.attempts),
@@ -219,10 +219,12 @@
             Sight(self),
             self.now_ms(),
             self.wall_ms(),
-            asked.session,
+            asked.session_id,
         )
         if ruling.log:
-            log.info("session", session=asked.session, point=point, **{"class": facts["class"]}, **ruling.log)
+            log.info(
+                "session", session=asked.session_id, point=point, **{"class": facts["class"]}, **ruling.log
+            )
         if self.engine.events:
             for event in self.engine.events:
                 log.warning(event.what, **event.fields)
--- a/lemonhall/front/guarding/handover.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -20,11 +20,17 @@
 from lemonhall.front.viewers.session import Ask, Session, State, ViewerTrack
 from lemonhall.front.viewers.viewer import ViewerConnection
 from lemonhall.interface import Outcome
+from lemonhall.ipc import (
+    AttemptFinished,
+    MalformedMessage,
+    MessageDecoder,
+    RequestStage,
+    SetUpRequested,
+    ViewerGone,
+    encode,
+)
 from lemonhall.loop import Handler, Stream
 from lemonhall.rtsp import Parser
-from lemonhall.seam import Asked as Said
-from lemonhall.seam import Broken, Gone, Reader, Stage, encode
-from lemonhall.seam import Ended as EndedWord
 from lemonhall.store import Token
 
 Packed = dict[str, Any]
@@ -113,7 +119,7 @@
         "said": text(encode(ask.said)),
         "memo": text(daemon.asks.memo(known) if known else ask.memo),
         "rung": ask.rung,
-        "claimed": [ask.carry.turn, ask.carry.made],
+        "claimed": [ask.carry.claim_turn, ask.carry.claim_attempts],
         "attempt": pack_attempt(ask.attempt),
     }
 
@@ -201,15 +207,15 @@
 
 def unpack_ask(daemon: Daemon, session: Session, packed: Packed, fd: int) -> Ask:
     worker = daemon.worker
-    said = Reader().feed(base64.b64decode(packed["said"]))[0]
-    if isinstance(said, Broken) or not isinstance(said, Said):
+    said = MessageDecoder().feed(base64.b64decode(packed["said"]))[0]
+    if isinstance(said, MalformedMessage) or not isinstance(said, SetUpRequested):
         raise ValueError("a session that cannot be read")
-    said.ask = worker.next_ask
+    said.request_id = worker.next_ask
     worker.next_ask += 1
     ask = Ask(session, said, daemon.settings.terms.max_attempts)
     ask.rung, ask.answered, ask.memo = packed["rung"], True, base64.b64decode(packed["memo"])
-    ask.carry.stage, ask.carry.tries = Stage.PLAYING, 1
-    ask.carry.turn, ask.carry.made = packed["claimed"]
+    ask.carry.stage, ask.carry.attempts_made = RequestStage.PLAYING, 1
+    ask.carry.claim_turn, ask.carry.claim_attempts = packed["claimed"]
     ask.attempt = unpack_attempt(daemon, ask, packed["attempt"], fd)
     return ask
 
@@ -319,6 +325,6 @@
         attempt = ask.attempt
         daemon.asks.holds.pop((ask.number, attempt.number), None)
         if ask.carry.close(worker.link):
-            worker.say(Gone(ask.number, True))
+            worker.say(ViewerGone(ask.number, True))
             cancelled = (ask.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
-            worker.say(EndedWord(*cancelled, True, True, False, True, ()))
+            worker.say(AttemptFinished(*cancelled, True, True, False, True, ()))
--- a/lemonhall/front/guarding/giving.py
+++ b/lemonhall/front/handover/endpoint.py
@@ -13,7 +13,7 @@
 import structlog
 
 from lemonhall.config.settings import LIVE_TERMS, FrontSettings
-from lemonhall.front.guarding.relief import Effect, Giver
+from lemonhall.front.handover.state_machine import Effect, HandoverSource
 from lemonhall.front.process.channel import Channel
 from lemonhall.loop import Loop, listen
 
@@ -33,7 +33,7 @@
     return [name.replace("_", " ") for name in names if ours.get(name) != theirs.get(name)]
 
 
-class GivingSide:
+class HandoverEndpoint:
     """Listens at `path` for a successor. `settings`: the front's, as they are when it comes.
 
     `hello`: the name of the point at which its first word is heard."""
@@ -41,11 +41,11 @@
     hello = "hello"
 
     def __init__(
-        self, loop: Loop, path: str, settings: Callable[[], FrontSettings], point: Callable[[str], object]
+        self, loop: Loop, path: str, settings: Callable[[], FrontSettings], failpoint: Callable[[str], object]
     ) -> None:
         """Raises `OSError` if the path cannot be listened at."""
-        self.loop, self.path, self.settings, self.point = loop, Path(path), settings, point
-        self.giver = Giver()
+        self.loop, self.path, self.settings, self.failpoint = loop, Path(path), settings, failpoint
+        self.giver = HandoverSource()
         self.channel: Channel | None = None
         self.listener: socket.socket | None = None
         self.listen()
@@ -75,7 +75,7 @@
         for fd in fds:
             os.close(fd)
         if "hello" in message:
-            self.point(self.hello)
+            self.failpoint(self.hello)
             other = differences(about(self.settings()), message["hello"])
             if other:
                 log.warning("successor refused", other=other)
--- a/lemonhall/front/guarding/guard.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -16,12 +16,12 @@
 import structlog
 
 from lemonhall.boxlist import Update
-from lemonhall.front.guarding import handover
-from lemonhall.front.guarding.giving import GivingSide, about
-from lemonhall.front.guarding.relief import Do, Effect, Taker
+from lemonhall.front.handover import connection_state
+from lemonhall.front.handover.endpoint import HandoverEndpoint, about
+from lemonhall.front.handover.state_machine import Do, Effect, HandoverTarget
 from lemonhall.front.keeping.keeper import to_learned, to_memory
-from lemonhall.front.process.channel import Baton, Channel
-from lemonhall.front.process.daemon import Daemon, Taken
+from lemonhall.front.process.channel import Channel, OwnershipToken
+from lemonhall.front.process.daemon import Daemon, InheritedSockets
 from lemonhall.front.viewers.viewer import ViewerConnection
 from lemonhall.loop import Loop, Timer
 from lemonhall.store.store_pb2 import Learned
@@ -31,7 +31,7 @@
 AGAIN_S = 0.02  # connections that are not quiet are looked at again after
 CONNECTIONS = 16  # in one portion
 FDS = 100  # in one portion
-POINTS = (
+FAILPOINTS = (
     "hello",
     "hand-front",
     "front-sent",
@@ -49,18 +49,20 @@
 )
 
 
-class Guard(GivingSide):
+class FrontHandoverSource(HandoverEndpoint):
     """At the front that serves: waits for a successor at `path`, and hands over when one asks."""
 
-    def __init__(self, daemon: Daemon, path: str, point: Callable[[str], object] = lambda name: None) -> None:
+    def __init__(
+        self, daemon: Daemon, path: str, failpoint: Callable[[str], object] = lambda name: None
+    ) -> None:
         """Raises `OSError` if the path cannot be listened at."""
         self.daemon = daemon
-        self.baton: Baton | None = None
+        self.baton: OwnershipToken | None = None
         self.frozen: list[ViewerConnection] = []
         self.patience: Timer | None = None
         self.look: Timer | None = None
         self.given = 0
-        super().__init__(daemon.loop, path, lambda: daemon.settings, point)
+        super().__init__(daemon.loop, path, lambda: daemon.settings, failpoint)
 
     def busy(self) -> bool:
         return self.daemon.stopping
@@ -101,7 +103,7 @@
     # portion 0
 
     def hand_front(self) -> None:
-        self.point("hand-front")
+        self.failpoint("hand-front")
         d = self.daemon
         d.pause_front()
         sockets = {
@@ -111,7 +113,7 @@
             "members": d.membership.sock if d.membership else None,
         }
         named = [(name, sock) for name, sock in sockets.items() if sock is not None]
-        self.baton = Baton()
+        self.baton = OwnershipToken()
         fds = [self.baton.fd, *(sock.fileno() for _, sock in named)]
         lock = d.keeper.store.lock if d.keeper else None
         fds += [lock] if lock is not None else []
@@ -120,16 +122,18 @@
             "portion": 0,
             "sockets": [name for name, _ in named],
             "lock": lock is not None,
-            "memory": handover.text(to_learned(memory).SerializeToString()) if memory else "",
-            "list": handover.text(d.list.list.snapshot().SerializeToString()) if d.list.list.version else "",
+            "memory": connection_state.text(to_learned(memory).SerializeToString()) if memory else "",
+            "list": connection_state.text(d.list.list.snapshot().SerializeToString())
+            if d.list.list.version
+            else "",
             "born_ms": d.list.list.born_ms,
             "clock": [d.start_wall_ms, d.start],
             "fleet": list(d.membership.share.told) if d.membership else None,
-            "limits": handover.text(d.asks.limits.machine.escrow.state()) if d.asks.limits else "",
+            "limits": connection_state.text(d.asks.limits.machine.escrow.state()) if d.asks.limits else "",
         }
         assert self.channel
         self.channel.send(message, fds)
-        self.point("front-sent")
+        self.failpoint("front-sent")
 
     # connections
 
@@ -143,8 +147,8 @@
         ready: list[ViewerConnection] = []
         fds = 0
         for viewer in d.worker.viewers:
-            if handover.quiet(viewer):
-                fds += len(handover.streams(viewer))
+            if connection_state.quiet(viewer):
+                fds += len(connection_state.streams(viewer))
                 if ready and (fds > FDS or len(ready) >= CONNECTIONS):
                     break
                 ready.append(viewer)
@@ -155,51 +159,51 @@
             self.look = self.loop.call_later(AGAIN_S, self.next)
 
     def hand(self, n: int) -> None:
-        self.point("hand")
+        self.failpoint("hand")
         d = self.daemon
         for viewer in self.frozen:
-            handover.freeze(d, viewer)
-        d.up.deliver()
+            connection_state.freeze(d, viewer)
+        d.decider_queue.deliver()
         d.bridge.flush()  # what was told before of them is settled before they are written down
-        self.baton = Baton()
+        self.baton = OwnershipToken()
         fds = [self.baton.fd]
         for viewer in self.frozen:
-            fds += [s.sock.fileno() for s in handover.streams(viewer)]
+            fds += [s.sock.fileno() for s in connection_state.streams(viewer)]
         assert self.channel
-        self.channel.send({"portion": n, "viewers": [handover.pack(d, v) for v in self.frozen]}, fds)
-        self.point("sent")
+        self.channel.send({"portion": n, "viewers": [connection_state.pack(d, v) for v in self.frozen]}, fds)
+        self.failpoint("sent")
 
     def resume(self) -> None:
         frozen, self.frozen = self.frozen, []
         for viewer in frozen:
-            handover.thaw(self.daemon, viewer)
+            connection_state.thaw(self.daemon, viewer)
 
     def forget(self, n: int) -> None:
         if n == 0:
-            self.point("front-given")
+            self.failpoint("front-given")
             log.info("relieved", viewers=len(self.daemon.worker.viewers))
             return
         frozen, self.frozen = self.frozen, []
         for viewer in frozen:
-            handover.forget(self.daemon, viewer)
+            connection_state.forget(self.daemon, viewer)
         self.given += len(frozen)
-        self.point("given")
+        self.failpoint("given")
 
     def over(self) -> None:
-        self.point("over")
+        self.failpoint("over")
         log.info("handed over", viewers=self.given)
         self.daemon.leave_front()
 
 
-class GuardedDaemon(Daemon):
+class ReplaceableDaemon(Daemon):
     """A front that may be relieved."""
 
-    def open_guard(self) -> None:
+    def open_handover(self) -> None:
         if self.settings.guard:
-            self.guard = Guard(self, self.settings.guard, self.point)
+            self.handover = FrontHandoverSource(self, self.settings.guard, self.failpoint)
 
 
-class Successor:
+class FrontHandoverTarget:
     """At the front that comes. `opened` is called once it serves, `refused(why)` if it is not wanted."""
 
     def __init__(
@@ -208,15 +212,15 @@
         path: str,
         opened: Callable[[], object],
         refused: Callable[[str], object],
-        point: Callable[[str], object] = lambda name: None,
+        failpoint: Callable[[str], object] = lambda name: None,
     ) -> None:
         """Raises `OSError` if nobody is there to be relieved."""
-        self.daemon, self.loop, self.path, self.point = daemon, daemon.loop, path, point
+        self.daemon, self.loop, self.path, self.failpoint = daemon, daemon.loop, path, failpoint
         self.opened, self.refused = opened, refused
-        self.taker = Taker()
+        self.taker = HandoverTarget()
         self.built: dict[int, list[ViewerConnection]] = {}
-        self.batons: dict[int, Baton] = {}
-        self.taken = Taken()
+        self.batons: dict[int, OwnershipToken] = {}
+        self.inherited = InheritedSockets()
         self.took = 0
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
@@ -236,27 +240,29 @@
             self.carry_out(self.taker.last())
             return
         n = message["portion"]
-        self.batons[n] = Baton(fds.pop(0))
+        self.batons[n] = OwnershipToken(fds.pop(0))
         try:
             if n == 0:
                 self.unpack_front(message, fds)
             else:
-                self.built[n] = [handover.unpack(self.daemon, packed, fds) for packed in message["viewers"]]
+                self.built[n] = [
+                    connection_state.unpack(self.daemon, packed, fds) for packed in message["viewers"]
+                ]
             fine = True
         except Exception as error:
             log.error("cannot take over", portion=n, why=str(error), exc_info=error)
             fine = False
-        self.point("front-unpacked" if n == 0 else "unpacked")
+        self.failpoint("front-unpacked" if n == 0 else "unpacked")
         self.carry_out(self.taker.handed(n, fine))
 
     def unpack_front(self, message: dict[str, Any], fds: list[int]) -> None:
         for name in message["sockets"]:
-            setattr(self.taken, name, socket.socket(fileno=fds.pop(0)))
+            setattr(self.inherited, name, socket.socket(fileno=fds.pop(0)))
         if message["lock"]:
-            self.taken.lock = fds.pop(0)
-        self.taken.message = message
+            self.inherited.lock = fds.pop(0)
+        self.inherited.message = message
         if self.daemon.settings.store and self.daemon.keeper is None:
-            self.daemon.open_store(self.daemon.settings.store, self.taken.lock)
+            self.daemon.open_store(self.daemon.settings.store, self.inherited.lock)
 
     def ended(self) -> None:
         self.carry_out(self.taker.gone())
@@ -276,24 +282,24 @@
         elif effect.do is Do.SERVE:
             self.serve()
         elif effect.do is Do.TOOK:
-            self.point("front-owned" if n == 0 else "owned")
+            self.failpoint("front-owned" if n == 0 else "owned")
             self.channel.send({"tried": n})
-            self.point("front-told" if n == 0 else "told")
+            self.failpoint("front-told" if n == 0 else "told")
         elif effect.do is Do.HERE:
             self.channel.send({"here": True})
         elif effect.do is Do.OWN:
             for viewer in self.built.pop(n):
-                handover.start(self.daemon, viewer)
+                connection_state.start(self.daemon, viewer)
                 self.took += 1
         elif effect.do is Do.DROP:
             for viewer in self.built.pop(n, []):
-                handover.drop(viewer)
+                connection_state.drop(viewer)
         elif effect.do is Do.END:
             self.refused("the front that serves goes on: this one could not take over")
 
     def serve(self) -> None:
-        if self.taken.message:
-            self.adopt(self.taken.message)
+        if self.inherited.message:
+            self.adopt(self.inherited.message)
         self.opened()
 
     def adopt(self, message: dict[str, Any]) -> None:
@@ -301,7 +307,7 @@
         d = self.daemon
         d.start_wall_ms, d.start = message["clock"]
         d.list.list.born_ms = message["born_ms"]
-        d.taken = self.taken
+        d.inherited = self.inherited
         if message["list"]:
             update = Update.FromString(base64.b64decode(message["list"]))
             if event := d.list.list.apply(update):
@@ -311,18 +317,18 @@
             d.bridge.tell(to_memory(learned))
 
 
-def die_at(name: str, points: Sequence[str] = POINTS) -> Callable[[str], object]:
+def exit_at_failpoint(name: str, points: Sequence[str] = FAILPOINTS) -> Callable[[str], object]:
     """For tests: a process that is gone at a named point, as if killed there. Raises `ValueError`."""
     if name and name not in points:
         raise ValueError(f"no point {name!r} of a change of guard")
 
-    def point(reached: str) -> None:
+    def failpoint(reached: str) -> None:
         if reached == name:
             os._exit(9)
 
-    return point
+    return failpoint
 
 
-def wait_for(loop: Loop, successor: Successor) -> None:
+def wait_for_handover(loop: Loop, successor: FrontHandoverTarget) -> None:
     """Runs the loop until the successor serves or is not wanted."""
     loop.run(until=lambda: successor.taker.serving or successor.taker.ended)
--- a/lemonhall/front/guarding/relief.py
+++ b/lemonhall/front/handover/state_machine.py
@@ -40,7 +40,7 @@
     portion: int = 0
 
 
-class Giver:
+class HandoverSource:
     def __init__(self) -> None:
         self.out: int | None = None  # the portion whose owner is not known
         self.lost = False  # the channel is gone
@@ -100,7 +100,7 @@
         return [Effect(Do.SERVE)]
 
 
-class Taker:
+class HandoverTarget:
     def __init__(self) -> None:
         self.serving = False
         self.ended = False
--- a/lemonhall/front/keeping/record.py
+++ b/lemonhall/front/keeping/record.py
@@ -12,7 +12,7 @@
 import structlog
 
 from lemonhall.config.settings import FrontSettings
-from lemonhall.seam import Asked
+from lemonhall.ipc import SetUpRequested
 
 log = structlog.get_logger("lemonhall.front")
 GROUP = 2000  # rows that are written together
@@ -30,12 +30,12 @@
         self.rows: list[dict[str, Any]] = []
         self.groups = 0
 
-    def asked(self, said: Asked, now_ms: float) -> None:
+    def asked(self, said: SetUpRequested, now_ms: float) -> None:
         """The first ask of a session; moves are not the viewer's."""
         terms = self.settings.terms
-        if said.session in self.open:
+        if said.session_id in self.open:
             return
-        self.open[said.session] = {
+        self.open[said.session_id] = {
             "person": said.viewer >> 1,
             "at_ms": now_ms - self.began_ms,
             "class": terms.class_names[said.cls],
@@ -43,7 +43,7 @@
             "title": said.path.partition("?")[0],
             "hall": terms.halls[self.settings.hall],
             "length_ms": None,
-            "top": said.top,
+            "top": said.top_rung,
             "vanishes": False,
         }
 
--- a/lemonhall/front/process/channel.py
+++ b/lemonhall/front/process/channel.py
@@ -122,7 +122,7 @@
         self.out.clear()
 
 
-class Baton:
+class OwnershipToken:
     """A byte in a pipe, which the kernel gives to one reader only."""
 
     def __init__(self, fd: int | None = None) -> None:
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -31,20 +31,20 @@
 from lemonhall.front.keeping.capturing import Capturer, header_of
 from lemonhall.front.keeping.keeper import Keeper
 from lemonhall.front.keeping.record import Recorder
-from lemonhall.front.process.beside import Beside
-from lemonhall.front.process.builder import Builder
-from lemonhall.front.process.local import Queue
-from lemonhall.front.process.shown import Shown
+from lemonhall.front.process.local_queue import LocalQueue
+from lemonhall.front.process.reader_client import ReaderClient
+from lemonhall.front.process.status_pages import StatusPages
+from lemonhall.front.process.subsystems import Subsystems
 from lemonhall.front.servers.catalogue import Call
 from lemonhall.front.viewers.worker import STOP_S, Worker
 from lemonhall.interface import Outcome
+from lemonhall.ipc import VERSION, Message, RedirectViewers, RetireWorker, StoreStatus, Welcome
 from lemonhall.loop import Loop, listen
 from lemonhall.loop.core import READ
 from lemonhall.loop.stream import accept_on
 from lemonhall.members import Config
 from lemonhall.members.machine import View
 from lemonhall.problem import BadInput
-from lemonhall.seam import VERSION, Message, Redirect, Retire, Stored, Welcome
 
 log = structlog.get_logger("lemonhall.front")
 LOOK_BACK_S = 0.5
@@ -79,7 +79,7 @@
 
 
 @dataclass
-class Taken:
+class InheritedSockets:
     """Sockets that were open before this process: of the front that it relieves, or of its parent."""
 
     viewers: socket.socket | None = None
@@ -111,12 +111,12 @@
             settings.list_url,
             settings.list_cache,
             settings.name,
-            self.tell_list,
+            self.on_list_event,
             self.start_wall_ms,
         )
-        self.builder = Builder(self.loop)
+        self.reader_client = ReaderClient(self.loop)
         self.hooks = Hooks(
-            self.builder,
+            self.reader_client,
             settings,
             self.list.list.servers,
             lambda: self.gauges()[1],
@@ -144,26 +144,28 @@
             wall,
             self.counts,
         )
-        self.up, self.down = Queue(self.loop, 1), Queue(self.loop, 1)
-        self.up.heard = lambda message: self.asks.heard(self.down, message)
-        self.down.heard = self.worker.heard
+        self.decider_queue, self.worker_queue = LocalQueue(self.loop, 1), LocalQueue(self.loop, 1)
+        self.decider_queue.heard = lambda message: self.asks.heard(self.worker_queue, message)
+        self.worker_queue.heard = self.worker.heard
         pools, listed = self.asks.pools, self.list.list
         pools.version, pools.servers = lambda: listed.version, listed.by_address
-        self.path, self.tree = "", b""
-        self.on_tree: Callable[[bytes], object] = lambda tree: None  # told of settings that hold from now on
+        self.path, self.settings_tree = "", b""
+        self.on_settings_changed: Callable[[bytes], object] = lambda tree: (
+            None
+        )  # told of settings that hold from now on
         self.stopping = self.draining = False
         self.peers: Peers | None = None
         self.membership: Membership | None = None
         self.keeper: Keeper | None = None
-        self.guard: Closing | None = None
-        self.taken: Taken | None = None  # from the front that this one relieves
-        self.point: Callable[[str], object] = lambda name: None
+        self.handover: Closing | None = None
+        self.inherited: InheritedSockets | None = None  # from the front that this one relieves
+        self.failpoint: Callable[[str], object] = lambda name: None
         self.listeners: list[socket.socket] = []
         self.host = ""
         self.capture: Capturer | None = None
-        self.shown = Shown(self)
-        self.beside = Beside(self)
-        self.asks.on_took = self.shown.set_up_took
+        self.status_pages = StatusPages(self)
+        self.subsystems = Subsystems(self)
+        self.asks.on_took = self.status_pages.set_up_took
         self.bridge.carry_out.update(
             {
                 i.SetTimer: self.set_timer,
@@ -179,9 +181,9 @@
 
     # settings, anew
 
-    def remember(self, path: str, tree: bytes) -> None:
+    def remember_settings(self, path: str, tree: bytes) -> None:
         """Where the settings came from, and their checked nodes, pickled: what a reload is held against."""
-        self.path, self.tree = path, tree
+        self.path, self.settings_tree = path, tree
 
     def reload(self) -> None:
         """Reads settings and scripts anew, beside what plays. All of it holds from one moment, or nothing."""
@@ -189,21 +191,21 @@
             self.hooks.reload()
             return
         try:
-            self.builder.ask(("settings", self.path, self.tree), self.reloaded)
+            self.reader_client.submit(("settings", self.path, self.settings_tree), self.on_settings_read)
         except OSError as error:
             log.error("settings not read", error=str(error))
 
-    def reloaded(self, result: Any) -> None:
+    def on_settings_read(self, result: Any) -> None:
         if result is None or result[0] is None:
             problems = [str(p) for p in result[3]] if result else ["the settings could not be read"]
-            self.keep_settings(problems)
+            self.reject_settings(problems)
             return
         new, tree, changes, _ = result
         if fixed := fixed_changes(self.settings, new):
-            self.keep_settings([f"{name} cannot change while the front runs" for name in fixed])
+            self.reject_settings([f"{name} cannot change while the front runs" for name in fixed])
             return
-        self.tree = tree
-        self.on_tree(tree)
+        self.settings_tree = tree
+        self.on_settings_changed(tree)
         self.settings = self.asks.settings = new
         self.asks.pools.settle(new)
         self.worker.settle(new, 1)
@@ -217,12 +219,12 @@
             for change in changes:
                 self.capture.word(self.now_ms(), "settings", change.what)
         if self.asks.limits:
-            self.asks.limits.settle(self.beside.limits_plan())
+            self.asks.limits.settle(self.subsystems.limits_plan())
         elif new.terms.fleet_limits:
-            self.beside.open_limits()
+            self.subsystems.open_limits()
         self.hooks.resettle(new)
 
-    def keep_settings(self, problems: list[str]) -> None:
+    def reject_settings(self, problems: list[str]) -> None:
         self.counts["settings_refused"] += 1
         log.error("settings refused, the old ones stay", problems=problems[:20])
         self.hooks.on_load(False)
@@ -240,7 +242,7 @@
 
     def open(self) -> tuple[str, int]:
         """Listens and starts. Returns where viewers are served. Raises `OSError` if an address is taken."""
-        s, taken = self.settings, self.taken or Taken()
+        s, taken = self.settings, self.inherited or InheritedSockets()
         if s.capture.on:
             self.capture = self.bridge.capture = Capturer(s.capture, header_of(s), self.wall)
         if s.store and self.keeper is None:
@@ -261,7 +263,7 @@
                 s.members.via,
             )
         anew = taken.message is None
-        self.beside.open_return(anew)
+        self.subsystems.open_return(anew)
         self.hooks.start()
         if taken.viewers is None:
             viewers = listen(self.loop, s.listen, self.worker.accept, share=s.share_port)
@@ -273,42 +275,42 @@
         at = viewers.getsockname()
         self.host = self.worker.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
         if s.status:
-            self.open_status(self.shown.serve(), taken.status)
+            self.open_status(self.status_pages.serve(), taken.status)
         if s.peers_listen:
             self.peers = Peers(self.loop, s.peers_listen, s.index, s.peers, self.bridge.tell, taken.peers)
         self.asks.claims = Claims(self.loop, self.keeper, self.membership)
         if self.membership:
             self.membership.on_claim = self.asks.claims.heard
         if s.terms.spills:
-            self.beside.open_halls()
+            self.subsystems.open_halls()
         if s.terms.fleet_limits:
-            self.beside.open_limits()
+            self.subsystems.open_limits()
         if s.record:
             self.asks.recorder = Recorder(Path(s.record), s, self.loop.now() * 1000)
         if self.keeper:
             self.recall(self.keeper, anew)
-        self.open_guard()
+        self.open_handover()
         if self.workers:
             self.workers.opened()
         else:
-            self.worker.linked(self.up, self.welcome())
+            self.worker.linked(self.decider_queue, self.welcome())
         self.bridge.call()
         if s.limits.memory:
             self.worker.watch_memory()
-        self.look_back()
+        self.check_overdue_requests()
         pages_at = self.listeners[1].getsockname() if len(self.listeners) > 1 else ""
         shown = pages_at if isinstance(pages_at, str) else f"{pages_at[0]}:{pages_at[1]}"
         log.info("serving", at=self.host, front=s.name, index=s.index, fronts=s.fronts, status=shown)
         return (at, 0) if isinstance(at, str) else (at[0], at[1])
 
-    def tell_list(self, event: i.Event) -> None:
+    def on_list_event(self, event: i.Event) -> None:
         """What the list client tells the module goes to the machine of halls as well."""
         self.bridge.tell(event)
         if self.asks.halls and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
             fresh = event.kind != i.ListKind.CACHED
             self.asks.halls.listed(self.list.list.servers(), fresh)
 
-    def open_guard(self) -> None:
+    def open_handover(self) -> None:
         """Where a front can be relieved, its class says how."""
 
     def welcome(self, version: int = VERSION, mine: bool = True) -> Welcome:
@@ -321,15 +323,15 @@
         if self.workers:
             self.workers.send_all(message)
         else:
-            self.down.send(message)
+            self.worker_queue.send(message)
 
-    def look_back(self) -> None:
+    def check_overdue_requests(self) -> None:
         self.asks.look_back()
-        self.loop.call_later(LOOK_BACK_S, self.look_back)
+        self.loop.call_later(LOOK_BACK_S, self.check_overdue_requests)
 
-    def store_turned(self, failing: bool) -> None:
+    def on_store_status(self, failing: bool) -> None:
         assert self.keeper
-        self.send_all(Stored(self.keeper.ledger.pruned_s, failing))
+        self.send_all(StoreStatus(self.keeper.ledger.pruned_s, failing))
 
     def gauges(self) -> tuple[int, int]:
         """Viewers and sessions, of all workers."""
@@ -346,7 +348,7 @@
             self.listeners.append(listen(self.loop, self.settings.status, accept))
         self.serve_status = accept
 
-    def seen(self, view: View) -> None:
+    def on_membership_view(self, view: View) -> None:
         """Another view of who is there."""
         if self.asks.limits and self.membership:
             self.asks.limits.view(view, self.membership.machine.conflict)
@@ -367,7 +369,7 @@
             self.loop.watch(sock, 0, self.worker.accept)
         if self.membership:
             self.membership.pause()
-        self.beside.stop()
+        self.subsystems.stop()
         if self.peers:
             self.loop.watch(self.peers.sock, 0, self.peers.on_ready)
 
@@ -389,12 +391,12 @@
     def leave_front(self) -> None:
         """All has been handed over: this process goes, without a word to viewers, servers or other fronts."""
         self.stopping = True
-        self.beside.stop()
+        self.subsystems.stop()
         self.list.wanted = False
         if self.list.stream:
             self.list.stream.abort()
         self.list.stop()
-        self.builder.stop()
+        self.reader_client.stop()
         if self.asks.recorder:
             self.asks.recorder.stop()
         if self.membership:
@@ -407,15 +409,15 @@
             self.capture.close()
         if self.keeper:
             self.keeper.close(relieved=True)
-        if self.guard:
-            self.guard.close()
+        if self.handover:
+            self.handover.close()
         self.loop.stop()
 
     def open_store(self, settings: StoreSettings, lock: int | None = None) -> None:
         random = Random(SystemRandom().getrandbits(64))  # tokens must not come twice, whatever the seed
         self.keeper = Keeper(self.loop, settings, self.settings.index, random, self.memory, self.wall, lock)
         self.list.keeper = self.asks.keeper = self.keeper
-        self.keeper.on_turn = self.store_turned
+        self.keeper.on_turn = self.on_store_status
 
     def memory(self) -> i.Memory | None:
         """What the module has learned; another file's module may not say."""
@@ -445,9 +447,9 @@
         if self.membership:
             self.membership.say_leaving()
         if self.settings.drain_to:
-            self.send_all(Redirect(self.settings.drain_to))
+            self.send_all(RedirectViewers(self.settings.drain_to))
         if self.workers:
-            self.workers.send_all(Retire(False))
+            self.workers.send_all(RetireWorker(False))
         for sock in self.listeners[:1]:
             self.loop.watch(sock, 0, self.worker.accept)
             sock.close()
@@ -460,7 +462,7 @@
         elif not self.stopping:
             self.loop.call_later(0.1, self.drained)
 
-    def crashed(self, error: BaseException) -> dict[str, Any]:
+    def report_crash(self, error: BaseException) -> dict[str, Any]:
         """What is known of a crash of the loop, for its report; kept where the settings say."""
         report = {
             "at_ms": self.wall() * 1000,
@@ -482,12 +484,12 @@
             Path(self.settings.crash_report).write_text(json.dumps(report, indent=1) + "\n")
         return report
 
-    def leave(self) -> None:
+    def step_down(self) -> None:
         """Another decider is about to take over, with the same workers: goes without a word to anybody."""
         self.stopping = True
-        self.beside.stop()
+        self.subsystems.stop()
         self.list.wanted = False
-        self.builder.stop()
+        self.reader_client.stop()
         if self.asks.recorder:
             self.asks.recorder.stop()
         if self.membership:
@@ -508,10 +510,10 @@
             if sock.fileno() >= 0:
                 self.loop.watch(sock, 0, self.worker.accept)
                 sock.close()
-        self.builder.stop()
+        self.reader_client.stop()
         self.loop.call_later(STOP_S, self.end)
         if self.workers:
-            self.workers.send_all(Retire(True))
+            self.workers.send_all(RetireWorker(True))
         else:
             self.worker.stop()
         self.finish()
@@ -524,8 +526,8 @@
         self.list.stop()
         if self.asks.recorder:
             self.asks.recorder.stop()
-        if self.guard:
-            self.guard.close()
+        if self.handover:
+            self.handover.close()
         if self.membership:
             self.membership.leave()
             self.membership = None
@@ -536,7 +538,7 @@
 
     def end(self) -> None:
         """The last: what the store and the capture still have to write is written."""
-        self.beside.stop()
+        self.subsystems.stop()
         if self.workers:
             self.workers.close()
         if self.capture:
--- a/lemonhall/front/process/local.py
+++ b/lemonhall/front/process/local_queue.py
@@ -5,14 +5,14 @@
 from collections import deque
 from collections.abc import Callable
 
+from lemonhall.ipc import Message
+from lemonhall.ipc.messages import OverflowPolicy
 from lemonhall.loop import Loop
-from lemonhall.seam import Message
-from lemonhall.seam.messages import WhenFull
 
 MOST = 10_000  # messages that wait one way
 
 
-class Queue:
+class LocalQueue:
     """One way. `number` is that of the link, as for one between processes."""
 
     def __init__(self, loop: Loop, number: int) -> None:
@@ -22,7 +22,7 @@
         self.called = False
 
     def send(self, message: Message) -> bool:
-        if len(self.waiting) >= MOST and message.FULL is WhenFull.REFUSE:
+        if len(self.waiting) >= MOST and message.OVERFLOW is OverflowPolicy.REJECT:
             return False
         self.waiting.append(message)
         if not self.called:
--- a/lemonhall/front/process/builder.py
+++ b/lemonhall/front/process/reader_client.py
@@ -18,7 +18,7 @@
 Done = Callable[[Any], None]
 
 
-class Builder(Handler):
+class ReaderClient(Handler):
     """Jobs in their order, one at a time. `done` is told of each result; None if there is none."""
 
     def __init__(self, loop: Loop) -> None:
@@ -30,7 +30,7 @@
         self.timer: Timer | None = None
         self.stopped = False
 
-    def ask(self, job: tuple[Any, ...], done: Done) -> None:
+    def submit(self, job: tuple[Any, ...], done: Done) -> None:
         """Raises `OSError` if no process can be started."""
         self.jobs.append((job, done))
         if len(self.jobs) == 1:
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/status_pages.py
@@ -18,7 +18,7 @@
 from lemonhall.front.deciding.membership import Membership
 from lemonhall.front.keeping.capturing import Capturer
 from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.front.process import status
+from lemonhall.front.process import status_server
 from lemonhall.front.viewers.worker import Worker
 from lemonhall.halls import Order
 from lemonhall.loop import Loop
@@ -45,7 +45,7 @@
     def gauges(self) -> tuple[int, int]: ...
 
 
-class Shown:
+class StatusPages:
     def __init__(self, front: Front) -> None:
         self.front = front
         self.registry = prom.CollectorRegistry()
@@ -62,7 +62,7 @@
 
     def serve(self) -> Callable[[socket.socket, Any], object]:
         """What takes connections to the status address."""
-        pages: dict[str, status.Page] = {
+        pages: dict[str, status_server.Page] = {
             "/health": self.health_page,
             "/ready": self.ready_page,
             "/metrics": self.metrics_page,
@@ -72,12 +72,12 @@
             "/halls": self.halls_page,
             "/limits": self.limits_page,
         }
-        acts: dict[str, status.Act] = {
+        acts: dict[str, status_server.Act] = {
             "/halls/hold": lambda hall: self.order_hall(hall, Order.HOLD),
             "/halls/release": lambda hall: self.order_hall(hall, Order.NONE),
             "/limits/forget": self.forget_front,
         }
-        return status.serve(self.front.loop, pages, acts)
+        return status_server.serve(self.front.loop, pages, acts)
 
     # pages
 
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/subsystems.py
@@ -48,14 +48,14 @@
     membership: Membership | None
     keeper: Keeper | None
     capture: Capturer | None
-    taken: Any
+    inherited: Any
 
     def now_ms(self) -> float: ...
     def memory(self) -> i.Memory | None: ...
-    def seen(self, view: View) -> None: ...
+    def on_membership_view(self, view: View) -> None: ...
 
 
-class Beside:
+class Subsystems:
     def __init__(self, front: Front) -> None:
         self.front = front
 
@@ -84,7 +84,7 @@
             self.return_said,
         )
         if self.front.membership:
-            self.front.membership.on_view = self.front.seen
+            self.front.membership.on_view = self.front.on_membership_view
         self.front.list.on_sign = lambda as_of: desk.sign(as_of, len(self.front.list.list.boxes))
         self.front.list.wait_s = lambda: machine.list_wait_ms() / 1000
         machine.giving.know = self.known
@@ -173,9 +173,9 @@
         life, fresh = int(self.front.wall() * 1000), s.workers == 0
         machine = Limits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
         if (
-            self.front.taken
-            and self.front.taken.message
-            and (state := self.front.taken.message.get("limits"))
+            self.front.inherited
+            and self.front.inherited.message
+            and (state := self.front.inherited.message.get("limits"))
         ):
             machine.take_over(now, b64decode(state))
         desk = self.front.asks.limits = LimitsDesk(
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -23,12 +23,11 @@
 from lemonhall.front.viewers.routes import Asked
 from lemonhall.front.viewers.slot import Slot
 from lemonhall.interface import Outcome
+from lemonhall.ipc import RequestState, SetUpRequested
 from lemonhall.loop import Loop, Timer
 from lemonhall.rtsp import Frames, rtp
 from lemonhall.rtsp.messages import answer, make_response
 from lemonhall.rtsp.parser import frame, split_frames
-from lemonhall.seam import Asked as Said
-from lemonhall.seam import Carry
 from lemonhall.store import Token
 
 
@@ -70,9 +69,9 @@
 class Ask:
     """One session of the module's, and what its attempts tell. `said`: as the decider is told of it."""
 
-    def __init__(self, session: Session, said: Said, most: int) -> None:
-        self.session, self.said, self.number, self.deadline = session, said, said.ask, said.deadline
-        self.carry = Carry(most)
+    def __init__(self, session: Session, said: SetUpRequested, most: int) -> None:
+        self.session, self.said, self.number, self.deadline = session, said, said.request_id, said.deadline
+        self.carry = RequestState(most)
         self.rung = 0
         self.attempt: Attempt | None = None
         self.answered = False
--- a/lemonhall/front/viewers/worker.py
+++ b/lemonhall/front/viewers/worker.py
@@ -3,7 +3,7 @@
 A worker decides nothing of a session. It tells its decider what is asked and what happened, does what it is
 told, and sees to three things by itself: one answer to each PLAY by its deadline, whatever becomes of the
 decider; never two attempts at once nor more than allowed; and nothing of a paid attempt leaves before its
-decider has cleared it. What holds when the decider is gone is `lemonhall.seam.carry`'s to say.
+decider has cleared it. What holds when the decider is gone is `lemonhall.ipc.request_state`'s to say.
 """
 
 from __future__ import annotations
@@ -26,34 +26,34 @@
 from lemonhall.front.viewers.session import Ask, Session, State
 from lemonhall.front.viewers.viewer import ViewerConnection
 from lemonhall.interface import Outcome, Repeat
-from lemonhall.loop import Loop
-from lemonhall.rtsp.messages import make_response
-from lemonhall.seam import (
-    Asked,
-    Cancel,
-    Carried,
-    Cleared,
-    Ended,
-    Failed,
-    Finish,
-    Gone,
-    Lapsed,
+from lemonhall.ipc import (
+    Announcement,
+    AttemptFinished,
+    AttemptRecorded,
+    CancelAttempt,
+    ChangeRung,
+    DeadlineExpired,
+    EndSession,
+    FailRequest,
     Message,
-    Move,
-    Next,
-    Noted,
-    Over,
-    Playing,
-    Redirect,
-    Refused,
-    Retire,
-    Rung,
-    SetUp,
-    Stored,
-    Tell,
+    MoveSession,
+    NextStep,
+    OngoingSession,
+    PlaybackStarted,
+    RedirectViewers,
+    RefuseRequest,
+    RetireWorker,
+    ServerNote,
+    SessionClosed,
+    SetUpRequested,
+    StartAttempt,
+    StoreStatus,
+    ViewerGone,
     Welcome,
     encode,
 )
+from lemonhall.loop import Loop
+from lemonhall.rtsp.messages import make_response
 from lemonhall.store import Token
 
 log = structlog.get_logger("lemonhall.front")
@@ -112,17 +112,17 @@
         self.stopping = self.draining = self.over_memory = False
         self.on_empty: Callable[[], object] = lambda: None  # nothing is left, after `retire`
         self.hear: dict[type[Message], Callable[[Any], object]] = {
-            SetUp: self.set_up,
-            Cleared: self.cleared,
-            Rung: self.set_rung,
-            Refused: self.refused,
-            Failed: self.failed,
-            Move: self.move,
-            Cancel: self.cancel,
-            Finish: self.finish_session,
-            Stored: self.stored,
-            Redirect: self.redirect,
-            Retire: self.retired,
+            StartAttempt: self.set_up,
+            AttemptRecorded: self.cleared,
+            ChangeRung: self.set_rung,
+            RefuseRequest: self.refused,
+            FailRequest: self.failed,
+            MoveSession: self.move,
+            CancelAttempt: self.cancel,
+            EndSession: self.finish_session,
+            StoreStatus: self.stored,
+            RedirectViewers: self.redirect,
+            RetireWorker: self.retired,
         }
 
     def settle(self, settings: FrontSettings, share: int) -> None:
@@ -154,7 +154,7 @@
             return
         self.uplink, self.link = None, 0
         for ask in list(self.asks.values()):
-            if ask.carry.cut() and ask.attempt:
+            if ask.carry.on_connection_lost() and ask.attempt:
                 attempt, ask.attempt = ask.attempt, None
                 attempt.end(Outcome.MOOT)
 
@@ -165,16 +165,16 @@
         """Tells a new decider what it must know of an ask."""
         if not self.link or ask.answered and ask.attempt is None:
             return
-        told = ask.carry.tell(self.link)
-        if told is Tell.ASKED:
+        told = ask.carry.announce(self.link)
+        if told is Announcement.REQUEST:
             said = ask.said
             paid = self.settings.terms.classes[said.cls].repeat is Repeat.PAID
-            said.tries, said.ran = ask.carry.tries, ask.carry.ran and paid
-            said.unsent_turn, said.unsent_made = ask.carry.unsent
+            said.attempts_made, said.maybe_ran = ask.carry.attempts_made, ask.carry.unreported_run and paid
+            said.unsent_turn, said.unsent_attempt = ask.carry.unsent_claim
             if not self.say(said):
-                ask.carry.untell()
+                ask.carry.mark_unannounced()
                 self.no_room(ask)
-        elif told is Tell.CARRIED:
+        elif told is Announcement.ONGOING_SESSION:
             self.tell_carried(ask)
 
     def tell_carried(self, ask: Ask) -> None:
@@ -182,15 +182,15 @@
         assert attempt
         attempt.number = 0  # the decider counts anew
         carry, since = ask.carry, ask.session.since or self.loop.now()
-        told = (ask.number, attempt.server, ask.rung, carry.turn, carry.made, since)
-        self.say(Carried(*told, encode(ask.said), ask.memo))
+        told = (ask.number, attempt.server, ask.rung, carry.claim_turn, carry.claim_attempts, since)
+        self.say(OngoingSession(*told, encode(ask.said), ask.memo))
 
     def no_room(self, ask: Ask) -> None:
         """Too much waits for the decider: this one is answered here."""
         self.counts["seam_full"] += 1
         self.answer_alone(ask)
 
-    def stored(self, message: Stored) -> None:
+    def stored(self, message: StoreStatus) -> None:
         self.store_failing, self.pruned_s = message.failing, message.pruned_s
 
     # viewers
@@ -253,7 +253,7 @@
             ask = session.ask
             played = (self.loop.now() - session.since) * 1000 if session.since else -1.0
             vanished = played < 0 and ask is not None and not ask.answered
-            self.say(Over(played, vanished, session.id))
+            self.say(SessionClosed(played, vanished, session.id))
         session.viewer.sessions.pop(session.id, None)
 
     def begin_ask(self, session: Session, moved: bool) -> None:
@@ -262,7 +262,7 @@
         left_ms = max(1.0, terms.classes[asked.cls].deadline_ms - self.settings.limits.answer_margin_ms)
         number = self.next_ask
         self.next_ask += 1
-        said = Asked(
+        said = SetUpRequested(
             number,
             asked.cls,
             asked.tenant,
@@ -318,7 +318,7 @@
         maybe_ran = ask.carry.may_have_run()
         known = self.finish(ask)
         if known:
-            self.say(Lapsed(ask.number))
+            self.say(DeadlineExpired(ask.number))
         if known or maybe_ran:
             ask.session.failed(504)
         else:
@@ -331,7 +331,7 @@
             return
         attempt = ask.attempt
         if ask.carry.close(self.link):
-            self.say(Gone(ask.number, attempt is not None))
+            self.say(ViewerGone(ask.number, attempt is not None))
         if attempt:
             attempt.leave()
         else:
@@ -343,33 +343,33 @@
         ask.answered = True
         if ask.backstop:
             ask.backstop.cancel()
-        told = ask.carry.plays(self.link)
-        if told is Tell.ASKED:
-            self.say(Playing(ask.number, attempt.number, attempt.server, took_ms, attempt.report))
-        elif told is Tell.CARRIED:
+        told = ask.carry.on_playing(self.link)
+        if told is Announcement.REQUEST:
+            self.say(PlaybackStarted(ask.number, attempt.number, attempt.server, took_ms, attempt.report))
+        elif told is Announcement.ONGOING_SESSION:
             self.tell_carried(ask)
 
     def note(self, ask: Ask, attempt: Attempt, kind: int, value: float) -> None:
-        if self.link and ask.carry.link == self.link:
-            self.say(Noted(ask.number, attempt.number, attempt.server, kind, value))
+        if self.link and ask.carry.connection_id == self.link:
+            self.say(ServerNote(ask.number, attempt.number, attempt.server, kind, value))
 
     def attempt_ended(self, ask: Ask, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]) -> None:
         session, now = ask.session, self.loop.now()
         left = attempt.may_have_run
         known_over = ask.attempt is not attempt  # called off: its ask has had its last word
-        then = ask.carry.ended(self.link, left, outcome in NEVER_RAN)
+        then = ask.carry.on_attempt_ended(self.link, left, outcome in NEVER_RAN)
         gone = session.state is State.ENDED
         closed = known_over or ask.answered or gone
-        if then is Next.REPORT:
+        if then is NextStep.REPORT:
             played_ms = (now - session.since) * 1000 if ask.answered else 0.0
             took_ms = (now - attempt.began) * 1000
             ids = (ask.number, attempt.number, attempt.server, int(outcome), took_ms, played_ms)
-            self.say(Ended(*ids, left, closed, session.state is State.MOVING, gone, report))
+            self.say(AttemptFinished(*ids, left, closed, session.state is State.MOVING, gone, report))
         if known_over:
             return
         ask.attempt = None
         if not closed:
-            if then is Next.AGAIN:
+            if then is NextStep.RESUBMIT:
                 self.tell(ask)
             return
         self.drop(ask)
@@ -387,15 +387,21 @@
 
     # said by the decider
 
-    def set_up(self, m: SetUp) -> None:
-        ask = self.asks.get(m.ask)
+    def set_up(self, m: StartAttempt) -> None:
+        ask = self.asks.get(m.request_id)
         address = parse_address(m.address) if m.address[:1] != "/" else m.address
         may = ask is not None and address is not None and ask.attempt is None and not ask.answered
         may = may and ask is not None and ask.session.state in (State.ASKED, State.MOVING)
-        if not (may and ask and ask.carry.set_up(self.link, m.attempt, m.hold, m.turn, m.made)):
+        if not (
+            may
+            and ask
+            and ask.carry.start_attempt(
+                self.link, m.attempt, m.wait_for_ledger, m.claim_turn, m.claim_attempts
+            )
+        ):
             over = ask is None or ask.session.state is State.ENDED
-            moot = (m.ask, m.attempt, m.server, int(Outcome.MOOT), 0.0, 0.0)
-            self.say(Ended(*moot, False, over, False, over, ()))
+            moot = (m.request_id, m.attempt, m.server, int(Outcome.MOOT), 0.0, 0.0)
+            self.say(AttemptFinished(*moot, False, over, False, over, ()))
             return
         assert address is not None
         session = ask.session
@@ -420,32 +426,32 @@
             m.rate_kb,
             session.position(),
             self.settings.terms.connect_timeout_ms / 1000,
-            min(m.limit_s, max(0.001, ask.deadline - self.loop.now())),
+            min(m.timeout_s, max(0.001, ask.deadline - self.loop.now())),
             self.settings.terms.report_fields,
-            clear=not m.hold,
+            clear=not m.wait_for_ledger,
         )
 
-    def cleared(self, m: Cleared) -> None:
-        ask = self.asks.get(m.ask)
+    def cleared(self, m: AttemptRecorded) -> None:
+        ask = self.asks.get(m.request_id)
         if ask is None or ask.attempt is None or ask.attempt.number != m.attempt:
             return
-        if m.why:
-            ask.attempt.cleared(m.why)
-        elif ask.carry.clear(self.link, m.attempt):
+        if m.error:
+            ask.attempt.cleared(m.error)
+        elif ask.carry.allow_send(self.link, m.attempt):
             ask.attempt.cleared("")
 
-    def set_rung(self, m: Rung) -> None:
-        ask = self.asks.get(m.ask)
+    def set_rung(self, m: ChangeRung) -> None:
+        ask = self.asks.get(m.request_id)
         if ask:
             ask.rung = m.rung
             if ask.attempt:
                 ask.attempt.set_bandwidth(m.rate_kb, m.rung)
 
-    def refused(self, m: Refused) -> None:
-        self.final(m.ask, lambda session: session.refused(m.pause_ms, m.reason))
+    def refused(self, m: RefuseRequest) -> None:
+        self.final(m.request_id, lambda session: session.refused(m.pause_ms, m.reason))
 
-    def failed(self, m: Failed) -> None:
-        self.final(m.ask, lambda session: session.failed(m.status))
+    def failed(self, m: FailRequest) -> None:
+        self.final(m.request_id, lambda session: session.failed(m.status))
 
     def final(self, number: int, answer: Callable[[Session], object]) -> None:
         """The decider's last word, once."""
@@ -454,9 +460,9 @@
             self.finish(ask)
             answer(ask.session)
 
-    def move(self, m: Move) -> None:
+    def move(self, m: MoveSession) -> None:
         """Off its server; it asks again shortly, as moved, and the viewer keeps its stream's numbering."""
-        ask = self.asks.get(m.ask)
+        ask = self.asks.get(m.request_id)
         if ask is None or ask.session.state is not State.PLAYING:
             return
         session, attempt = ask.session, ask.attempt
@@ -465,28 +471,28 @@
         if attempt:
             attempt.leave(Outcome.CANCELLED)
 
-    def cancel(self, m: Cancel) -> None:
+    def cancel(self, m: CancelAttempt) -> None:
         """An attempt that plays is not called off."""
-        ask = self.asks.get(m.ask)
+        ask = self.asks.get(m.request_id)
         if ask and not ask.answered and ask.attempt and ask.attempt.number == m.attempt:
             ask.attempt.end(Outcome.CANCELLED)
 
-    def finish_session(self, m: Finish) -> None:
+    def finish_session(self, m: EndSession) -> None:
         """What plays, or is on its way to another server, ends in order: BYE to the viewer, TEARDOWN."""
-        ask = self.asks.get(m.ask)
+        ask = self.asks.get(m.request_id)
         if ask and ask.session.state in (State.PLAYING, State.MOVING):
-            ask.session.end(m.why)
+            ask.session.end(m.bye_reason)
             if ask.attempt:
                 ask.attempt.leave()
 
-    def redirect(self, m: Redirect) -> None:
+    def redirect(self, m: RedirectViewers) -> None:
         for viewer in list(self.viewers):
-            viewer.redirect(m.to)
+            viewer.redirect(m.location)
 
     # the end
 
-    def retired(self, m: Retire) -> None:
-        self.stop() if m.end else self.drain()
+    def retired(self, m: RetireWorker) -> None:
+        self.stop() if m.end_sessions else self.drain()
 
     def drain(self) -> None:
         """Takes nothing new; what plays comes to its end, for as long as the settings allow."""
--- a/lemonhall/front/workers/build.py
+++ b/lemonhall/front/workers/build_id.py
@@ -10,7 +10,7 @@
 import lemonhall
 
 
-def settle_memory() -> None:
+def freeze_garbage_collector() -> None:
     """What was loaded is there to stay: the collector of cycles looks at it no more, at the rest less often.
     Sessions are freed by their counts; few things here are in cycles."""
     gc.collect()
@@ -19,11 +19,11 @@
 
 
 @cache
-def build() -> str:
+def build_id() -> str:
     """A digest of what settings and messages are made of. Of the files as they are when first asked."""
     root = Path(lemonhall.__file__).parent
     digest = hashlib.blake2b(digest_size=12)
-    for part in ("config", "seam", "front"):
+    for part in ("config", "ipc", "front"):
         for path in sorted((root / part).rglob("*.py")):
             digest.update(path.read_bytes())
     digest.update((root / "interface.py").read_bytes())
--- a/lemonhall/front/workers/link.py
+++ b/lemonhall/front/workers/connection.py
@@ -6,18 +6,18 @@
 
 import structlog
 
+from lemonhall.ipc import MalformedMessage, Message, MessageDecoder, SendQueue
 from lemonhall.loop import Handler, Stream
-from lemonhall.seam import Broken, Message, Outbox, Reader
 
 log = structlog.get_logger("lemonhall.front")
 
 
-class Link(Handler):
+class MessageConnection(Handler):
     """`heard(message)` for each message; `ended()` once. Whoever owns it calls `flush` after each pass."""
 
     def __init__(self, heard: Callable[[Message], object], ended: Callable[[], object]) -> None:
         self.heard, self.ended = heard, ended
-        self.reader, self.outbox = Reader(), Outbox()
+        self.reader, self.outbox = MessageDecoder(), SendQueue()
         self.stream: Stream | None = None
         self.on_connected: Callable[[], object] = lambda: None
         self.on_bytes: Callable[[], object] = lambda: None
@@ -36,7 +36,7 @@
             return
         if data := self.outbox.take(stream.backlog):
             stream.write(data)
-        if self.outbox.over(stream.backlog):
+        if self.outbox.over_limit(stream.backlog):
             log.error("link given up, too much waits", bytes=stream.backlog)
             stream.abort()
 
@@ -46,8 +46,8 @@
     def data(self, view: memoryview) -> None:
         self.on_bytes()
         for message in self.reader.feed(view):
-            if isinstance(message, Broken):
-                log.error("link given up, not understood", why=message.why)
+            if isinstance(message, MalformedMessage):
+                log.error("link given up, not understood", why=message.reason)
                 if self.stream:
                     self.stream.abort()
                 return
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -28,10 +28,10 @@
 
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.process.channel import Channel
-from lemonhall.front.process.supervise import Restarts
+from lemonhall.front.process.supervisor import Restarts
+from lemonhall.ipc.heartbeat import HeartbeatMonitor
 from lemonhall.loop import Loop, Timer, listen
 from lemonhall.loop.stream import Address
-from lemonhall.seam.pulse import Pulse
 
 log = structlog.get_logger("lemonhall.front")
 TICK_S = 0.5
@@ -108,7 +108,7 @@
         self.taking: set[int] = set()  # numbers of workers that have been seen to take viewers
         self.die_at = ""  # for tests: where the first decider ends
         self.tree = ""  # the settings that hold, as the decider has them
-        self.pulse = Pulse(HUNG_S, TICK_S)
+        self.pulse = HeartbeatMonitor(HUNG_S, TICK_S)
         self.serving = self.ending = self.yielding = False
         self.exit_status = 0
         self.host = ""
@@ -165,7 +165,7 @@
         return Child(self.loop, command, (), self.decider_says, self.decider_ended)
 
     def decider_says(self, child: Child, message: dict[str, Any]) -> None:
-        self.pulse.heard(child.process.pid, self.loop.now())
+        self.pulse.record(child.process.pid, self.loop.now())
         if "ready" in message and child is self.spare:
             self.spare_ready = True
             log.info("decider stands by", pid=child.process.pid)
@@ -195,7 +195,7 @@
         self.decider = child
         child.began = self.loop.now()
         self.deciders += 1
-        self.pulse.heard(child.process.pid, self.loop.now())
+        self.pulse.record(child.process.pid, self.loop.now())
         sockets = {"seam": self.seam, "viewers": self.viewers}
         if self.status:
             sockets["status"] = self.status
@@ -310,7 +310,7 @@
         def command(control: int) -> list[str]:
             given = {"number": slot.number, "family": self.family, "seam": self.seam_path}
             given |= {"viewers": viewers, "control": control, "log_format": self.log_format}
-            return [sys.executable, "-m", "lemonhall.front.workers.carrier", json.dumps(given)]
+            return [sys.executable, "-m", "lemonhall.front.workers.worker_process", json.dumps(given)]
 
         number = slot.number
 
@@ -416,7 +416,7 @@
         return self.exit_status
 
 
-def wait_for_go(control: socket.socket) -> tuple[bytes, dict[str, socket.socket]]:
+def wait_for_activation(control: socket.socket) -> tuple[bytes, dict[str, socket.socket]]:
     """Stands by, loaded, until the parent says so: the settings that hold (empty: read them), its sockets.
 
     Raises `SystemExit` when the parent ends.
@@ -443,7 +443,7 @@
     return base64.b64decode(go["tree"]), named
 
 
-def ignore_terminal() -> None:
+def ignore_terminal_interrupts() -> None:
     """^C goes to a whole group of processes; only the parent acts on it."""
     with contextlib.suppress(ValueError):
         signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/lemonhall/front/workers/changing.py
+++ b/lemonhall/front/workers/parent_handover.py
@@ -15,27 +15,29 @@
 
 import structlog
 
-from lemonhall.front.guarding.giving import GivingSide, about
-from lemonhall.front.guarding.relief import Do, Effect, Taker
-from lemonhall.front.process.channel import Baton, Channel
+from lemonhall.front.handover.endpoint import HandoverEndpoint, about
+from lemonhall.front.handover.state_machine import Do, Effect, HandoverTarget
+from lemonhall.front.process.channel import Channel, OwnershipToken
 from lemonhall.front.workers.parent import Parent
 from lemonhall.loop import Timer
 
 log = structlog.get_logger("lemonhall.front")
 PATIENCE_S = 5.0
-POINTS = ("asked", "yielded", "sent", "unpacked", "owned", "told", "given", "over")
+FAILPOINTS = ("asked", "yielded", "sent", "unpacked", "owned", "told", "given", "over")
 
 
-class Giving(GivingSide):
+class ParentHandoverSource(HandoverEndpoint):
     """At the parent that is relieved; listens at the guard's path. Raises `OSError` if it cannot."""
 
     hello = "asked"
 
-    def __init__(self, parent: Parent, path: str, point: Callable[[str], object] = lambda name: None) -> None:
+    def __init__(
+        self, parent: Parent, path: str, failpoint: Callable[[str], object] = lambda name: None
+    ) -> None:
         self.parent = parent
-        self.baton: Baton | None = None
+        self.baton: OwnershipToken | None = None
         self.patience: Timer | None = None
-        super().__init__(parent.loop, path, lambda: parent.settings, point)
+        super().__init__(parent.loop, path, lambda: parent.settings, failpoint)
         parent.on_yielded = self.yielded
         parent.on_ending = self.close
 
@@ -58,39 +60,39 @@
                 self.listen()
             self.parent.take_back()
         elif effect.do is Do.FORGET:
-            self.point("given")
+            self.failpoint("given")
         elif effect.do is Do.NEXT:
             self.carry_out(self.giver.nothing_left())
         elif effect.do is Do.LAST and self.channel:
             self.channel.send({"last": True})
         elif effect.do is Do.OVER:
-            self.point("over")
+            self.failpoint("over")
             log.info("relieved", workers=len(self.parent.workers()))
             self.close()
             self.parent.relieved()
 
     def yielded(self) -> None:
         """The decider has gone: the place is free."""
-        self.point("yielded")
+        self.failpoint("yielded")
         if self.channel is None or self.giver.out != 0:
             if not self.giver.relieved:
                 self.parent.take_back()
             return
         p = self.parent
         sockets = [(n, s) for n, s in (("viewers", p.viewers), ("status", p.status), ("seam", p.seam)) if s]
-        self.baton = Baton()
+        self.baton = OwnershipToken()
         fds = [self.baton.fd, *(s.fileno() for _, s in sockets)]
         told = {"sockets": [n for n, _ in sockets], "seam_path": p.seam_path, "folder": p.folder}
         self.channel.send({"portion": 0, **told, "next_number": p.next_number}, fds)
         self.patience = self.loop.call_later(PATIENCE_S, self.lose_patience)
-        self.point("sent")
+        self.failpoint("sent")
 
     def lose_patience(self) -> None:
         log.warning("successor is silent")
         self.carry_out(self.giver.answered(0))
 
 
-class Taking:
+class ParentHandoverTarget:
     """At the parent that comes. `opened(anew)` is called at its turn, `refused(why)` if it is not wanted."""
 
     def __init__(
@@ -99,12 +101,12 @@
         path: str,
         opened: Callable[[bool], object],
         refused: Callable[[str], object],
-        point: Callable[[str], object] = lambda name: None,
+        failpoint: Callable[[str], object] = lambda name: None,
     ) -> None:
         """Raises `OSError` if nobody is there to be relieved."""
-        self.parent, self.opened, self.refused, self.point = parent, opened, refused, point
-        self.taker = Taker()
-        self.baton: Baton | None = None
+        self.parent, self.opened, self.refused, self.failpoint = parent, opened, refused, failpoint
+        self.taker = HandoverTarget()
+        self.baton: OwnershipToken | None = None
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.connect(path)
@@ -121,7 +123,7 @@
         elif "last" in message:
             self.carry_out(self.taker.last())
         else:
-            self.baton = Baton(fds.pop(0))
+            self.baton = OwnershipToken(fds.pop(0))
             p = self.parent
             for name in message["sockets"]:
                 setattr(p, name, socket.socket(fileno=fds.pop(0)))
@@ -130,7 +132,7 @@
                 message["folder"],
                 message["next_number"],
             )
-            self.point("unpacked")
+            self.failpoint("unpacked")
             self.carry_out(self.taker.handed(0, True))
 
     def ended(self) -> None:
@@ -146,9 +148,9 @@
         elif effect.do is Do.SERVE:
             self.opened(self.parent.seam is None)
         elif effect.do is Do.TOOK:
-            self.point("owned")
+            self.failpoint("owned")
             self.channel.send({"tried": 0})
-            self.point("told")
+            self.failpoint("told")
         elif effect.do is Do.HERE:
             self.channel.send({"here": True})
         elif effect.do is Do.END:
--- a/lemonhall/front/workers/door.py
+++ b/lemonhall/front/workers/shared_listener.py
@@ -13,7 +13,7 @@
 CLOSED = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
 
 
-class Door:
+class SharedListener:
     """`take(socket, peer)`; `may()` is asked before each."""
 
     def __init__(
--- a/lemonhall/front/workers/lines.py
+++ b/lemonhall/front/workers/worker_connections.py
@@ -12,25 +12,25 @@
 from lemonhall.boxlist import Update
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.process.daemon import Daemon
-from lemonhall.front.workers.build import build
-from lemonhall.front.workers.link import Link
-from lemonhall.loop import Stream
-from lemonhall.loop.stream import accept_on
-from lemonhall.seam import (
-    LEAST,
+from lemonhall.front.workers.build_id import build_id
+from lemonhall.front.workers.connection import MessageConnection
+from lemonhall.ipc import (
+    MIN_VERSION,
     VERSION,
-    Configured,
-    Counted,
+    Configuration,
     Hello,
-    Listed,
     Message,
     Ping,
     Pong,
-    Retire,
-    Stored,
-    agree,
+    RetireWorker,
+    ServerListUpdate,
+    StoreStatus,
+    WorkerCounters,
+    negotiate_version,
 )
-from lemonhall.seam.pulse import Pulse
+from lemonhall.ipc.heartbeat import HeartbeatMonitor
+from lemonhall.loop import Stream
+from lemonhall.loop.stream import accept_on
 
 log = structlog.get_logger("lemonhall.front")
 TICK_S = 0.25
@@ -38,13 +38,13 @@
 HELLO_S = 5.0
 
 
-class Line:
+class WorkerConnection:
     """To one worker. `number` is of the link; `worker` the worker's own."""
 
-    def __init__(self, lines: Lines, sock: socket.socket, number: int) -> None:
+    def __init__(self, lines: WorkerConnections, sock: socket.socket, number: int) -> None:
         self.lines, self.number = lines, number
-        self.link = Link(self.heard, self.ended)
-        self.link.on_bytes = lambda: lines.pulse.heard(number, lines.loop.now())
+        self.link = MessageConnection(self.heard, self.ended)
+        self.link.on_bytes = lambda: lines.pulse.record(number, lines.loop.now())
         self.link.stream = Stream(lines.loop, sock, self.link, high=1 << 20)
         self.hello: Hello | None = None
         self.mine = False  # it takes new viewers: of this parent, and of the same program
@@ -66,7 +66,7 @@
                 lines.greet(self, message)
         elif lines.daemon.asks.heard(self, message) or isinstance(message, Pong):
             pass
-        elif isinstance(message, Counted):
+        elif isinstance(message, WorkerCounters):
             self.viewers, self.sessions = message.viewers, message.sessions
             for name, value in message.counts:
                 lines.daemon.counts[name] += int(value)
@@ -75,7 +75,7 @@
         self.lines.lost(self)
 
 
-class Lines:
+class WorkerConnections:
     """`seam`: the socket at which workers come; it listens already. `tell_parent`: of what it must know."""
 
     def __init__(
@@ -87,9 +87,9 @@
     ) -> None:
         self.daemon, self.loop, self.seam, self.family = daemon, daemon.loop, seam, family
         self.tell_parent = tell_parent
-        self.lines: dict[int, Line] = {}
+        self.lines: dict[int, WorkerConnection] = {}
         self.links = 0
-        self.pulse = Pulse(HUNG_S, TICK_S)
+        self.pulse = HeartbeatMonitor(HUNG_S, TICK_S)
         daemon.loop.after_pass.append(self.flush)
         daemon.list.list.on_news = self.on_list
 
@@ -129,33 +129,33 @@
 
     def accept(self, sock: socket.socket, _: Any) -> None:
         self.links += 1
-        line = self.lines[self.links] = Line(self, sock, self.links)
-        self.pulse.heard(line.number, self.loop.now())
+        line = self.lines[self.links] = WorkerConnection(self, sock, self.links)
+        self.pulse.record(line.number, self.loop.now())
 
-    def greet(self, line: Line, hello: Hello) -> None:
+    def greet(self, line: WorkerConnection, hello: Hello) -> None:
         """`Welcome` comes last: a worker that hears it knows all that it needs."""
         d = self.daemon
-        version = agree(VERSION, LEAST, hello.version, hello.least)
-        same = version > 0 and hello.build == build()
-        line.mine = same and hello.family == self.family
+        version = negotiate_version(VERSION, MIN_VERSION, hello.version, hello.min_version)
+        same = version > 0 and hello.build_id == build_id()
+        line.mine = same and hello.parent_id == self.family
         known = {"worker": hello.worker, "pid": hello.pid, "takes": line.mine}
         log.info("worker", **known)
         if line.mine:
             self.configure(line, d.settings)
             self.tell_parent({"takes": hello.worker})
-            line.send(Listed(d.list.list.snapshot().SerializeToString()))
+            line.send(ServerListUpdate(d.list.list.snapshot().SerializeToString()))
             if d.keeper:
-                line.send(Stored(d.keeper.ledger.pruned_s, bool(d.keeper.failing)))
-        elif hello.family == self.family:
+                line.send(StoreStatus(d.keeper.ledger.pruned_s, bool(d.keeper.failing)))
+        elif hello.parent_id == self.family:
             self.tell_parent({"replace": hello.worker})
         line.send(d.welcome(version, line.mine))
         if d.stopping or d.draining:
-            line.send(Retire(d.stopping))
+            line.send(RetireWorker(d.stopping))
 
-    def configure(self, line: Line, settings: FrontSettings) -> None:
-        line.send(Configured(max(1, settings.workers), pickle.dumps(settings)))
+    def configure(self, line: WorkerConnection, settings: FrontSettings) -> None:
+        line.send(Configuration(max(1, settings.workers), pickle.dumps(settings)))
 
-    def lost(self, line: Line) -> None:
+    def lost(self, line: WorkerConnection) -> None:
         self.lines.pop(line.number, None)
         self.pulse.forget(line.number)
         if line.hello:
@@ -166,7 +166,7 @@
         data = update.SerializeToString()
         for line in self.lines.values():
             if line.mine:
-                line.send(Listed(data))
+                line.send(ServerListUpdate(data))
 
     def flush(self) -> None:
         for line in list(self.lines.values()):
--- a/lemonhall/front/workers/carrier.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -1,4 +1,4 @@
-"""A worker as a process: `python -m lemonhall.front.workers.carrier WORDS`, started by the parent.
+"""A worker as a process: `python -m lemonhall.front.workers.worker_process WORDS`, started by the parent.
 
 It reads no settings of its own: its decider tells it all it needs. When the decider is gone it goes on, and
 comes again to the same place until the next one is there.
@@ -23,32 +23,32 @@
 from lemonhall.front.process.channel import Channel
 from lemonhall.front.servers.listed import BoxList
 from lemonhall.front.viewers.worker import Worker
-from lemonhall.front.workers.build import build, settle_memory
-from lemonhall.front.workers.door import Door
-from lemonhall.front.workers.link import Link
-from lemonhall.logs import configure
-from lemonhall.loop import Loop, Stream
-from lemonhall.seam import (
-    LEAST,
+from lemonhall.front.workers.build_id import build_id, freeze_garbage_collector
+from lemonhall.front.workers.connection import MessageConnection
+from lemonhall.front.workers.shared_listener import SharedListener
+from lemonhall.ipc import (
+    MIN_VERSION,
     VERSION,
-    Configured,
-    Counted,
+    Configuration,
     Hello,
-    Listed,
     Message,
     Ping,
     Pong,
-    Retire,
+    RetireWorker,
+    ServerListUpdate,
     Welcome,
+    WorkerCounters,
 )
-from lemonhall.seam.balance import may_take
+from lemonhall.ipc.accept_policy import may_accept
+from lemonhall.logs import configure
+from lemonhall.loop import Loop, Stream
 
 log = structlog.get_logger("lemonhall.front")
 AGAIN_S = (0.01, 0.02, 0.05, 0.1, 0.25)  # between tries to reach a decider
 COUNT_S = 0.25
 
 
-class Carrier:
+class WorkerProcess:
     """`seam`: the path at which the decider is; `listener`: the viewers', which all workers share."""
 
     def __init__(
@@ -59,7 +59,7 @@
         self.start, self.start_wall_ms = self.loop.now(), time.time() * 1000
         self.listed = BoxList()
         self.worker: Worker | None = None
-        self.link: Link | None = None
+        self.link: MessageConnection | None = None
         self.told: Counter[str] = Counter()
         self.tries = 0
         self.own, self.mean, self.mean_at = 0, 0.0, float("-inf")
@@ -68,7 +68,7 @@
         self.ending = False
         at = listener.getsockname()
         self.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
-        self.door = Door(self.loop, listener, self.take, self.may_take)
+        self.door = SharedListener(self.loop, listener, self.take, self.may_take)
         self.loop.after_pass.append(self.flush)
         self.loop.on_error = self.on_error
         self.connect()
@@ -84,9 +84,9 @@
 
     # viewers
 
-    def may_take(self) -> bool:
+    def may_accept(self) -> bool:
         told_s_ago = self.loop.now() - self.mean_at
-        return self.worker is not None and may_take(self.own, self.mean, told_s_ago)
+        return self.worker is not None and may_accept(self.own, self.mean, told_s_ago)
 
     def take(self, sock: socket.socket, peer: Any) -> None:
         assert self.worker
@@ -97,13 +97,13 @@
     def connect(self) -> None:
         if self.ending or self.alone:
             return
-        link = self.link = Link(self.heard, self.cut)
+        link = self.link = MessageConnection(self.heard, self.cut)
         link.on_connected = self.greet
         link.stream = Stream.connect(self.loop, self.seam, link, 2.0, high=1 << 20)
 
     def greet(self) -> None:
         assert self.link
-        self.link.send(Hello(VERSION, LEAST, self.number, os.getpid(), self.family, build()))
+        self.link.send(Hello(VERSION, MIN_VERSION, self.number, os.getpid(), self.family, build_id()))
 
     def cut(self) -> None:
         if self.worker:
@@ -114,22 +114,22 @@
 
     def heard(self, message: Message) -> None:
         if isinstance(message, Ping):
-            self.own, self.mean, self.mean_at = message.own, message.mean, self.loop.now()
+            self.own, self.mean, self.mean_at = message.worker_viewers, message.mean_viewers, self.loop.now()
             self.door.look() if not self.retired else None
             assert self.link
-            self.link.send(Pong(message.at))
-        elif isinstance(message, Configured):
+            self.link.send(Pong(message.sent_at))
+        elif isinstance(message, Configuration):
             self.configured(message)
-        elif isinstance(message, Listed):
+        elif isinstance(message, ServerListUpdate):
             self.listed.apply(Update.FromString(message.update))
         elif isinstance(message, Welcome):
             self.welcomed(message)
-        elif isinstance(message, Retire):
-            self.retire(message.end)
+        elif isinstance(message, RetireWorker):
+            self.retire(message.end_sessions)
         elif self.worker:
             self.worker.heard(message)
 
-    def configured(self, message: Configured) -> None:
+    def configured(self, message: Configuration) -> None:
         settings = pickle.loads(message.settings)
         if self.worker is None:
             random = Random(SystemRandom().getrandbits(64))
@@ -152,7 +152,7 @@
             return
         assert self.link
         self.worker.linked(self.link, message)
-        if not message.mine:
+        if not message.takes_viewers:
             self.retire(False)
         elif not self.retired:
             self.door.open()
@@ -163,7 +163,7 @@
         if worker is None or not worker.link:
             return
         news = tuple((n, float(v - self.told[n])) for n, v in worker.counts.items() if v != self.told[n])
-        if worker.say(Counted(len(worker.viewers), len(worker.by_id), news)):
+        if worker.say(WorkerCounters(len(worker.viewers), len(worker.by_id), news)):
             self.told = Counter(worker.counts)
 
     def flush(self) -> None:
@@ -208,11 +208,11 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # of a terminal: the parent hears it as well
     listener = socket.socket(fileno=given["viewers"])
     control = Channel(loop, socket.socket(fileno=given["control"]), lambda message, fds: None, lambda: None)
-    carrier = Carrier(given["number"], given["family"], given["seam"], listener, control)
+    carrier = WorkerProcess(given["number"], given["family"], given["seam"], listener, control)
     control.heard = carrier.ordered
     control.ended = lambda: carrier.retire(True)  # the parent is gone
     loop.on_signal(signal.SIGTERM, lambda: carrier.retire(True))
-    settle_memory()
+    freeze_garbage_collector()
     loop.run()
 
 
--- a/lemonhall/model/played/deciders.py
+++ b/lemonhall/model/played/deciders.py
@@ -1,8 +1,8 @@
 """A front with workers whose decider dies or does not run, in simulated time.
 
-What `lemonhall.seam.carry` says of an ask holds here as well: what plays goes on; an attempt of which nothing
-has left is dropped; one that has left goes on alone, to play or to its end; the next decider is told all of
-it anew. Nothing that was allowed under one decider is done under another.
+What `lemonhall.ipc.request_state` says of an ask holds here as well: what plays goes on; an attempt of which
+nothing has left is dropped; one that has left goes on alone, to play or to its end; the next decider is told
+all of it anew. Nothing that was allowed under one decider is done under another.
 """
 
 from __future__ import annotations
--- a/tests/audit/conftest.py
+++ b/tests/audit/conftest.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lemonhall.config.settings import Terms, read_settings
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
 
 
 @pytest.fixture(scope="module")
--- a/tests/config/test_cli.py
+++ b/tests/config/test_cli.py
@@ -10,7 +10,7 @@
 
 from lemonhall.cli import group
 from lemonhall.problem import BadInput
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
 
 FRONT = 'front "f0" hall="hall-a" listen="127.0.0.1:0"\n'
 
--- a/tests/config/test_settings.py
+++ b/tests/config/test_settings.py
@@ -17,7 +17,7 @@
 from lemonhall.config.schema import SETTINGS
 from lemonhall.config.settings import FrontSettings, fixed_changes, make_settings, read_tree
 from lemonhall.problem import BadInput
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
 
 ROOT = Path(__file__).parents[2]
 WRONG = sorted((Path(__file__).parent / "wrong").glob("*.kdl"))
--- a/tests/day/rogues/attempts_at_once.py
+++ b/tests/day/rogues/attempts_at_once.py
@@ -7,7 +7,7 @@
 from lemonhall.decide import Front
 from lemonhall.front.servers.attempt import Attempt
 from lemonhall.front.viewers.worker import Worker
-from lemonhall.seam import SetUp
+from lemonhall.ipc import StartAttempt
 
 __all__ = ["Front"]
 set_up = Worker.set_up
@@ -18,9 +18,9 @@
         return lambda *words: None
 
 
-def doubled(self: Worker, message: SetUp) -> None:
+def doubled(self: Worker, message: StartAttempt) -> None:
     set_up(self, message)
-    ask = self.asks.get(message.ask)
+    ask = self.asks.get(message.request_id)
     if ask is None or ask.attempt is None or ask.said.cls == 0:
         return
     a = ask.attempt
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -9,7 +9,7 @@
 
 from lemonhall.config.schema import SETTINGS
 from lemonhall.config.settings import read_tree
-from tests.front.world import World
+from tests.front.harness import World
 
 Build = Callable[..., World]
 
@@ -34,7 +34,7 @@
     def build(terms: str) -> tuple[World, Callable[[str], bool]]:
         w = world(terms=terms)
         path = tmp_path / "front.kdl"
-        w.daemon.remember(str(path), pickle.dumps(read_tree(path, SETTINGS)[1]))
+        w.daemon.remember_settings(str(path), pickle.dumps(read_tree(path, SETTINGS)[1]))
 
         def load(other: str) -> bool:
             text = path.read_text().replace(terms, other)
--- a/tests/front/site.py
+++ b/tests/front/process_harness.py
@@ -11,7 +11,7 @@
 from lemonhall.boxlist import Box, State, Update, delimit
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import rtp
-from tests.front.world import TERMS, Client, ScriptedBox, Server
+from tests.front.harness import TERMS, Client, ScriptedBox, Server
 
 WAIT_S = 40.0  # far more than anything takes, also where others keep the machine busy
 EVERY_S = 0.01  # a packet of each session
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -21,7 +21,7 @@
 from lemonhall.front.keeping import capturing
 from lemonhall.front.keeping.capturing import Capturer, header_of
 from lemonhall.problem import BadInput
-from tests.front.world import World
+from tests.front.harness import World
 
 Build = Callable[..., World]
 
@@ -177,11 +177,11 @@
 def test_a_running_front_is_asked_for_its_last_minutes(world: Build, tmp_path: Path) -> None:
     w = world()
     w.playing("/browse/a")
-    from lemonhall.front.process import status
+    from lemonhall.front.process import status_server
     from lemonhall.loop import listen
 
-    pages = {"/capture": w.daemon.shown.capture_page}
-    at = listen(w.loop, ("127.0.0.1", 0), status.serve(w.loop, pages)).getsockname()
+    pages = {"/capture": w.daemon.status_pages.capture_page}
+    at = listen(w.loop, ("127.0.0.1", 0), status_server.serve(w.loop, pages)).getsockname()
     got: list[bytes] = []
 
     def fetch() -> None:
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -16,7 +16,7 @@
 from lemonhall.loop import Loop
 from lemonhall.rtsp import Request, Response
 from lemonhall.store import Standing, Token
-from tests.front.world import TERMS, WAIT_S, Client, ScriptedBox, Server
+from tests.front.harness import TERMS, WAIT_S, Client, ScriptedBox, Server
 
 PAID, FREE = "/claims/a", "/browse/a"
 
@@ -81,7 +81,7 @@
         assert keeper and daemon.membership
         keeper.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
         daemon.membership.close()
-        daemon.up.heard = lambda message: None
+        daemon.decider_queue.heard = lambda message: None
         for sock in daemon.listeners:
             self.loop.watch(sock, 0, lambda _: None)
             sock.close()
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -27,7 +27,7 @@
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import Request
 from lemonhall.rtsp.messages import make_response
-from tests.front.world import TERMS, World
+from tests.front.harness import TERMS, World
 from tests.ports import free_port
 
 Build = Callable[..., World]
--- a/tests/front/test_halls.py
+++ b/tests/front/test_halls.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from tests.front.site import Site
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
+from tests.front.process_harness import Site
 
 SPILL = 'spill "hall-a" to="hall-b" share=(%)25\nspilling notice=(ms)300 trial=(ms)300 ramp=(s)1\n'
 HALLS = TERMS.replace('halls "hall-a"', 'halls "hall-a" "hall-b"') + SPILL
--- a/tests/front/test_guard.py
+++ b/tests/front/test_handover.py
@@ -9,10 +9,10 @@
 import pytest
 
 from lemonhall.config.settings import read_settings
-from lemonhall.front.guarding.guard import POINTS, Successor
-from lemonhall.front.guarding.guard import GuardedDaemon as Daemon
-from tests.front.site import Site
-from tests.front.world import TERMS
+from lemonhall.front.handover.front_handover import FAILPOINTS, FrontHandoverTarget
+from lemonhall.front.handover.front_handover import ReplaceableDaemon as Daemon
+from tests.front.harness import TERMS
+from tests.front.process_harness import Site
 
 OLD = ("hello", "hand-front", "front-sent", "front-given", "hand", "sent", "given", "over")
 NEW = ("front-unpacked", "front-owned", "front-told", "unpacked", "owned", "told")
@@ -37,8 +37,8 @@
     stops: list[bool] = []
     honest, site.loop.stop = site.loop.stop, lambda: stops.append(True)  # type: ignore[method-assign]
     refused: list[str] = []
-    assert old.guard
-    successor = Successor(new, str(old.guard.path), new.open, refused.append)
+    assert old.handover
+    successor = FrontHandoverTarget(new, str(old.handover.path), new.open, refused.append)
     site.until(lambda: stops)
     site.loop.stop = honest  # type: ignore[method-assign]
     assert not refused and not faults
@@ -57,8 +57,8 @@
         for sock in daemon.listeners:
             site.loop.watch(sock, 0, lambda _: None)
             sock.close()
-        assert daemon.guard
-        daemon.guard.close()
+        assert daemon.handover
+        daemon.handover.close()
 
 
 def test_a_successor_takes_listeners_sessions_and_ledger(site: Site) -> None:
@@ -104,7 +104,7 @@
 
 
 def test_every_point_is_tried() -> None:
-    assert {*OLD, *NEW} == set(POINTS)
+    assert {*OLD, *NEW} == set(FAILPOINTS)
 
 
 def test_a_successor_with_other_terms_is_refused_by_name_and_the_front_goes_on(site: Site) -> None:
--- a/tests/front/test_relief.py
+++ b/tests/front/test_handover_states.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lemonhall.front.guarding.relief import Do, Effect, Giver, Taker
+from lemonhall.front.handover.state_machine import Do, Effect, HandoverSource, HandoverTarget
 
 
 class Process:
@@ -25,10 +25,12 @@
 class World:
     """Portions 1 to `portions` are connections; 0 is the front itself. `batons`: those with their byte."""
 
-    def __init__(self, portions: int, giver: Giver | None = None, taker: Taker | None = None) -> None:
+    def __init__(
+        self, portions: int, giver: HandoverSource | None = None, taker: HandoverTarget | None = None
+    ) -> None:
         things = set(range(portions + 1))
-        self.old = Process(giver or Giver(), set(things), True)
-        self.new = Process(taker or Taker(), set(), False)
+        self.old = Process(giver or HandoverSource(), set(things), True)
+        self.new = Process(taker or HandoverTarget(), set(), False)
         self.portions = portions
         self.batons: set[int] = set()
         self.dead: set[int] = set()  # owned by a process that died
@@ -193,7 +195,7 @@
     assert states > 300
 
 
-class ForgetsTheBaton(Giver):
+class ForgetsTheBaton(HandoverSource):
     """Takes a portion back when it loses patience, without asking who has it."""
 
     def answered(self, portion: int) -> list[Effect]:
@@ -203,14 +205,14 @@
         return []
 
 
-class GivesUpTheFront(Giver):
+class GivesUpTheFront(HandoverSource):
     """Does not become the front again when its successor dies."""
 
     def alone(self) -> list[Effect]:
         return []
 
 
-class KeepsNoCopy(Giver):
+class KeepsNoCopy(HandoverSource):
     """Takes its successor's death for the end of the portion that was out."""
 
     def gone(self) -> list[Effect]:
@@ -219,7 +221,7 @@
         return self.alone()
 
 
-class TakesWithoutBaton(Taker):
+class TakesWithoutBaton(HandoverTarget):
     """Owns what has come, whether or not the old front has taken it back."""
 
     def handed(self, portion: int, fine: bool) -> list[Effect]:
@@ -228,8 +230,15 @@
 
 @pytest.mark.parametrize(
     "giver,taker",
-    [(GivesUpTheFront, Taker), (KeepsNoCopy, Taker), (Giver, TakesWithoutBaton), (ForgetsTheBaton, Taker)],
+    [
+        (GivesUpTheFront, HandoverTarget),
+        (KeepsNoCopy, HandoverTarget),
+        (HandoverSource, TakesWithoutBaton),
+        (ForgetsTheBaton, HandoverTarget),
+    ],
 )
-def test_each_defence_is_missed_when_it_is_taken_away(giver: type[Giver], taker: type[Taker]) -> None:
+def test_each_defence_is_missed_when_it_is_taken_away(
+    giver: type[HandoverSource], taker: type[HandoverTarget]
+) -> None:
     first = World(2, giver(), taker())
     assert explore(first)[1]
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -13,7 +13,7 @@
 from lemonhall.boxlist import State
 from lemonhall.interface import Outcome
 from lemonhall.rtsp import rtp
-from tests.front.world import ScriptedBox, Server, World
+from tests.front.harness import ScriptedBox, Server, World
 from tests.node.world import Order
 
 Build = Callable[..., World]
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -13,7 +13,7 @@
 from lemonhall.config.settings import read_settings
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Loop
-from tests.front.world import TERMS, World
+from tests.front.harness import TERMS, World
 
 Build = Callable[..., World]
 HALLS = TERMS.replace('halls "hall-a"', 'halls "hall-a" "hall-b"')
@@ -152,7 +152,7 @@
         client, _, cseq = w.play("/browse/a")
         w.until(lambda c=client, n=cseq: c.answers_to(n))
     assert w.daemon.hooks.engine.metrics == {"heard": 4, "busy": 2}
-    assert b'lemonhall_hook_total{name="heard"} 4.0' in w.daemon.shown.metrics_page()[2]
+    assert b'lemonhall_hook_total{name="heard"} 4.0' in w.daemon.status_pages.metrics_page()[2]
 
 
 def test_scripts_are_swapped_in_the_middle_of_a_set_up(hooked: Build, tmp_path: Path) -> None:
@@ -203,7 +203,7 @@
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
     w.daemon.hooks.reload()
-    child = w.daemon.builder.child
+    child = w.daemon.reader_client.child
     assert child
     child.kill()
     w.until(lambda: ended, 30)
@@ -246,7 +246,7 @@
     w.until(lambda: w.daemon.worker.over_memory)
     w.until(lambda: client.reason)  # a new connection is refused early
     assert [a.status for a in client.answers] == [503]
-    assert w.daemon.shown.ready_page()[0] == 503
+    assert w.daemon.status_pages.ready_page()[0] == 503
     w.daemon.worker.over_memory = False
     player, _ = w.playing("/browse/a")
     w.daemon.worker.over_memory = True
@@ -262,7 +262,7 @@
     w = world()
     player, session = w.playing("/browse/a")
     w.daemon.drain()
-    assert w.daemon.shown.ready_page() == (503, "text/plain", b"draining\n")
+    assert w.daemon.status_pages.ready_page() == (503, "text/plain", b"draining\n")
     cseq = player.send("SETUP", "/browse/b/trackID=0", ("Transport", "RTP/AVP/TCP;unicast;interleaved=2-3"))
     w.until(lambda: player.answers_to(cseq))
     assert player.answers_to(cseq) == [503]
@@ -276,5 +276,5 @@
     report = tmp_path / "crash.json"
     path.write_text(HALLS + f'front "f" hall="hall-a" listen="127.0.0.1:0" crash-report="{report}"\n')
     daemon = Daemon(read_settings(path), loop=Loop())
-    made = daemon.crashed(ValueError("boom"))
+    made = daemon.report_crash(ValueError("boom"))
     assert made["error"] == "ValueError('boom')" and '"front": "f"' in report.read_text()
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -14,7 +14,7 @@
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.importer import import_files
 from lemonhall.loop import Loop
-from tests.front.world import TERMS, WAIT_S, Client, ScriptedBox
+from tests.front.harness import TERMS, WAIT_S, Client, ScriptedBox
 
 CONF = """
 upstream clips { server 127.0.0.1:%d weight=3; server 127.0.0.1:%d; }
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -21,8 +21,8 @@
 from lemonhall.limits import Limits, Plan
 from lemonhall.loop import Loop
 from lemonhall.model.played.world import World
-from tests.front.world import TERMS
-from tests.front.world import World as Front
+from tests.front.harness import TERMS
+from tests.front.harness import World as Front
 from tests.limits.worlds import PERIOD, exact, plan
 
 Build = Callable[..., Front]
@@ -175,13 +175,13 @@
     assert answer.status == 503 and "limit one" in str(answer.headers.get("X-Reason") or answer.reason)
     assert float(answer.headers.get("Retry-After")) >= 1
     assert w.set_ups() == 1 and w.daemon.counts["over_limit"] == 1
-    told = json.loads(w.daemon.shown.limits_page()[2])["limits"][0]
+    told = json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]
     assert (told["used"], told["held"], told["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
     w.until(lambda: client.answers_to(done))
     w.until(lambda: not w.daemon.asks.book.out)
     w.playing("/browse/b")
-    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.shown.metrics_page()[2]
+    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
 
 
 def test_a_limit_changes_while_sessions_stand(reloaded: Callable[..., Any]) -> None:
@@ -193,7 +193,7 @@
     other, _, cseq = w.play("/browse/c")
     w.until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
-    assert json.loads(w.daemon.shown.limits_page()[2])["limits"][0]["used"] == 2  # none is cut
+    assert json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]["used"] == 2  # none is cut
 
 
 def test_a_session_whose_loan_is_over_is_ended_in_order(world: Build) -> None:
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -17,7 +17,7 @@
 from lemonhall.loop import Loop
 from lemonhall.members import Config
 from lemonhall.problem import BadInput
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
 
 KEYS = {1: b"k" * 16}
 FAST = Config(period_ms=40.0, answer_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
@@ -138,7 +138,7 @@
     daemon = Daemon(read_settings(path), loop=Loop())
     daemon.open()
     assert daemon.membership and isinstance(daemon.membership.at[1], int)
-    status, _, body = daemon.shown.members_page()
+    status, _, body = daemon.status_pages.members_page()
     assert status == 200 and b'"members": [0]' in body
     daemon.stop()
     daemon.loop.run()
--- a/tests/front/test_reload.py
+++ b/tests/front/test_reload.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lemonhall import interface as i
-from tests.front.world import TERMS, World
+from tests.front.harness import TERMS, World
 
 Build = Callable[..., World]
 
--- a/tests/front/test_stock_player.py
+++ b/tests/front/test_stock_player.py
@@ -13,7 +13,7 @@
 from lemonhall.standins.arrival import Looks
 from lemonhall.standins.box import Box, Rack
 from lemonhall.standins.tap import Tap
-from tests.front.world import World
+from tests.front.harness import World
 
 WANTED = 12  # frames decoded in each part
 
--- a/tests/front/test_supervise.py
+++ b/tests/front/test_supervisor.py
@@ -7,7 +7,7 @@
 import sys
 from pathlib import Path
 
-from lemonhall.front.process.supervise import CRASHES_MOST, STEADY_S, Restarts, Supervisor
+from lemonhall.front.process.supervisor import CRASHES_MOST, STEADY_S, Restarts, Supervisor
 from lemonhall.loop import Loop
 
 
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -15,12 +15,12 @@
 
 from lemonhall import interface as i
 from lemonhall.day.children import kin_of
-from lemonhall.front.workers.build import build
+from lemonhall.front.workers.build_id import build_id
+from lemonhall.ipc import Configuration, Hello, Message, MessageDecoder, StartAttempt, Welcome, encode
 from lemonhall.loop import Handler, Stream
 from lemonhall.rtsp import Request
-from lemonhall.seam import Configured, Hello, Message, Reader, SetUp, Welcome, encode
-from tests.front.site import Site
-from tests.front.world import TERMS, Client, Server, World
+from tests.front.harness import TERMS, Client, Server, World
+from tests.front.process_harness import Site
 
 Make = Callable[..., Site]
 SLOW = TERMS.replace("deadline=(ms)1200", "deadline=(ms)6000").replace(
@@ -32,11 +32,11 @@
 def make(tmp_path: Path) -> Iterator[Make]:
     made: list[Site] = []
 
-    def build(workers: int = 2, terms: str = SLOW, more: str = "") -> Site:
+    def build_id(workers: int = 2, terms: str = SLOW, more: str = "") -> Site:
         made.append(Site(tmp_path, terms, f"workers={workers} {more}"))
         return made[-1]
 
-    yield build
+    yield build_id
     for each in made:
         each.close()
 
@@ -56,7 +56,7 @@
 
 
 def workers(pid: int) -> list[int]:
-    return kin_of(pid, "workers.carrier")
+    return kin_of(pid, "workers.worker_process")
 
 
 def sockets(pid: int) -> int:
@@ -403,7 +403,7 @@
 def worker_of(path: str, hello: Hello, until: type[Message]) -> list[Any]:
     """A worker of another program says hello: what it hears up to a kind of message."""
     heard: list[Any] = []
-    reader = Reader()
+    reader = MessageDecoder()
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(10.0)
         sock.connect(path)
@@ -418,13 +418,13 @@
     front = site.serve()
     at = site.started(front)
     path, family = seam_of(front.pid)
-    later = worker_of(path, Hello(99, 99, 70, 1, family, build()), Welcome)
+    later = worker_of(path, Hello(99, 99, 70, 1, family, build_id()), Welcome)
     assert [type(m) for m in later] == [Welcome] and later[0].version == 0
     older = worker_of(path, Hello(1, 1, 71, 1, family, "another program"), Welcome)
-    assert [(m.version, m.mine) for m in older if isinstance(m, Welcome)] == [(1, False)]
-    assert not any(isinstance(m, Configured) for m in older)
-    stranger = worker_of(path, Hello(1, 1, 72, 1, "another parent", build()), Welcome)
-    assert not stranger[-1].mine and not any(isinstance(m, Configured) for m in stranger)
+    assert [(m.version, m.takes_viewers) for m in older if isinstance(m, Welcome)] == [(1, False)]
+    assert not any(isinstance(m, Configuration) for m in older)
+    stranger = worker_of(path, Hello(1, 1, 72, 1, "another parent", build_id()), Welcome)
+    assert not stranger[-1].takes_viewers and not any(isinstance(m, Configuration) for m in stranger)
     assert site.viewer(at, "/browse/a")[1] == 200
     with socket.socket(socket.AF_UNIX) as sock:  # noise ends its own link and nothing else
         sock.settimeout(10.0)
@@ -438,7 +438,7 @@
     world: Callable[..., World], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     w = world()
-    monkeypatch.setattr("lemonhall.front.process.local.MOST", 0)
+    monkeypatch.setattr("lemonhall.front.process.local_queue.MOST", 0)
     client, _, cseq = w.play("/browse/a")
     w.until(lambda: client.answers_to(cseq))
     assert client.answers_to(cseq) == [503] and client.answers[-1].headers.get("Retry-After") == "2"
@@ -451,9 +451,11 @@
     world: Callable[..., World], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     w = world()
-    send, full = w.daemon.down.send, [True]
+    send, full = w.daemon.worker_queue.send, [True]
     monkeypatch.setattr(
-        w.daemon.down, "send", lambda m: False if isinstance(m, SetUp) and full.pop() else send(m)
+        w.daemon.worker_queue,
+        "send",
+        lambda m: False if isinstance(m, StartAttempt) and full.pop() else send(m),
     )
     full += [False, False, True]
     client, _, cseq = w.play("/browse/a")
--- a/tests/seam/test_watch.py
+++ b/tests/ipc/test_heartbeat.py
@@ -2,22 +2,22 @@
 
 from __future__ import annotations
 
-from lemonhall.seam.balance import may_take
-from lemonhall.seam.pulse import Pulse
+from lemonhall.ipc.accept_policy import may_accept
+from lemonhall.ipc.heartbeat import HeartbeatMonitor
 
 
 def test_silence_is_named_once_and_our_own_sleep_counts_for_nobody() -> None:
-    pulse = Pulse(hung_s=6.0, tick_s=0.25)
-    pulse.heard(1, 0.0)
-    pulse.heard(2, 0.0)
+    pulse = HeartbeatMonitor(timeout_s=6.0, tick_s=0.25)
+    pulse.record(1, 0.0)
+    pulse.record(2, 0.0)
     now = 0.0
     named = []
     while now < 7.0:
         now += 0.25
-        pulse.heard(1, now)
+        pulse.record(1, now)
         named += pulse.tick(now)
     assert named == [2]
-    pulse.heard(2, now)  # awake again
+    pulse.record(2, now)  # awake again
     assert pulse.tick(now + 60.0) == []  # we did not run
     assert pulse.tick(now + 60.25) == []
     pulse.forget(1)
@@ -26,7 +26,7 @@
 
 
 def test_one_far_over_the_mean_steps_back_until_nobody_says_what_the_mean_is() -> None:
-    assert may_take(100, 100.0, 0.1) and may_take(117, 100.0, 0.1)
-    assert not may_take(200, 100.0, 0.1)
-    assert may_take(200, 100.0, 10.0)
-    assert may_take(5, 0.0, 0.1)  # a few are no lot
+    assert may_accept(100, 100.0, 0.1) and may_accept(117, 100.0, 0.1)
+    assert not may_accept(200, 100.0, 0.1)
+    assert may_accept(200, 100.0, 10.0)
+    assert may_accept(5, 0.0, 0.1)  # a few are no lot
--- a/tests/seam/test_machines.py
+++ b/tests/ipc/test_state_machines.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from lemonhall.seam import Book, Carry, Next, Proof, Stage, Tell
+from lemonhall.ipc import Announcement, AttemptRegistry, Execution, NextStep, RequestStage, RequestState
 from lemonhall.store import Hold, Ledger, Record, Standing, Token, Verdict, Write
 
 TOKEN = Token(1000, 0, 9, 1)
@@ -27,7 +27,7 @@
     """At a worker. `out`: its attempt: connecting, sent (runs at the server) or gone."""
 
     number: int
-    carry: Carry = field(default_factory=lambda: Carry(MOST))
+    carry: RequestState = field(default_factory=lambda: RequestState(MOST))
     attempt: str = ""
     answers: list[str] = field(default_factory=list)
     sends: int = 0
@@ -54,7 +54,7 @@
     # the decider, as `front.deciding.asks` has it
 
     def decide(self) -> None:
-        self.book = Book()
+        self.book = AttemptRegistry()
         self.pending: list[tuple[bytes, Record, Record | None, Any]] = []
         self.ledger = Ledger(0, 9, self.lookup, self.waits, 1e9)
         self.holds: dict[tuple[int, int], Hold] = {}
@@ -84,7 +84,7 @@
             self.write(write, None)
 
     def asked(self, w: int, m: dict[str, Any]) -> None:
-        if not self.book.enter(self.links[w], m["ask"]):
+        if not self.book.add_request(self.links[w], m["ask"]):
             return
         if m["unsent"][1] and (write := self.ledger.unsent(TOKEN, *m["unsent"], 1.0)):
             self.write(write, None)
@@ -105,20 +105,20 @@
             self.final(ask)
             return
         self.write(write, ("clear", ask, number, self.links[mine["w"]]))
-        mine["out"] = self.book.set_up(ask, number, 7, False)
+        mine["out"] = self.book.add_attempt(ask, number, 7, False)
         self.holds[ask, number] = mine["hold"]
         told = {"kind": "set-up", "ask": ask, "number": number, "turn": write.record.turn}
         self.down[mine["w"]].append({**told, "made": write.record.attempts})
 
     def final(self, ask: int) -> None:
         mine = self.open.pop(ask)
-        self.book.drop(ask)
+        self.book.remove_request(ask)
         if mine["hold"]:
             self.ledger.over(mine["hold"])
         self.down[mine["w"]].append({"kind": "final", "ask": ask})
 
     def ended(self, w: int, m: dict[str, Any]) -> None:
-        out = self.book.ended(self.links[w], m["ask"], m["number"])
+        out = self.book.finish_attempt(self.links[w], m["ask"], m["number"])
         if out is None:
             return
         self.settle((m["ask"], m["number"]), m["ran"])
@@ -128,7 +128,7 @@
         mine["out"] = None
         if m["closed"]:
             self.open.pop(m["ask"])
-            self.book.drop(m["ask"])
+            self.book.remove_request(m["ask"])
             self.ledger.over(mine["hold"])
         elif m["ran"]:
             self.final(m["ask"])
@@ -136,16 +136,16 @@
             self.place(m["ask"])
 
     def carried(self, w: int, m: dict[str, Any]) -> None:
-        if self.book.enter(self.links[w], m["ask"]):
-            out = self.book.set_up(m["ask"], 0, 7, True)
+        if self.book.add_request(self.links[w], m["ask"]):
+            out = self.book.add_attempt(m["ask"], 0, 7, True)
             hold = Hold(TOKEN, m["turn"], 0)
             self.holds[m["ask"], 0] = hold
             self.open[m["ask"]] = {"w": w, "hold": hold, "tries": 1, "out": out}
 
     def lose(self, w: int) -> None:
-        asks, ends = self.book.lost(self.links[w])
+        asks, ends = self.book.remove_connection(self.links[w])
         for out, proof in ends:
-            self.settle((out.ask, out.number), proof is Proof.MAYBE)
+            self.settle((out.request_id, out.number), proof is Execution.MAY_HAVE_RUN)
         for ask in asks:
             self.ledger.over(self.open.pop(ask)["hold"] or Hold(TOKEN, 0, 0))
 
@@ -155,24 +155,29 @@
         ask, link = self.asks[w], self.links[w]
         if ask is None or not link:
             return
-        told = ask.carry.tell(link)
+        told = ask.carry.announce(link)
         c = ask.carry
-        if told is Tell.ASKED:
-            self.up[w].append({"kind": "asked", "ask": ask.number, "ran": c.ran, "unsent": c.unsent})
-        elif told is Tell.CARRIED:
-            self.up[w].append({"kind": "carried", "ask": ask.number, "turn": c.turn})
+        if told is Announcement.REQUEST:
+            self.up[w].append(
+                {"kind": "asked", "ask": ask.number, "ran": c.unreported_run, "unsent": c.unsent_claim}
+            )
+        elif told is Announcement.ONGOING_SESSION:
+            self.up[w].append({"kind": "carried", "ask": ask.number, "turn": c.claim_turn})
 
     def end(self, w: int, left: bool, never: bool) -> None:
         ask = self.asks[w]
         assert ask
         ask.attempt = ""
-        playing = ask.carry.stage is Stage.PLAYING
-        number, over = ask.carry.number, ask.carry.stage in (Stage.OVER, Stage.PLAYING)
-        then = ask.carry.ended(self.links[w], left, never)
-        if then is Next.REPORT:
+        playing = ask.carry.stage is RequestStage.PLAYING
+        number, over = (
+            ask.carry.attempt_number,
+            ask.carry.stage in (RequestStage.CLOSED, RequestStage.PLAYING),
+        )
+        then = ask.carry.on_attempt_ended(self.links[w], left, never)
+        if then is NextStep.REPORT:
             told = {"kind": "ended", "ask": ask.number, "number": 0 if playing and number < 0 else number}
             self.up[w].append({**told, "ran": left and not never, "closed": over})
-        elif then is Next.AGAIN:
+        elif then is NextStep.RESUBMIT:
             self.tell(w)
 
     def close(self, w: int, answer: str) -> None:
@@ -206,13 +211,13 @@
                 yield f"up {w}"
             if self.down[w] and self.links[w]:
                 yield f"down {w}"
-            if ask and ask.attempt == "connect" and ask.carry.stage is Stage.LEFT:
+            if ask and ask.attempt == "connect" and ask.carry.stage is RequestStage.SENT:
                 yield f"send {w}"
-            if ask and ask.attempt == "sent" and ask.carry.stage is Stage.LEFT:
+            if ask and ask.attempt == "sent" and ask.carry.stage is RequestStage.SENT:
                 yield f"plays {w}"
                 yield f"full {w}"
                 yield f"reset {w}"
-            if ask and ask.carry.stage is Stage.PLAYING:
+            if ask and ask.carry.stage is RequestStage.PLAYING:
                 yield f"over {w}"
             if ask and not ask.answers:
                 yield f"deadline {w}"
@@ -248,7 +253,7 @@
     def drop_link(self, w: int) -> None:
         self.up[w], self.down[w] = [], []
         ask = self.asks[w]
-        if ask and ask.carry.cut():
+        if ask and ask.carry.on_connection_lost():
             ask.attempt = ""
 
     def on_crash(self, _: int) -> None:
@@ -276,7 +281,7 @@
             _, ask, number, link = then
             mine = self.open.get(ask)
             out = mine["out"] if mine and self.links[mine["w"]] == link else None
-            if mine and out and out.number == number and self.book.clear(ask, number):
+            if mine and out and out.number == number and self.book.allow_send(ask, number):
                 self.down[mine["w"]].append({"kind": "cleared", "ask": ask, "number": number})
 
     def on_up(self, w: int) -> None:
@@ -284,7 +289,7 @@
         if m["kind"] == "gone":
             if m["ask"] in self.open and self.open[m["ask"]]["out"] is None:
                 mine = self.open.pop(m["ask"])
-                self.book.drop(m["ask"])
+                self.book.remove_request(m["ask"])
                 if mine["hold"]:
                     self.ledger.over(mine["hold"])
         else:
@@ -297,13 +302,13 @@
         mine = ask if ask and ask.number == m["ask"] else None
         if m["kind"] == "set-up":
             free = mine and not mine.attempt and not mine.answers
-            if free and mine and mine.carry.set_up(link, m["number"], True, m["turn"], m["made"]):
+            if free and mine and mine.carry.start_attempt(link, m["number"], True, m["turn"], m["made"]):
                 mine.attempt = "connect"
             else:
                 told = {"kind": "ended", "ask": m["ask"], "number": m["number"]}
                 self.up[w].append({**told, "ran": False, "closed": mine is None or bool(mine.answers)})
         elif mine and m["kind"] == "cleared":
-            mine.carry.clear(link, m["number"])
+            mine.carry.allow_send(link, m["number"])
         elif mine and m["kind"] == "final" and not mine.answers:
             self.close(w, "final")
 
@@ -318,8 +323,8 @@
         ask = self.asks[w]
         assert ask
         ask.answers.append("plays")
-        if ask.carry.plays(self.links[w]) is Tell.CARRIED:
-            self.up[w].append({"kind": "carried", "ask": ask.number, "turn": ask.carry.turn})
+        if ask.carry.on_playing(self.links[w]) is Announcement.ONGOING_SESSION:
+            self.up[w].append({"kind": "carried", "ask": ask.number, "turn": ask.carry.claim_turn})
 
     def on_full(self, w: int) -> None:
         """The server says that it did not take it."""
@@ -355,11 +360,14 @@
                 a.attempt,
                 a.sends,
                 tuple(a.answers),
-                *(getattr(a.carry, n) for n in Carry.__slots__),
+                *(getattr(a.carry, n) for n in RequestState.__slots__),
             )
             for a in self.asks
         ]
-        book = sorted(self.book.asks.items()), sorted((k, o.cleared) for k, o in self.book.out.items())
+        book = (
+            sorted(self.book.owners.items()),
+            sorted((k, o.send_allowed) for k, o in self.book.open_attempts.items()),
+        )
         rest = (self.crashes, self.cuts, self.disk, self.ran, self.links, self.up, self.down, self.to_come)
         opened = sorted((k, v["w"], v["hold"], v["tries"], v["out"]) for k, v in self.open.items())
         pending = [(k, r, b, t) for k, r, b, t in self.pending]
@@ -425,9 +433,9 @@
 # each defence, taken away, is missed
 
 
-def never_asked(self: Book, worker: int) -> Any:
+def never_asked(self: AttemptRegistry, worker: int) -> Any:
     asks, ends = lost(self, worker)
-    return asks, [(out, Proof.NEVER) for out, _ in ends]
+    return asks, [(out, Execution.NEVER_RAN) for out, _ in ends]
 
 
 def whichever(self: Ledger, token: Token, turn: int, made: int, wall_s: float) -> Any:
@@ -435,37 +443,41 @@
     return Write(token.key, replace(record, standing=Standing.FREE), record) if record else None
 
 
-def no_hold(self: Carry, link: int, number: int, hold: bool, turn: int, made: int) -> bool:
+def no_hold(self: RequestState, link: int, number: int, hold: bool, turn: int, made: int) -> bool:
     return set_up(self, link, number, False, turn, made)
 
 
-def forgets(self: Carry, link: int, left: bool, never_ran: bool) -> Next:
+def forgets(self: RequestState, link: int, left: bool, never_ran: bool) -> NextStep:
     return ended(self, link, left, True)
 
 
-def twice(self: Carry, link: int, number: int, hold: bool, turn: int, made: int) -> bool:
-    self.tries = 0
+def twice(self: RequestState, link: int, number: int, hold: bool, turn: int, made: int) -> bool:
+    self.attempts_made = 0
     return set_up(self, link, number, hold, turn, made)
 
 
-def sure(self: Carry) -> bool:
+def sure(self: RequestState) -> bool:
     return False
 
 
-lost, set_up, ended = Book.lost, Carry.set_up, Carry.ended
+lost, set_up, ended = (
+    AttemptRegistry.remove_connection,
+    RequestState.start_attempt,
+    RequestState.on_attempt_ended,
+)
 RUNS = "link 0, come 0, up 0, disk, down 0, down 0, send 0"
 AGAIN = "link 1, come 1, up 1, disk, disk, disk, down 1, down 1, send 1"
 REST = "link 0, up 0, disk, disk, down 0, down 0, send 0"
 FLAWS: dict[str, tuple[type, str, Any, str]] = {
     "a lost worker's attempts are held for never run": (
-        Book,
-        "lost",
+        AttemptRegistry,
+        "remove_connection",
         never_asked,
         f"{RUNS}, kill 0, {AGAIN}",
     ),
     "a request leaves before its attempt is on disk": (
-        Carry,
-        "set_up",
+        RequestState,
+        "start_attempt",
         no_hold,
         f"link 0, come 0, up 0, down 0, send 0, crash, {AGAIN}",
     ),
@@ -476,20 +488,20 @@
         f"link 0, come 0, up 0, disk, down 0, crash, link 0, up 0, disk, cut 0, {AGAIN}, {REST}",
     ),
     "an end that proves nothing is held for a proof": (
-        Carry,
-        "ended",
+        RequestState,
+        "on_attempt_ended",
         forgets,
         f"{RUNS}, crash, reset 0, {REST}",
     ),
     "a viewer is told that nothing ran while its request is out": (
-        Carry,
+        RequestState,
         "may_have_run",
         sure,
         f"{RUNS}, crash, deadline 0",
     ),
     "attempts are counted anew under each decider": (
-        Carry,
-        "set_up",
+        RequestState,
+        "start_attempt",
         twice,
         f"{RUNS}, crash, full 0, {REST}, crash, full 0, {REST}",
     ),
