--- a/lemonhall/ipc/codec.py
+++ b/lemonhall/ipc/codec.py
@@ -49,7 +49,7 @@
     """Returns the value and the offset after it. Raises `ValueError` or `struct.error` for missing data."""
     if code == "b":
         if offset + count > len(view):
-            raise ValueError(f"field of {count} bytes exceeds its message")
+            raise ValueError("a bytes field exceeds its message")
         return bytes(view[offset : offset + count]), offset + count
     if code == "f":
         return struct.unpack_from(f">{count}d", view, offset), offset + 8 * count
@@ -103,7 +103,7 @@
         field_count = len(values)
         offset = block_size + SIZE.size + SIZE.unpack_from(view, block_size)[0]
         if offset > len(view):
-            raise ValueError("texts exceed their message")
+            raise ValueError("the texts exceed their message")
         if self.texts:
             text, begin = str(view[block_size + SIZE.size : offset], "utf-8"), 0
             for n in self.texts:
@@ -112,7 +112,7 @@
                     values[n] = text[begin:end]
                     begin = end
             if begin > len(text):
-                raise ValueError(f"texts have {len(text)} characters, their fields claim {begin}")
+                raise ValueError("text fields claim more characters than the message holds")
         for n, code in self.others:
             if n < field_count:
                 values[n], offset = (
@@ -134,7 +134,7 @@
     """Raises `struct.error` for a number out of its field's range, `ValueError` for over 32 MiB."""
     data = FORMATS[message.KIND].encode(message)
     if len(data) > MAX_MESSAGE_BYTES:
-        raise ValueError(f"message of {len(data)} bytes exceeds the limit of {MAX_MESSAGE_BYTES}")
+        raise ValueError(f"{len(data)} bytes exceed the limit of a message ({MAX_MESSAGE_BYTES})")
     return data
 
 
@@ -162,7 +162,7 @@
         while len(view) - offset >= HEADER.size:
             length, kind, block_size = HEADER.unpack_from(view, offset)
             if not LENGTH_OVERHEAD <= length <= self.max_bytes:
-                return [*messages, self.fail(f"invalid message length {length}")]
+                return [*messages, self.fail(f"invalid message length of {length} bytes")]
             end = offset + 4 + length
             if end > len(view):
                 break
