--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -9,17 +9,17 @@
 
 from lemonhall.config.schema import SETTINGS
 from lemonhall.config.settings import read_tree
-from tests.front.harness import World
+from tests.front.harness import FrontHarness
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[Callable[..., World]]:
-    made: list[World] = []
+def make_front(tmp_path: Path) -> Iterator[Callable[..., FrontHarness]]:
+    made: list[FrontHarness] = []
 
-    def build(**options: Any) -> World:
-        made.append(World(tmp_path, **options))
+    def build(**options: Any) -> FrontHarness:
+        made.append(FrontHarness(tmp_path, **options))
         return made[-1]
 
     yield build
@@ -28,11 +28,13 @@
 
 
 @pytest.fixture
-def reloaded(world: Build, tmp_path: Path) -> Callable[[str], tuple[World, Callable[[str], bool]]]:
+def reloaded(
+    make_front: Build, tmp_path: Path
+) -> Callable[[str], tuple[FrontHarness, Callable[[str], bool]]]:
     """A world, and what loads other terms into it: whether they were taken."""
 
-    def build(terms: str) -> tuple[World, Callable[[str], bool]]:
-        w = world(terms=terms)
+    def build(terms: str) -> tuple[FrontHarness, Callable[[str], bool]]:
+        w = make_front(terms=terms)
         path = tmp_path / "front.kdl"
         w.daemon.remember_settings(str(path), pickle.dumps(read_tree(path, SETTINGS)[1]))
 
@@ -42,7 +44,7 @@
             ended: list[bool] = []
             w.daemon.hooks.on_load = ended.append
             w.daemon.reload()
-            w.until(lambda: ended, 30)
+            w.run_until(lambda: ended, 30)
             path.write_text(text.replace(other, terms))
             return ended[0]
 
--- a/tests/front/harness.py
+++ b/tests/front/harness.py
@@ -1,4 +1,4 @@
-"""A front, scripted servers and scripted viewers on one loop, in one process, on loopback sockets."""
+"""Test harness: a front, scripted servers and scripted viewers on one event loop, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -33,26 +33,26 @@
 reports fields="x0 x1" every=(s)2 late=(ms)100
 allow peers=#true probe=#true
 """
-WAIT_S = 8.0
+TIMEOUT_S = 8.0
 
 
-class Server(Handler):
-    """One connection to a scripted server; `answer` decides what each request gets."""
+class ServerConnection(Handler):
+    """One connection to a scripted server; `ScriptedServer.answer` answers its requests."""
 
-    def __init__(self, box: ScriptedBox, sock: socket.socket) -> None:
-        self.box, self.parser = box, Parser()
+    def __init__(self, server: ScriptedServer, sock: socket.socket) -> None:
+        self.server, self.parser = server, Parser()
         self.open, self.sequence, self.reason, self.channel = True, 100, "", 0
-        self.stream = Stream(box.loop, sock, self)
+        self.stream = Stream(server.loop, sock, self)
 
     def data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
-                self.box.requests.append(event)
+                self.server.requests.append(event)
                 if offers := parse_transport(event.headers.get("Transport")):
                     self.channel = (offers[0].channels or (0, 1))[0]
-                self.box.answer(self, event)
+                self.server.answer(self, event)
             elif isinstance(event, Frames):
-                self.box.frames += split_frames(bytes(event.data))
+                self.server.frames += split_frames(bytes(event.data))
 
     def reply(self, request: Request, status: int = 200, *headers: str, body: bytes = b"") -> None:
         lines = [f"RTSP/1.0 {status} X", f"CSeq: {request.cseq}", *headers]
@@ -62,7 +62,7 @@
     def packet(self, payload: bytes = b"media", sequence: int | None = None, stamp: int = 9000) -> bytes:
         if sequence is None:
             sequence, self.sequence = self.sequence, self.sequence + 1
-        header = rtp.build_rtp(rtp.RtpHeader(26, False, sequence, stamp, self.box.ssrc))
+        header = rtp.build_rtp(rtp.RtpHeader(26, False, sequence, stamp, self.server.ssrc))
         return frame(self.channel, header + payload)
 
     def media(self, payload: bytes = b"media", stamp: int = 9000) -> None:
@@ -72,55 +72,57 @@
         self.open, self.reason = False, reason
 
 
-class ScriptedBox:
-    """Answers like a good server unless its script (method to function) says otherwise."""
+class ScriptedServer:
+    """Answers as a working server would, except for methods that `script` maps to a function."""
 
-    def __init__(self, loop: Loop, ident: int) -> None:
-        self.loop, self.ident, self.ssrc = loop, ident, 0x1000 + ident
+    def __init__(self, loop: Loop, server_id: int) -> None:
+        self.loop, self.server_id, self.ssrc = loop, server_id, 0x1000 + server_id
         self.requests: list[Request] = []
         self.frames: list[tuple[int, memoryview]] = []
-        self.conns: list[Server] = []
-        self.script: dict[str, Callable[[Server, Request], object]] = {}
-        self.listener = listen(loop, ("127.0.0.1", 0), lambda sock, _: self.conns.append(Server(self, sock)))
+        self.connections: list[ServerConnection] = []
+        self.script: dict[str, Callable[[ServerConnection, Request], object]] = {}
+        self.listener = listen(
+            loop, ("127.0.0.1", 0), lambda sock, _: self.connections.append(ServerConnection(self, sock))
+        )
         self.port = self.listener.getsockname()[1]
 
-    def answer(self, conn: Server, request: Request) -> None:
-        if act := self.script.get(request.method):
-            act(conn, request)
+    def answer(self, connection: ServerConnection, request: Request) -> None:
+        if handler := self.script.get(request.method):
+            handler(connection, request)
             return
         if request.method == "SETUP":
             transport = f"Transport: {request.headers.get('Transport')}"
-            conn.reply(request, 200, f"Session: s{self.ident}", transport)
+            connection.reply(request, 200, f"Session: s{self.server_id}", transport)
         elif request.method == "DESCRIBE":
-            conn.reply(request, 200, "Content-Type: application/sdp", body=sdp("t", 60))
+            connection.reply(request, 200, "Content-Type: application/sdp", body=sdp("t", 60))
         else:
-            conn.reply(request, 200, f"Session: s{self.ident}")
+            connection.reply(request, 200, f"Session: s{self.server_id}")
             if request.method == "PLAY":
-                conn.media()
+                connection.media()
 
     def count(self, method: str) -> int:
         return sum(r.method == method for r in self.requests)
 
-    def shut(self) -> None:
+    def close(self) -> None:
         self.loop.watch(self.listener, 0, lambda _: None)
         self.listener.close()
 
 
 class Client(Handler):
-    """A viewer that says what it is told to and keeps what it hears, in order."""
+    """A viewer that sends what a test tells it to and keeps everything received, in order."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self.parser, self.cseq, self.reason = Parser(), 0, ""
-        self.heard: list[Any] = []
+        self.received: list[Any] = []
         self.stream = Stream.connect(loop, address, self, 2.0)
         self.base = f"rtsp://{address[0]}:{address[1]}"
 
     def data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Frames):
-                self.heard += [(c, bytes(p)) for c, p in split_frames(event.data)]
+                self.received += [(c, bytes(p)) for c, p in split_frames(event.data)]
             else:
-                self.heard.append(event)
+                self.received.append(event)
 
     def closed(self, reason: str) -> None:
         self.reason = reason
@@ -132,43 +134,43 @@
 
     @property
     def answers(self) -> list[Response]:
-        return [h for h in self.heard if isinstance(h, Response)]
+        return [h for h in self.received if isinstance(h, Response)]
 
     def answers_to(self, cseq: int) -> list[int]:
         return [r.status for r in self.answers if r.cseq == str(cseq)]
 
     @property
     def media(self) -> list[tuple[int, bytes]]:
-        return [h for h in self.heard if isinstance(h, tuple) and h[0] % 2 == 0]
+        return [h for h in self.received if isinstance(h, tuple) and h[0] % 2 == 0]
 
     @property
     def byes(self) -> int:
-        rtcp = [h[1] for h in self.heard if isinstance(h, tuple) and h[0] % 2]
+        rtcp = [h[1] for h in self.received if isinstance(h, tuple) and h[0] % 2]
         return sum(p.kind == rtp.BYE for data in rtcp for p in rtp.parse_rtcp(data))
 
 
-class Recorder:
-    """Passes everything to the module and keeps it; `script` may answer in the module's place."""
+class RecordingModule:
+    """Passes everything to the decision module and records it; `injected` actions are added to its own."""
 
     def __init__(self, inner: Any) -> None:
         self.inner = inner
         self.events: list[i.Event] = []
         self.actions: list[i.Action] = []
-        self.extra: list[i.Action] = []
+        self.injected: list[i.Action] = []
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
         self.events += events
-        made, self.extra = self.inner.handle(now, events) + self.extra, []
-        self.actions += made
-        return made
+        actions, self.injected = self.inner.handle(now, events) + self.injected, []
+        self.actions += actions
+        return actions
 
-    def told(self, kind: type) -> list[Any]:
+    def events_of(self, kind: type) -> list[Any]:
         return [e for e in self.events if isinstance(e, kind)]
 
 
-class World:
+class FrontHarness:
     def __init__(
-        self, folder: Path, boxes: int = 2, make: Any = decide.Front, limits: str = "", terms: str = TERMS
+        self, folder: Path, servers: int = 2, make: Any = decide.Front, limits: str = "", terms: str = TERMS
     ) -> None:
         self.loop = Loop()
         path = folder / "front.kdl"
@@ -176,9 +178,9 @@
             terms + f'front "f0" hall="hall-a" seed=3 listen="127.0.0.1:0" {{\n limits {limits}\n}}\n'
         )
         self.settings = read_settings(path)
-        self.module = Recorder(None)
+        self.module = RecordingModule(None)
 
-        def build(settings: i.Settings, seed: int) -> Recorder:
+        def build(settings: i.Settings, seed: int) -> RecordingModule:
             self.module.inner = make(settings, seed)
             return self.module
 
@@ -186,76 +188,82 @@
         self.faults: list[Exception] = []
         self.loop.on_error = self.faults.append
         self.address = self.daemon.open()
-        self.boxes = [ScriptedBox(self.loop, n + 1) for n in range(boxes)]
-        self.tell_list(1, full=True)
+        self.servers = [ScriptedServer(self.loop, n + 1) for n in range(servers)]
+        self.apply_server_list(1, full=True)
         self.clients: list[Client] = []
 
-    def box_line(self, box: ScriptedBox, state: int = State.READY, **more: Any) -> Box:
-        at = f"127.0.0.1:{box.port}"
-        return Box(id=box.ident, address=at, kind=0, weight=1.0, cell=0, state=state, **more)
+    def server_entry(self, server: ScriptedServer, state: int = State.READY, **more: Any) -> Box:
+        address = f"127.0.0.1:{server.port}"
+        return Box(id=server.server_id, address=address, kind=0, weight=1.0, cell=0, state=state, **more)
 
-    def tell_list(self, version: int, full: bool = False, lines: list[Box] | None = None) -> None:
-        lines = [self.box_line(b) for b in self.boxes] if lines is None else lines
-        event = self.daemon.list.list.apply(Update(version=version, full=full, boxes=lines))
+    def apply_server_list(self, version: int, full: bool = False, entries: list[Box] | None = None) -> None:
+        entries = [self.server_entry(s) for s in self.servers] if entries is None else entries
+        event = self.daemon.list.list.apply(Update(version=version, full=full, boxes=entries))
         assert event
         self.daemon.bridge.tell(event)
 
-    def client(self) -> Client:
-        made = Client(self.loop, self.address)
-        self.clients.append(made)
-        return made
+    def connect_client(self) -> Client:
+        client = Client(self.loop, self.address)
+        self.clients.append(client)
+        return client
 
-    def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
-        """Runs the loop until the condition holds; fails if it does not in time, or after a fault."""
-        over: list[bool] = []
-        timer = self.loop.call_later(within_s, over.append, True)
-        self.loop.run(until=lambda: bool(over) or bool(condition()))
+    def run_until(self, condition: Callable[[], object], timeout_s: float = TIMEOUT_S) -> None:
+        """Runs the loop until the condition holds; fails after `timeout_s` or after a fault in a callback."""
+        expired: list[bool] = []
+        timer = self.loop.call_later(timeout_s, expired.append, True)
+        self.loop.run(until=lambda: bool(expired) or bool(condition()))
         timer.cancel()
-        assert condition(), f"not within {within_s} s"
+        assert condition(), f"condition not met within {timeout_s} s"
         assert not self.faults, self.faults
 
-    def pass_time(self, seconds: float) -> None:
-        over: list[bool] = []
-        self.loop.call_later(seconds, over.append, True)
-        self.until(lambda: over)
+    def run_for(self, seconds: float) -> None:
+        expired: list[bool] = []
+        self.loop.call_later(seconds, expired.append, True)
+        self.run_until(lambda: expired)
 
-    def ready(self, path: str, channels: str = "0-1", client: Client | None = None) -> tuple[Client, str]:
-        """A viewer whose SETUP was answered: the connection and the session's id."""
-        client = client or self.client()
+    def set_up_session(
+        self, path: str, channels: str = "0-1", client: Client | None = None
+    ) -> tuple[Client, str]:
+        """Sends SETUP and waits for its answer. Returns the viewer and the session's id."""
+        client = client or self.connect_client()
         transport = ("Transport", f"RTP/AVP/TCP;unicast;interleaved={channels}")
         cseq = client.send("SETUP", f"{path}/trackID=0", transport)
-        self.until(lambda: client.answers_to(cseq))
+        self.run_until(lambda: client.answers_to(cseq))
         assert client.answers[-1].status == 200
         return client, client.answers[-1].session
 
-    def play(self, path: str, channels: str = "0-1", client: Client | None = None) -> tuple[Client, str, int]:
-        client, session = self.ready(path, channels, client)
+    def send_play(
+        self, path: str, channels: str = "0-1", client: Client | None = None
+    ) -> tuple[Client, str, int]:
+        client, session = self.set_up_session(path, channels, client)
         return client, session, client.send("PLAY", path, ("Session", session))
 
-    def playing(self, path: str, channels: str = "0-1", client: Client | None = None) -> tuple[Client, str]:
-        client, session, cseq = self.play(path, channels, client)
-        self.until(lambda: client.answers_to(cseq) and client.media)
+    def play_session(
+        self, path: str, channels: str = "0-1", client: Client | None = None
+    ) -> tuple[Client, str]:
+        client, session, cseq = self.send_play(path, channels, client)
+        self.run_until(lambda: client.answers_to(cseq) and client.media)
         assert client.answers_to(cseq) == [200]
         return client, session
 
-    def playing_at(self) -> ScriptedBox:
-        """The box that the newest attempt that plays is at."""
-        ident = self.module.told(i.Playing)[-1].server
-        return next(b for b in self.boxes if b.ident == ident)
+    def playing_server(self) -> ScriptedServer:
+        """The server of the latest attempt that started to play."""
+        server_id = self.module.events_of(i.Playing)[-1].server
+        return next(s for s in self.servers if s.server_id == server_id)
 
-    def set_ups(self) -> int:
-        return sum(b.count("SETUP") for b in self.boxes)
+    def set_up_count(self) -> int:
+        return sum(s.count("SETUP") for s in self.servers)
 
     def close(self) -> None:
         for client in self.clients:
             if client.stream.open:
                 client.stream.abort()
-        for box in self.boxes:
-            for conn in box.conns:
-                if conn.stream.open:
-                    conn.stream.abort()
-            if box.listener.fileno() >= 0:
-                box.shut()
+        for server in self.servers:
+            for connection in server.connections:
+                if connection.stream.open:
+                    connection.stream.abort()
+            if server.listener.fileno() >= 0:
+                server.close()
         for sock in self.daemon.listeners:
             if sock.fileno() >= 0:
                 self.loop.watch(sock, 0, lambda _: None)
--- a/tests/front/process_harness.py
+++ b/tests/front/process_harness.py
@@ -1,4 +1,4 @@
-"""Fronts as processes of their own, scripted servers and viewers on one loop, on loopback sockets."""
+"""Test harness: fronts as separate processes; scripted servers and viewers on one event loop, on loopback."""
 
 from __future__ import annotations
 
@@ -11,44 +11,45 @@
 from lemonhall.boxlist import Box, State, Update, delimit
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import rtp
-from tests.front.harness import TERMS, Client, ScriptedBox, Server
+from tests.front.harness import TERMS, Client, ScriptedServer, ServerConnection
 
-WAIT_S = 40.0  # far more than anything takes, also where others keep the machine busy
-EVERY_S = 0.01  # a packet of each session
+TIMEOUT_S = 40.0  # far more than any step takes, also on a busy machine
+PACKET_INTERVAL_S = 0.01  # between packets of each session
 
 
 class ListService(Handler):
-    """One full list to whoever asks, then silence."""
+    """Sends one full server list to each client, then nothing more."""
 
-    def __init__(self, loop: Loop, boxes: list[ScriptedBox]) -> None:
-        self.loop, self.boxes, self.streams = loop, boxes, list[Stream]()
+    def __init__(self, loop: Loop, servers: list[ScriptedServer]) -> None:
+        self.loop, self.servers, self.streams = loop, servers, list[Stream]()
         self.listener = listen(loop, ("127.0.0.1", 0), self.accept)
         self.port = self.listener.getsockname()[1]
 
     def accept(self, sock: object, _: object) -> None:
         stream = Stream(self.loop, sock, self)  # type: ignore[arg-type]
-        lines = [
-            Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
+        entries = [
+            Box(id=s.server_id, address=f"127.0.0.1:{s.port}", weight=1.0, state=State.READY)
+            for s in self.servers
         ]
-        body = delimit(Update(version=1, full=True, boxes=lines))
+        body = delimit(Update(version=1, full=True, boxes=entries))
         stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/x-protobuf\r\n\r\n" + body)
         self.streams.append(stream)
 
 
-class Site:
-    def __init__(self, folder: Path, terms: str = TERMS, fields: str = "") -> None:
-        self.folder, self.loop, self.fields = folder, Loop(), fields
-        self.boxes = [ScriptedBox(self.loop, n + 1) for n in range(2)]
-        for box in self.boxes:
-            box.script["PLAY"] = self.play
-        self.list = ListService(self.loop, self.boxes)
-        self.flowing: list[Server] = []
+class ProcessHarness:
+    def __init__(self, folder: Path, terms: str = TERMS, front_options: str = "") -> None:
+        self.folder, self.loop, self.front_options = folder, Loop(), front_options
+        self.servers = [ScriptedServer(self.loop, n + 1) for n in range(2)]
+        for server in self.servers:
+            server.script["PLAY"] = self.on_play
+        self.list = ListService(self.loop, self.servers)
+        self.streaming: list[ServerConnection] = []
         self.clients: list[tuple[Client, str]] = []
         self.processes: list[subprocess.Popen[str]] = []
-        self.write("front.kdl", terms)
-        self.loop.call_later(EVERY_S, self.flow)
+        self.write_settings("front.kdl", terms)
+        self.loop.call_later(PACKET_INTERVAL_S, self.send_media)
 
-    def write(self, name: str, terms: str, store: str = 'store "front.store" size=(MB)4') -> Path:
+    def write_settings(self, name: str, terms: str, store: str = 'store "front.store" size=(MB)4') -> Path:
         path = self.folder / name
         path.write_text(
             terms
@@ -60,29 +61,29 @@
         )
         return path
 
-    def play(self, conn: Server, request: object) -> None:
-        conn.reply(request, 200, "Session: s")  # type: ignore[arg-type]
-        conn.media()
-        self.flowing.append(conn)
-
-    def flow(self) -> None:
-        for conn in self.flowing:
-            if conn.open:
-                conn.media()
-        self.loop.call_later(EVERY_S, self.flow)
-
-    def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
-        over: list[bool] = []
-        timer = self.loop.call_later(within_s, over.append, True)
-        self.loop.run(until=lambda: bool(over) or bool(condition()))
+    def on_play(self, connection: ServerConnection, request: object) -> None:
+        connection.reply(request, 200, "Session: s")  # type: ignore[arg-type]
+        connection.media()
+        self.streaming.append(connection)
+
+    def send_media(self) -> None:
+        for connection in self.streaming:
+            if connection.open:
+                connection.media()
+        self.loop.call_later(PACKET_INTERVAL_S, self.send_media)
+
+    def run_until(self, condition: Callable[[], object], timeout_s: float = TIMEOUT_S) -> None:
+        expired: list[bool] = []
+        timer = self.loop.call_later(timeout_s, expired.append, True)
+        self.loop.run(until=lambda: bool(expired) or bool(condition()))
         timer.cancel()
-        assert condition(), f"not within {within_s} s"
+        assert condition(), f"condition not met within {timeout_s} s"
 
-    def serve(self, *words: str, settings: str = "front.kdl") -> subprocess.Popen[str]:
+    def start_front(self, *arguments: str, settings: str = "front.kdl") -> subprocess.Popen[str]:
         log = open(self.folder / f"log-{len(self.processes)}", "w")  # noqa: SIM115
         child = subprocess.Popen(
             [sys.executable, "-m", "lemonhall", "--log-format", "json", "serve"]
-            + [str(self.folder / settings), *words],
+            + [str(self.folder / settings), *arguments],
             stdout=subprocess.PIPE,
             stderr=log,
             stdin=subprocess.DEVNULL,
@@ -92,35 +93,35 @@
         self.processes.append(child)
         return child
 
-    def started(self, child: subprocess.Popen[str]) -> tuple[str, int]:
-        """Where it serves, once it says so; media flow meanwhile."""
-        said: list[str] = []
+    def serving_address(self, child: subprocess.Popen[str]) -> tuple[str, int]:
+        """Waits until the front prints the address it serves at; media flow meanwhile."""
+        output: list[str] = []
         assert child.stdout
-        out = child.stdout
+        stdout = child.stdout
 
         def on_ready(_: int) -> None:
-            self.loop.watch(out, 0, on_ready)
-            said.append(out.readline())
+            self.loop.watch(stdout, 0, on_ready)
+            output.append(stdout.readline())
 
-        self.loop.watch(out, 1, on_ready)
-        self.until(lambda: said)
-        host, _, port = json.loads(said[0])["serving"].rpartition(":")
+        self.loop.watch(stdout, 1, on_ready)
+        self.run_until(lambda: output)
+        host, _, port = json.loads(output[0])["serving"].rpartition(":")
         return host, int(port)
 
-    def ended(self, child: subprocess.Popen[str]) -> int:
-        self.until(lambda: child.poll() is not None)
+    def exit_status(self, child: subprocess.Popen[str]) -> int:
+        self.run_until(lambda: child.poll() is not None)
         return child.returncode
 
-    def viewer(self, at: tuple[str, int], path: str, claim: str = "") -> tuple[Client, int, str]:
-        client = Client(self.loop, at)
+    def play_session(self, address: tuple[str, int], path: str, claim: str = "") -> tuple[Client, int, str]:
+        client = Client(self.loop, address)
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
         more = [("X-Claim", claim)] if claim else []
         cseq = client.send("SETUP", f"{path}/trackID=0", transport, *more)
-        self.until(lambda: client.answers_to(cseq))
+        self.run_until(lambda: client.answers_to(cseq))
         answer = client.answers[-1]
         assert answer.status == 200
         cseq = client.send("PLAY", path, ("Session", answer.session))
-        self.until(lambda: client.answers_to(cseq))
+        self.run_until(lambda: client.answers_to(cseq))
         status = client.answers[-1].status
         if status == 200:
             self.clients.append((client, answer.session))
@@ -128,18 +129,18 @@
             client.stream.abort()
         return client, status, answer.headers.get("X-Claim")
 
-    def playing(self, at: tuple[str, int], count: int) -> None:
+    def play_sessions(self, address: tuple[str, int], count: int) -> None:
         for n in range(count):
-            assert self.viewer(at, f"/browse/{n}")[1] == 200
-        self.until(lambda: all(c.media for c, _ in self.clients))
+            assert self.play_session(address, f"/browse/{n}")[1] == 200
+        self.run_until(lambda: all(c.media for c, _ in self.clients))
 
-    def open(self) -> list[Client]:
+    def open_clients(self) -> list[Client]:
         return [c for c, _ in self.clients if c.stream.open]
 
-    def no_gap(self, clients: list[Client]) -> None:
-        """From here on a packet more for each, and from the first to the last none is missing."""
-        had = {id(c): len(c.media) for c in clients}
-        self.until(lambda: all(len(c.media) > had[id(c)] for c in clients))
+    def assert_no_gap(self, clients: list[Client]) -> None:
+        """Waits for one more packet to each client; no sequence number may be missing from the first on."""
+        before = {id(c): len(c.media) for c in clients}
+        self.run_until(lambda: all(len(c.media) > before[id(c)] for c in clients))
         for client in clients:
             sequences = [rtp.parse_rtp(data).sequence for _, data in client.media]
             assert sequences == list(range(sequences[0], sequences[0] + len(sequences)))
@@ -154,11 +155,11 @@
         for stream in [*(c.stream for c, _ in self.clients), *self.list.streams]:
             if stream.open:
                 stream.abort()
-        for box in self.boxes:
-            for conn in box.conns:
-                if conn.stream.open:
-                    conn.stream.abort()
-            box.shut()
+        for server in self.servers:
+            for connection in server.connections:
+                if connection.stream.open:
+                    connection.stream.abort()
+            server.close()
         self.loop.watch(self.list.listener, 0, lambda _: None)
         self.list.listener.close()
         self.loop.close()
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -21,21 +21,21 @@
 from lemonhall.front.keeping import capturing
 from lemonhall.front.keeping.capturing import Capturer, header_of
 from lemonhall.problem import BadInput
-from tests.front.harness import World
+from tests.front.harness import FrontHarness
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 
 
 def steps_of(data: bytes) -> list[Any]:
     return list(Replay(why=True).run(read_capture(data).records))
 
 
-def test_what_a_front_decided_is_decided_again(world: Build) -> None:
-    w = world()
-    client, session = w.playing("/browse/a")
-    w.playing("/claims/a")
+def test_what_a_front_decided_is_decided_again(make_front: Build) -> None:
+    w = make_front()
+    client, session = w.play_session("/browse/a")
+    w.play_session("/claims/a")
     client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: w.module.told(i.AttemptEnded))
+    w.run_until(lambda: w.module.events_of(i.AttemptEnded))
     assert w.daemon.capture
     made = steps_of(w.daemon.capture.save())
     steps = [s for s in made if isinstance(s, Step)]
@@ -49,9 +49,9 @@
     return subprocess.run(command, capture_output=True, text=True, stdin=subprocess.DEVNULL)
 
 
-def test_the_command_line(world: Build, tmp_path: Path) -> None:
-    w = world()
-    _, session = w.playing("/browse/a")
+def test_the_command_line(make_front: Build, tmp_path: Path) -> None:
+    w = make_front()
+    _, session = w.play_session("/browse/a")
     assert w.daemon.capture
     path = tmp_path / "one.lhc"
     path.write_bytes(w.daemon.capture.save())
@@ -157,10 +157,10 @@
     to.close()
 
 
-def test_viewers_are_hidden_by_a_key_and_a_missing_key_is_named(world: Build, tmp_path: Path) -> None:
+def test_viewers_are_hidden_by_a_key_and_a_missing_key_is_named(make_front: Build, tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_bytes(b"k" * 32)
-    w = world()
+    w = make_front()
     told = i.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
     made = []
     for path in (str(key), ""):
@@ -174,9 +174,9 @@
         Capturer(CaptureSettings(key=str(tmp_path / "none")), header_of(w.settings))
 
 
-def test_a_running_front_is_asked_for_its_last_minutes(world: Build, tmp_path: Path) -> None:
-    w = world()
-    w.playing("/browse/a")
+def test_a_running_front_is_asked_for_its_last_minutes(make_front: Build, tmp_path: Path) -> None:
+    w = make_front()
+    w.play_session("/browse/a")
     from lemonhall.front.process import status_server
     from lemonhall.loop import listen
 
@@ -190,6 +190,6 @@
 
     thread = Thread(target=fetch)
     thread.start()
-    w.until(lambda: got)
+    w.run_until(lambda: got)
     thread.join()
     assert [s.same for s in steps_of(got[0]) if isinstance(s, Step)]
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -16,7 +16,7 @@
 from lemonhall.loop import Loop
 from lemonhall.rtsp import Request, Response
 from lemonhall.store import Standing, Token
-from tests.front.harness import TERMS, WAIT_S, Client, ScriptedBox, Server
+from tests.front.harness import TERMS, TIMEOUT_S, Client, ScriptedServer, ServerConnection
 
 PAID, FREE = "/claims/a", "/browse/a"
 
@@ -36,7 +36,7 @@
         self.faults: list[Exception] = []
         self.ports = [free_udp() for _ in range(fronts)]
         (folder / "keys").write_text("1 " + "ab" * 16 + "\n")
-        self.boxes = [ScriptedBox(self.loop, n + 1) for n in range(2)]
+        self.boxes = [ScriptedServer(self.loop, n + 1) for n in range(2)]
         self.fronts: dict[int, Daemon] = {}
         self.at: dict[int, tuple[str, int]] = {}
         self.clients: list[Client] = []
@@ -67,7 +67,8 @@
         self.loop.on_error = self.faults.append
         self.at[n] = daemon.open()
         lines = [
-            Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
+            Box(id=b.server_id, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY)
+            for b in self.boxes
         ]
         event = daemon.list.list.apply(Update(version=1, full=True, boxes=lines))
         assert event
@@ -93,7 +94,7 @@
         self.loop.after_pass.remove(daemon.bridge.flush)
         keeper.close()
 
-    def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
+    def until(self, condition: Callable[[], object], within_s: float = TIMEOUT_S) -> None:
         over: list[bool] = []
         timer = self.loop.call_later(within_s, over.append, True)
         self.loop.run(until=lambda: bool(over) or bool(condition()))
@@ -144,7 +145,7 @@
     def set_ups(self) -> int:
         return sum(b.count("SETUP") for b in self.boxes)
 
-    def script(self, method: str, act: Callable[[Server, Request], object]) -> None:
+    def script(self, method: str, act: Callable[[ServerConnection, Request], object]) -> None:
         for box in self.boxes:
             box.script[method] = act
 
@@ -157,10 +158,10 @@
         for n in list(self.fronts):
             self.kill(n)
         for box in self.boxes:
-            for conn in box.conns:
+            for conn in box.connections:
                 if conn.stream.open:
                     conn.stream.abort()
-            box.shut()
+            box.close()
         self.loop.close()
 
 
@@ -171,11 +172,11 @@
     made.close()
 
 
-def silent(conn: Server, request: Request) -> None:
+def silent(conn: ServerConnection, request: Request) -> None:
     """Takes the request and says nothing."""
 
 
-def full(conn: Server, request: Request) -> None:
+def full(conn: ServerConnection, request: Request) -> None:
     conn.reply(request, 453)
 
 
@@ -195,7 +196,7 @@
 def test_no_set_up_leaves_before_its_attempt_is_on_disk(site: Site) -> None:
     let_go = site.block(0)
     client, claim, play = site.ask(0)
-    site.until(lambda: any(b.conns for b in site.boxes))  # the connection may be made meanwhile
+    site.until(lambda: any(b.connections for b in site.boxes))  # the connection may be made meanwhile
     free, _, free_play = site.ask(0, FREE)
     assert site.answer(free, free_play).status == 200  # and nobody else waits
     paid = [r for b in site.boxes for r in b.requests if "/claims/" in r.url]
@@ -312,7 +313,9 @@
     assert keeper.counts["damaged"]
 
 
-def test_a_front_that_drains_says_so_at_once_and_speaks_for_its_claims_to_the_end(site: Site) -> None:
+def test_a_front_that_drains_says_so_at_once_and_speaks_for_its_claims_to_the_end(
+    site: Site,
+) -> None:
     client, claim, play = site.ask(0)
     assert site.answer(client, play).status == 200
     other = site.fronts[1].membership
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -27,10 +27,10 @@
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import Request
 from lemonhall.rtsp.messages import make_response
-from tests.front.harness import TERMS, World
+from tests.front.harness import TERMS, FrontHarness
 from tests.ports import free_port
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 
 
 class ListServer:
@@ -165,12 +165,12 @@
     stranger.close()
 
 
-def test_peer_messages_and_probes_of_the_module_are_carried_out(world: Build) -> None:
-    w = world()
-    w.module.extra += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
+def test_peer_messages_and_probes_of_the_module_are_carried_out(make_front: Build) -> None:
+    w = make_front()
+    w.module.injected += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
     w.daemon.bridge.call()
-    w.until(lambda: len(w.module.told(i.ProbeEnded)) == 2)
-    assert {e.server: e.outcome for e in w.module.told(i.ProbeEnded)} == {1: 200, 77: 502}
+    w.run_until(lambda: len(w.module.events_of(i.ProbeEnded)) == 2)
+    assert {e.server: e.outcome for e in w.module.events_of(i.ProbeEnded)} == {1: 200, 77: 502}
     assert w.daemon.bridge.undone == 0
 
 
@@ -187,30 +187,30 @@
     assert choose([cold, server(4)], 10_000.0, 5000.0, {4}, Random(1)) == 3
 
 
-def test_a_description_is_shared_by_all_who_ask_and_a_failed_one_tried_elsewhere(world: Build) -> None:
-    w = world()
+def test_a_description_is_shared_by_all_who_ask_and_a_failed_one_tried_elsewhere(make_front: Build) -> None:
+    w = make_front()
     failed = []
 
     def fail_first(conn: Any, request: Any) -> None:
         failed.append(conn.box)
         conn.box.script.clear()
-        for box in w.boxes:
+        for box in w.servers:
             box.script.clear()
         conn.stream.write(make_response(500, request.cseq).encode())
 
-    for box in w.boxes:
+    for box in w.servers:
         box.script["DESCRIBE"] = fail_first
-    clients = [w.client() for _ in range(5)]
+    clients = [w.connect_client() for _ in range(5)]
     for client in clients:
         client.send("DESCRIBE", "/browse/a")
-    w.until(lambda: all(c.answers for c in clients))
+    w.run_until(lambda: all(c.answers for c in clients))
     assert {c.answers[0].status for c in clients} == {200}
-    assert sum(b.count("DESCRIBE") for b in w.boxes) == 2 and len(failed) == 1
+    assert sum(b.count("DESCRIBE") for b in w.servers) == 2 and len(failed) == 1
     assert b"trackID=0" in clients[0].answers[0].body
-    for box in w.boxes:
+    for box in w.servers:
         box.script["DESCRIBE"] = lambda conn, request: conn.reply(request, 404)
     cseq = clients[0].send("DESCRIBE", "/browse/missing")
-    w.until(lambda: clients[0].answers_to(cseq) == [404])
+    w.run_until(lambda: clients[0].answers_to(cseq) == [404])
 
 
 def get(address: tuple[str, int], path: str) -> tuple[int, str]:
@@ -308,18 +308,18 @@
     assert process.popen.returncode == 2 and "defines no Front" in errors
 
 
-def test_a_front_writes_what_was_asked_for_the_model(world: Build, tmp_path: Path) -> None:
+def test_a_front_writes_what_was_asked_for_the_model(make_front: Build, tmp_path: Path) -> None:
     from lemonhall.config.day import read_day
     from lemonhall.front.keeping.record import Recorder
     from lemonhall.model.record import wishes_of
 
-    w = world()
+    w = make_front()
     recorder = w.daemon.asks.recorder = Recorder(tmp_path / "asked.parquet", w.settings, 0.0)
-    client, session = w.playing("/browse/title-7")
-    w.pass_time(0.1)
+    client, session = w.play_session("/browse/title-7")
+    w.run_for(0.1)
     cseq = client.send("TEARDOWN", "/browse/title-7", ("Session", session))
-    w.until(lambda: client.answers_to(cseq))
-    w.playing("/claims/title-3", client=w.client())
+    w.run_until(lambda: client.answers_to(cseq))
+    w.play_session("/claims/title-3", client=w.connect_client())
     recorder.stop()
     day = tmp_path / "day.kdl"
     rest = (
@@ -332,16 +332,16 @@
     assert 50 < asked[0].length_ms < 5000 and asked[1].length_ms == asked[0].length_ms
 
 
-def test_viewers_of_a_front_that_drains_are_shown_another_and_play_on(world: Build) -> None:
-    w = world()
-    client, session = w.playing("/browse/a")
+def test_viewers_of_a_front_that_drains_are_shown_another_and_play_on(make_front: Build) -> None:
+    w = make_front()
+    client, session = w.play_session("/browse/a")
     w.daemon.settings = replace(w.daemon.settings, drain_to="192.0.2.7:554")
     w.daemon.drain()
-    w.until(lambda: any(isinstance(h, Request) for h in client.heard))
-    asked = next(h for h in client.heard if isinstance(h, Request))
+    w.run_until(lambda: any(isinstance(h, Request) for h in client.received))
+    asked = next(h for h in client.received if isinstance(h, Request))
     assert asked.method == "REDIRECT" and asked.session == session
     assert asked.headers.get("Location") == "rtsp://192.0.2.7:554/browse/a"
     client.stream.write(f"RTSP/1.0 200 OK\r\nCSeq: {asked.cseq}\r\nSession: {session}\r\n\r\n".encode())
     had = len(client.media)
-    w.playing_at().conns[-1].media()
-    w.until(lambda: len(client.media) > had)
+    w.playing_server().connections[-1].media()
+    w.run_until(lambda: len(client.media) > had)
--- a/tests/front/test_halls.py
+++ b/tests/front/test_halls.py
@@ -13,21 +13,21 @@
 import pytest
 
 from tests.front.harness import TERMS
-from tests.front.process_harness import Site
+from tests.front.process_harness import ProcessHarness
 
 SPILL = 'spill "hall-a" to="hall-b" share=(%)25\nspilling notice=(ms)300 trial=(ms)300 ramp=(s)1\n'
 HALLS = TERMS.replace('halls "hall-a"', 'halls "hall-a" "hall-b"') + SPILL
-Make = Callable[..., Site]
+Make = Callable[..., ProcessHarness]
 
 
 @pytest.fixture
 def make(tmp_path: Path) -> Iterator[Make]:
-    made: list[Site] = []
+    made: list[ProcessHarness] = []
 
-    def build(terms: str = HALLS, fields: str = "") -> Site:
+    def build(terms: str = HALLS, fields: str = "") -> ProcessHarness:
         folder = tmp_path / str(len(made))
         folder.mkdir()
-        made.append(Site(folder, terms, f'status="127.0.0.1:0" {fields}'))
+        made.append(ProcessHarness(folder, terms, f'status="127.0.0.1:0" {fields}'))
         return made[-1]
 
     yield build
@@ -35,13 +35,13 @@
         each.close()
 
 
-def status_of(site: Site, nth: int) -> str:
+def status_of(site: ProcessHarness, nth: int) -> str:
     """Where its pages are, as its log says."""
     lines = [json.loads(x) for x in (site.folder / f"log-{nth}").read_text().splitlines() if x[:1] == "{"]
     return str(next(x["status"] for x in lines if x["event"] == "serving"))
 
 
-def halls(site: Site, *words: str) -> tuple[int, str, dict[str, Any]]:
+def halls(site: ProcessHarness, *words: str) -> tuple[int, str, dict[str, Any]]:
     """The command, while the site goes on. Its exit code, what it said, its JSON."""
     child = subprocess.Popen(
         [sys.executable, "-m", "lemonhall", "halls", *words, "--json"],
@@ -50,7 +50,7 @@
         stdin=subprocess.DEVNULL,
         text=True,
     )
-    site.until(lambda: child.poll() is not None)
+    site.run_until(lambda: child.poll() is not None)
     assert child.stdout
     said = child.stdout.read()
     child.stdout.close()
@@ -65,34 +65,34 @@
 @pytest.mark.parametrize("fields", ["", "workers=1"])
 def test_a_hall_is_held_out_over_a_restart_and_let_in_again(make: Make, fields: str) -> None:
     site = make(fields=fields)
-    front = site.serve()
-    at, status = site.started(front), status_of(site, 0)
-    assert site.viewer(at, "/browse/a")[1] == 200
+    front = site.start_front()
+    at, status = site.serving_address(front), status_of(site, 0)
+    assert site.play_session(at, "/browse/a")[1] == 200
     assert state(halls(site, "show", status)[2], "hall-a")["state"] == "up"
     told = halls(site, "hold", status, "hall-a")[2]
     assert state(told, "hall-a")["state"] == "dark" and state(told, "hall-a")["held_out"]
-    assert site.viewer(at, "/browse/b")[1] in (453, 503)  # hall-b has no server: refused, at once
-    assert len(site.open()) == 1  # what played goes on
+    assert site.play_session(at, "/browse/b")[1] in (453, 503)  # hall-b has no server: refused, at once
+    assert len(site.open_clients()) == 1  # what played goes on
     front.send_signal(signal.SIGTERM)
-    assert site.ended(front) == 0
-    again = site.serve()
-    at = site.started(again)
+    assert site.exit_status(front) == 0
+    again = site.start_front()
+    at = site.serving_address(again)
     status = status_of(site, 1)
     code, said, told = halls(site, "show", status)
     assert code == 1 and state(told, "hall-a")["held_out"] and "held out" in said
-    assert site.viewer(at, "/browse/c")[1] in (453, 503)
+    assert site.play_session(at, "/browse/c")[1] in (453, 503)
     halls(site, "release", status, "hall-a")
     tries = 0
     while state(halls(site, "show", status)[2], "hall-a")["state"] != "up":
         tries += 1
         assert tries < 200
-    assert site.viewer(at, "/browse/d")[1] == 200
+    assert site.play_session(at, "/browse/d")[1] == 200
 
 
 def test_a_hall_that_is_not_there_and_a_front_without_halls_are_named(make: Make) -> None:
     site = make()
-    front = site.serve()
-    site.started(front)
+    front = site.start_front()
+    site.serving_address(front)
     code, said, _ = halls(site, "hold", status_of(site, 0), "hall-x")
     assert code == 2 and "no hall 'hall-x'; there are hall-a hall-b" in said
     plain = make(terms=TERMS)
@@ -107,14 +107,14 @@
 @pytest.mark.parametrize("fields", ["", "workers=1"])
 def test_a_successor_holds_out_what_was_held_out(make: Make, fields: str) -> None:
     site = make(fields=fields)
-    old = site.serve()
-    at = site.started(old)
-    assert site.viewer(at, "/browse/a")[1] == 200
+    old = site.start_front()
+    at = site.serving_address(old)
+    assert site.play_session(at, "/browse/a")[1] == 200
     halls(site, "hold", status_of(site, 0), "hall-a")
-    new = site.serve("--replace")
-    at = site.started(new)
+    new = site.start_front("--replace")
+    at = site.serving_address(new)
     told = halls(site, "show", status_of(site, 1))[2]
     assert state(told, "hall-a")["held_out"]
-    assert site.viewer(at, "/browse/b")[1] in (453, 503)
-    assert len(site.open()) == 1
-    site.no_gap(site.open())
+    assert site.play_session(at, "/browse/b")[1] in (453, 503)
+    assert len(site.open_clients()) == 1
+    site.assert_no_gap(site.open_clients())
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -13,20 +13,20 @@
 from lemonhall.config.settings import read_settings
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Loop
-from tests.front.harness import TERMS, World
+from tests.front.harness import TERMS, FrontHarness
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 HALLS = TERMS.replace('halls "hall-a"', 'halls "hall-a" "hall-b"')
 
 
 @pytest.fixture
-def hooked(world: Build, tmp_path: Path) -> Build:
+def hooked(make_front: Build, tmp_path: Path) -> Build:
     """A world whose front has these scripts in a folder, which `put` fills anew."""
 
-    def build(*texts: str, node: str = "", terms: str = HALLS, **options: Any) -> World:
+    def build(*texts: str, node: str = "", terms: str = HALLS, **options: Any) -> FrontHarness:
         put(tmp_path, *texts)
         terms = terms + f'hooks {node} {{ folder "hooks.d"; }}\n'
-        return world(terms=terms, **options)
+        return make_front(terms=terms, **options)
 
     return build
 
@@ -40,117 +40,119 @@
         (hooks / f"s{n}.hook").write_text(text)
 
 
-def reload(w: World) -> bool:
+def reload(w: FrontHarness) -> bool:
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
     w.daemon.hooks.reload()
-    w.until(lambda: ended, 30)
+    w.run_until(lambda: ended, 30)
     return ended[0]
 
 
-def in_halls(w: World) -> None:
+def in_halls(w: FrontHarness) -> None:
     """The first half of the boxes in hall-a, the others in hall-b."""
-    lines = [w.box_line(b) for b in w.boxes]
+    lines = [w.server_entry(b) for b in w.servers]
     for n, line in enumerate(lines):
         line.zone = int(n >= len(lines) / 2)
-    w.tell_list(2, True, lines)
+    w.apply_server_list(2, True, lines)
 
 
 def test_a_hall_is_preferred_while_it_has_room(hooked: Build) -> None:
-    w = hooked('on arrival { prefer hall "hall-b" }', boxes=4)
+    w = hooked('on arrival { prefer hall "hall-b" }', servers=4)
     in_halls(w)
     for _ in range(8):
-        w.playing("/browse/a")
-    assert {p.server for p in w.module.told(i.Playing)} <= {3, 4}
+        w.play_session("/browse/a")
+    assert {p.server for p in w.module.events_of(i.Playing)} <= {3, 4}
 
 
 def test_a_preference_does_not_refuse(hooked: Build) -> None:
     """Preferred servers that drain are not used, and the others serve."""
-    w = hooked('on arrival { prefer hall "hall-b" }', boxes=4)
-    lines = [w.box_line(b) for b in w.boxes[:2]]
-    lines += [w.box_line(b, State.DRAINING, zone=1) for b in w.boxes[2:]]
-    w.tell_list(2, True, [*lines])
-    w.playing("/browse/a")
-    assert w.boxes[2].count("SETUP") + w.boxes[3].count("SETUP") == 0
+    w = hooked('on arrival { prefer hall "hall-b" }', servers=4)
+    lines = [w.server_entry(b) for b in w.servers[:2]]
+    lines += [w.server_entry(b, State.DRAINING, zone=1) for b in w.servers[2:]]
+    w.apply_server_list(2, True, [*lines])
+    w.play_session("/browse/a")
+    assert w.servers[2].count("SETUP") + w.servers[3].count("SETUP") == 0
 
 
 def test_a_refusal_by_a_hook_is_at_once_and_has_its_reason(hooked: Build) -> None:
     w = hooked('on arrival when class == "browse-clip" { refuse "closed for the night" }')
-    client, _, cseq = w.play("/browse/a")
-    w.until(lambda: client.answers_to(cseq))
+    client, _, cseq = w.send_play("/browse/a")
+    w.run_until(lambda: client.answers_to(cseq))
     answer = client.answers[-1]
     assert (answer.status, answer.reason) == (503, "closed for the night")
-    assert answer.headers.get("Retry-After") and w.set_ups() == 0
-    w.playing("/claims/a", client=w.client())
+    assert answer.headers.get("Retry-After") and w.set_up_count() == 0
+    w.play_session("/claims/a", client=w.connect_client())
 
 
 def test_the_lowest_rung_for_a_paid_view_is_overruled(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0\n ask rung 0 }\non change { cap rung 0 }")
-    w.playing("/claims/a")
-    told = w.module.told(i.NewSession)[-1]
+    w.play_session("/claims/a")
+    told = w.module.events_of(i.NewSession)[-1]
     assert told.advice.cap == 1 and w.daemon.hooks.engine.overruled
     rungs = [a.rung for a in w.module.actions if isinstance(a, i.SetRung)]
     assert rungs and min(rungs) >= 1
-    bits = [int(r.headers.get("Bandwidth")) for b in w.boxes for r in b.requests if "Bandwidth" in r.headers]
+    bits = [
+        int(r.headers.get("Bandwidth")) for b in w.servers for r in b.requests if "Bandwidth" in r.headers
+    ]
     assert bits and min(bits) >= 20 * 8000
 
 
 def test_a_cap_holds_for_the_whole_session(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 1 }")
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     assert max(a.rung for a in w.module.actions if isinstance(a, i.SetRung)) == 1
 
 
 def test_a_class_is_counted_as_another_with_the_true_deadline(hooked: Build) -> None:
     terms_cls = 'on arrival when class == "browse-clip" { count as "claim-view" }'
     w = hooked(terms_cls)
-    w.playing("/browse/a")
-    told = w.module.told(i.NewSession)[-1]
+    w.play_session("/browse/a")
+    told = w.module.events_of(i.NewSession)[-1]
     assert told.cls == 0 and 1000 < told.left_ms <= 1400
 
 
 def test_a_break_is_heard_before_the_module_tries_again(hooked: Build) -> None:
-    w = hooked('on break { avoid hall "hall-a"\n log "outcome" = outcome }', boxes=2)
+    w = hooked('on break { avoid hall "hall-a"\n log "outcome" = outcome }', servers=2)
     in_halls(w)
-    for box in w.boxes:
+    for box in w.servers:
         box.script["SETUP"] = lambda conn, request: conn.reply(request, 500)
-    client, _, cseq = w.play("/browse/a")
-    w.until(lambda: client.answers_to(cseq))
+    client, _, cseq = w.send_play("/browse/a")
+    w.run_until(lambda: client.answers_to(cseq))
     kinds = [type(e) for e in w.module.events]
     assert kinds.index(i.Advised) < kinds.index(i.AttemptEnded)
-    assert w.module.told(i.Advised)[0].advice.avoid == (("zone", 0),)
+    assert w.module.events_of(i.Advised)[0].advice.avoid == (("zone", 0),)
 
 
 def test_a_paid_session_is_never_sent_again_by_a_hook(hooked: Build) -> None:
     w = hooked(
         'on break { prefer hall "hall-b"\n avoid hall "hall-a" }\non arrival { prefer hall "hall-a" }',
-        boxes=2,
+        servers=2,
     )
     in_halls(w)
-    for box in w.boxes:
+    for box in w.servers:
         box.script["SETUP"] = lambda conn, request: conn.stream.abort()
-    client, _, cseq = w.play("/claims/a")
-    w.until(lambda: client.answers_to(cseq))
-    assert client.answers_to(cseq) == [502] and w.set_ups() == 1
+    client, _, cseq = w.send_play("/claims/a")
+    w.run_until(lambda: client.answers_to(cseq))
+    assert client.answers_to(cseq) == [502] and w.set_up_count() == 1
 
 
 def test_a_change_of_rung_stands_and_the_next_obeys(hooked: Build) -> None:
     w = hooked("on change when rung == 2 { cap rung 1 }")
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     ask = next(iter(w.daemon.asks.open))
-    w.module.extra.append(i.SetRung(ask, 2))
+    w.module.injected.append(i.SetRung(ask, 2))
     w.daemon.bridge.tell(i.TimerDue(99))
-    w.until(lambda: w.module.told(i.Advised))
-    w.until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
-    assert w.module.told(i.Advised)[0].advice.cap == 1
+    w.run_until(lambda: w.module.events_of(i.Advised))
+    w.run_until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
+    assert w.module.events_of(i.Advised)[0].advice.cap == 1
 
 
 def test_refusals_are_heard_and_counted(hooked: Build) -> None:
     text = 'on refusal { metric "heard" }\non arrival when refusals(10s) > 1 { metric "busy" }'
-    w = hooked(text, boxes=0)
+    w = hooked(text, servers=0)
     for _ in range(4):
-        client, _, cseq = w.play("/browse/a")
-        w.until(lambda c=client, n=cseq: c.answers_to(n))
+        client, _, cseq = w.send_play("/browse/a")
+        w.run_until(lambda c=client, n=cseq: c.answers_to(n))
     assert w.daemon.hooks.engine.metrics == {"heard": 4, "busy": 2}
     assert b'lemonhall_hook_total{name="heard"} 4.0' in w.daemon.status_pages.metrics_page()[2]
 
@@ -159,31 +161,31 @@
     patient = HALLS.replace("deadline=(ms)1200", "deadline=(s)30")  # a load may take a while
     w = hooked('on arrival { log "v" = 1 }\non break { metric "old" }', terms=patient)
     held: list[Any] = []
-    for box in w.boxes:
+    for box in w.servers:
         box.script["SETUP"] = lambda conn, request: held.append((conn, request))
-    client, _, cseq = w.play("/claims/a")
-    w.until(lambda: held)
+    client, _, cseq = w.send_play("/claims/a")
+    w.run_until(lambda: held)
     put(tmp_path, 'on break { metric "new" }')
     assert reload(w)
     for conn, request in held:
         if conn.stream.open:
             conn.reply(request, 500)
-    w.until(lambda: client.answers_to(cseq))
+    w.run_until(lambda: client.answers_to(cseq))
     assert set(w.daemon.hooks.engine.metrics) == {"new"}
 
 
 def test_a_bad_set_is_refused_whole_and_the_old_one_stays(hooked: Build, tmp_path: Path) -> None:
     w = hooked("on arrival { cap rung 1 }")
-    client, _ = w.playing("/browse/a")
+    client, _ = w.play_session("/browse/a")
     put(tmp_path, "on arrival { cap rung 2 }", "on arival { }")
     assert not reload(w)
-    w.playing("/browse/b")
-    assert w.module.told(i.NewSession)[-1].advice.cap == 1
+    w.play_session("/browse/b")
+    assert w.module.events_of(i.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.refused_loads == 1 and client.stream.open
     put(tmp_path, "on arrival { cap rung 2 }")
     assert reload(w)
-    w.playing("/browse/c")
-    assert w.module.told(i.NewSession)[-1].advice.cap == 2
+    w.play_session("/browse/c")
+    assert w.module.events_of(i.NewSession)[-1].advice.cap == 2
 
 
 def test_reloads_that_come_too_fast_end_with_the_last(hooked: Build, tmp_path: Path) -> None:
@@ -193,9 +195,9 @@
     for rung in (0, 2):
         put(tmp_path, f"on arrival {{ cap rung {rung} }}")
         w.daemon.hooks.reload()
-    w.until(lambda: len(ended) == 2, 30)
-    w.playing("/browse/a")
-    assert w.module.told(i.NewSession)[-1].advice.cap == 2
+    w.run_until(lambda: len(ended) == 2, 30)
+    w.play_session("/browse/a")
+    assert w.module.events_of(i.NewSession)[-1].advice.cap == 2
 
 
 def test_a_build_that_dies_changes_nothing(hooked: Build) -> None:
@@ -206,14 +208,14 @@
     child = w.daemon.reader_client.child
     assert child
     child.kill()
-    w.until(lambda: ended, 30)
+    w.run_until(lambda: ended, 30)
     assert ended == [False]
     assert reload(w)  # and the next one works
 
 
 def test_a_front_comes_up_without_scripts_that_are_bad(hooked: Build) -> None:
     w = hooked("on arival { }")
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     assert w.daemon.hooks.refused_loads == 1 and not w.daemon.hooks.engine.scripts
 
 
@@ -222,15 +224,15 @@
     spin = f'for a in {nine} {{ for b in {nine} {{ for c in {nine} {{ metric "x" }} }} }}'
     w = hooked(f"on arrival {{ {spin} }}", "on arrival { cap rung 1 }")
     for _ in range(5):
-        w.playing("/browse/a")
-        assert w.module.told(i.NewSession)[-1].advice.cap == 1
+        w.play_session("/browse/a")
+        assert w.module.events_of(i.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.engine.scripts[0].out
     assert w.daemon.hooks.engine.scripts[0].calls == 3
 
 
 def test_the_page_tells_how_scripts_behave(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0 }")
-    w.playing("/claims/a")
+    w.play_session("/claims/a")
     status, kind, body = w.daemon.hooks.page()
     assert (status, kind) == (200, "application/json")
     assert b'"script": "s0.hook"' in body and b"the floor of the class is 1" in body
@@ -239,36 +241,36 @@
 # supervision and limits
 
 
-def test_over_its_memory_a_front_takes_nothing_new_and_plays_on(world: Build) -> None:
-    w = world(limits="memory=(MB)1")
-    client = w.client()
+def test_over_its_memory_a_front_takes_nothing_new_and_plays_on(make_front: Build) -> None:
+    w = make_front(limits="memory=(MB)1")
+    client = w.connect_client()
     transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
-    w.until(lambda: w.daemon.worker.over_memory)
-    w.until(lambda: client.reason)  # a new connection is refused early
+    w.run_until(lambda: w.daemon.worker.over_memory)
+    w.run_until(lambda: client.reason)  # a new connection is refused early
     assert [a.status for a in client.answers] == [503]
     assert w.daemon.status_pages.ready_page()[0] == 503
     w.daemon.worker.over_memory = False
-    player, _ = w.playing("/browse/a")
+    player, _ = w.play_session("/browse/a")
     w.daemon.worker.over_memory = True
     cseq = player.send("SETUP", "/browse/b/trackID=0", transport)
-    w.until(lambda: player.answers_to(cseq))
+    w.run_until(lambda: player.answers_to(cseq))
     assert player.answers_to(cseq) == [503]
     before = len(player.media)
-    w.playing_at().conns[-1].media()
-    w.until(lambda: len(player.media) > before)
+    w.playing_server().connections[-1].media()
+    w.run_until(lambda: len(player.media) > before)
 
 
-def test_a_drain_lets_what_plays_come_to_its_end(world: Build) -> None:
-    w = world()
-    player, session = w.playing("/browse/a")
+def test_a_drain_lets_what_plays_come_to_its_end(make_front: Build) -> None:
+    w = make_front()
+    player, session = w.play_session("/browse/a")
     w.daemon.drain()
     assert w.daemon.status_pages.ready_page() == (503, "text/plain", b"draining\n")
     cseq = player.send("SETUP", "/browse/b/trackID=0", ("Transport", "RTP/AVP/TCP;unicast;interleaved=2-3"))
-    w.until(lambda: player.answers_to(cseq))
+    w.run_until(lambda: player.answers_to(cseq))
     assert player.answers_to(cseq) == [503]
     assert not w.daemon.stopping
     player.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: w.daemon.stopping)
+    w.run_until(lambda: w.daemon.stopping)
 
 
 def test_a_crash_leaves_a_report(tmp_path: Path) -> None:
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -14,7 +14,7 @@
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.importer import import_files
 from lemonhall.loop import Loop
-from tests.front.harness import TERMS, WAIT_S, Client, ScriptedBox
+from tests.front.harness import TERMS, TIMEOUT_S, Client, ScriptedServer
 
 CONF = """
 upstream clips { server 127.0.0.1:%d weight=3; server 127.0.0.1:%d; }
@@ -36,7 +36,7 @@
     def __init__(self, folder: Path) -> None:
         self.loop = Loop()
         self.faults: list[Exception] = []
-        self.boxes = [ScriptedBox(self.loop, n + 1) for n in range(4)]
+        self.boxes = [ScriptedServer(self.loop, n + 1) for n in range(4)]
         (folder / "clips.conf").write_text(CONF % tuple(b.port for b in self.boxes[:3]))
         imported = import_files([folder / "clips.conf"], "browse-clip", problem=problem_of)
         (folder / "imported.kdl").write_text(imported.text)
@@ -46,7 +46,8 @@
         self.loop.on_error = self.faults.append
         self.at = self.daemon.open()
         lines = [
-            Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
+            Box(id=b.server_id, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY)
+            for b in self.boxes
         ]
         event = self.daemon.list.list.apply(Update(version=1, full=True, boxes=lines))
         assert event
@@ -62,7 +63,7 @@
             session = [("Session", client.answers[-1].session)] if client.answers else []
             cseq = client.send(request[0], request[1], *request[2:], *session)
             over: list[bool] = []
-            timer = self.loop.call_later(WAIT_S, over.append, True)
+            timer = self.loop.call_later(TIMEOUT_S, over.append, True)
             self.loop.run(until=lambda c=cseq, o=over: bool(o) or bool(client.answers_to(c)))  # type: ignore
             timer.cancel()
             assert not over and not self.faults, self.faults
@@ -79,11 +80,13 @@
         return found
 
     def close(self) -> None:
-        for stream in [c.stream for c in self.clients] + [c.stream for b in self.boxes for c in b.conns]:
+        for stream in [c.stream for c in self.clients] + [
+            c.stream for b in self.boxes for c in b.connections
+        ]:
             if stream.open:
                 stream.abort()
         for box in self.boxes:
-            box.shut()
+            box.close()
         for sock in self.daemon.listeners:
             self.loop.watch(sock, 0, lambda _: None)
             sock.close()
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -22,7 +22,7 @@
 from lemonhall.loop import Loop
 from lemonhall.model.played.world import World
 from tests.front.harness import TERMS
-from tests.front.harness import World as Front
+from tests.front.harness import FrontHarness as Front
 from tests.limits.worlds import PERIOD, exact, plan
 
 Build = Callable[..., Front]
@@ -166,67 +166,67 @@
     assert told["limit_over_most"] == 0 and told["limit_used_share"] < 0.7
 
 
-def test_what_a_limit_refuses_is_refused_at_once_with_a_reason(world: Build) -> None:
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    client, session = w.playing("/browse/a")
-    other, _, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+def test_what_a_limit_refuses_is_refused_at_once_with_a_reason(make_front: Build) -> None:
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    client, session = w.play_session("/browse/a")
+    other, _, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     answer = other.answers[-1]
     assert answer.status == 503 and "limit one" in str(answer.headers.get("X-Reason") or answer.reason)
     assert float(answer.headers.get("Retry-After")) >= 1
-    assert w.set_ups() == 1 and w.daemon.counts["over_limit"] == 1
+    assert w.set_up_count() == 1 and w.daemon.counts["over_limit"] == 1
     told = json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]
     assert (told["used"], told["held"], told["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: client.answers_to(done))
-    w.until(lambda: not w.daemon.asks.book.out)
-    w.playing("/browse/b")
+    w.run_until(lambda: client.answers_to(done))
+    w.run_until(lambda: not w.daemon.asks.book.out)
+    w.play_session("/browse/b")
     assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
 
 
 def test_a_limit_changes_while_sessions_stand(reloaded: Callable[..., Any]) -> None:
     limit = 'limit "two" class="browse-clip" sessions={}\n'
     w, load = reloaded(TERMS + limit.format(2))
-    w.playing("/browse/a")
-    w.playing("/browse/b")
+    w.play_session("/browse/a")
+    w.play_session("/browse/b")
     assert load(TERMS + limit.format(1))
-    other, _, cseq = w.play("/browse/c")
-    w.until(lambda: other.answers_to(cseq))
+    other, _, cseq = w.send_play("/browse/c")
+    w.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
     assert json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]["used"] == 2  # none is cut
 
 
-def test_a_session_whose_loan_is_over_is_ended_in_order(world: Build) -> None:
-    w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
-    client, _ = w.playing("/browse/a")
+def test_a_session_whose_loan_is_over_is_ended_in_order(make_front: Build) -> None:
+    w = make_front(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
+    client, _ = w.play_session("/browse/a")
     machine = w.daemon.asks.limits.machine
     room = next(iter(machine.escrow.rooms.values()))
     room.parts.own = 0  # as if it had been lent by another
     machine.escrow.lapsed((room.limit.ident, 0), 1)
-    w.until(lambda: client.byes)
-    w.until(lambda: not w.daemon.asks.open)
+    w.run_until(lambda: client.byes)
+    w.run_until(lambda: not w.daemon.asks.open)
     assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
 
 
-def test_room_is_held_until_an_attempt_that_is_out_has_ended(world: Build) -> None:
+def test_room_is_held_until_an_attempt_that_is_out_has_ended(make_front: Build) -> None:
     """What its server has not yet heard the end of stands there."""
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.playing("/browse/a")
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    w.play_session("/browse/a")
     asks = w.daemon.asks
     (number,) = asks.open
     ask = asks.open[number]
     asks.drop(ask)  # the ask is given up, its attempt is still in the book
     assert asks.limits.machine.sessions
-    other, _, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+    other, _, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
 
 
-def test_the_life_of_a_refused_session_names_the_limit(world: Build, tmp_path: Path) -> None:
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.playing("/browse/a")
-    other, session, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+def test_the_life_of_a_refused_session_names_the_limit(make_front: Build, tmp_path: Path) -> None:
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    w.play_session("/browse/a")
+    other, session, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     path = tmp_path / "kept.lhc"
     path.write_bytes(w.daemon.capture.save())
     done = CliRunner().invoke(group, ["why", str(path), session.partition(";")[0]])
--- a/tests/front/test_reload.py
+++ b/tests/front/test_reload.py
@@ -7,34 +7,34 @@
 import pytest
 
 from lemonhall import interface as i
-from tests.front.harness import TERMS, World
+from tests.front.harness import TERMS, FrontHarness
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 
 
 def test_routes_change_and_what_plays_goes_on(reloaded: Build) -> None:
     w, load = reloaded(TERMS)
-    client, session = w.playing("/browse/a")
+    client, session = w.play_session("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/other/" class="browse-clip"'))
     before = len(client.media)
-    w.playing_at().conns[-1].media()
-    w.until(lambda: len(client.media) > before)
-    fresh = w.client()
+    w.playing_server().connections[-1].media()
+    w.run_until(lambda: len(client.media) > before)
+    fresh = w.connect_client()
     cseq = fresh.send("SETUP", "/browse/b/trackID=0", ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
-    w.until(lambda: fresh.answers_to(cseq))
+    w.run_until(lambda: fresh.answers_to(cseq))
     assert fresh.answers_to(cseq) == [404]
-    w.playing("/other/b")
+    w.play_session("/other/b")
     cseq = client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: client.answers_to(cseq))
+    w.run_until(lambda: client.answers_to(cseq))
     assert client.answers_to(cseq) == [200]
 
 
 def test_a_class_by_route_changes_for_new_sessions_alone(reloaded: Build) -> None:
     w, load = reloaded(TERMS)
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/browse/" class="claim-view"'))
-    w.playing("/browse/b")
-    assert [e.cls for e in w.module.told(i.NewSession)] == [1, 0]
+    w.play_session("/browse/b")
+    assert [e.cls for e in w.module.events_of(i.NewSession)] == [1, 0]
     assert [s.asked.cls for s in w.daemon.worker.by_id.values()] == [1, 0]
 
 
@@ -52,12 +52,12 @@
     before = w.daemon.settings
     assert not load(TERMS.replace(old, new).replace("/browse/", "/other/"))
     assert w.daemon.settings is before and w.daemon.counts["settings_refused"] == 1
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
 
 
 def test_nothing_changed_is_taken_and_nothing_is_told(reloaded: Build) -> None:
     w, load = reloaded(TERMS)
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     assert load(TERMS)
     assert w.daemon.counts["settings_loaded"] == 1
-    w.playing("/browse/b")
+    w.play_session("/browse/b")
--- a/tests/front/test_stock_player.py
+++ b/tests/front/test_stock_player.py
@@ -13,7 +13,7 @@
 from lemonhall.standins.arrival import Looks
 from lemonhall.standins.box import Box, Rack
 from lemonhall.standins.tap import Tap
-from tests.front.harness import World
+from tests.front.harness import FrontHarness
 
 WANTED = 12  # frames decoded in each part
 
@@ -39,7 +39,7 @@
             self.error = error
 
 
-def boxes(w: World, monkeypatch: Any) -> list[Box]:
+def boxes(w: FrontHarness, monkeypatch: Any) -> list[Box]:
     """Two of our clip boxes on the world's loop in place of the scripted ones."""
     monkeypatch.setattr("lemonhall.standins.box.say", lambda **_: None)
     from random import Random
@@ -49,41 +49,43 @@
         spec = BoxSpec(f"b{n}", 0, 0, 0, 1.0, 5000.0)
         made.append(Box(w.loop, Tap(), rack, spec, w.settings.terms, (1.0, 5.0), 25.0, Random(n)))
         made[-1].start(n + 1, cold=False)
-    for scripted, box in zip(w.boxes, made, strict=True):
+    for scripted, box in zip(w.servers, made, strict=True):
         scripted.port = box.port
-    w.tell_list(9, full=True)
+    w.apply_server_list(9, full=True)
     return made
 
 
 def test_a_stock_player_decodes_through_a_change_of_rung_and_a_move(
-    world: Callable[..., World], monkeypatch: Any
+    make_front: Callable[..., FrontHarness], monkeypatch: Any
 ) -> None:
-    w = world()
+    w = make_front()
     real = boxes(w, monkeypatch)
     player = Player(f"rtsp://{w.address[0]}:{w.address[1]}/browse/film")
     player.start()
-    w.until(lambda: len(player.frames) >= WANTED or player.error, 20)
+    w.run_until(lambda: len(player.frames) >= WANTED or player.error, 20)
     assert player.error is None
-    ask = w.module.told(i.NewSession)[0].id
-    first = w.module.told(i.Playing)[0].server
+    ask = w.module.events_of(i.NewSession)[0].id
+    first = w.module.events_of(i.Playing)[0].server
     small = player.frames[-1][1:]
-    w.module.extra.append(i.SetRung(ask, 0))
+    w.module.injected.append(i.SetRung(ask, 0))
     w.daemon.bridge.call()
-    w.until(lambda: player.frames[-1][1:] != small or player.error)  # the picture's size goes with its rate
+    w.run_until(
+        lambda: player.frames[-1][1:] != small or player.error
+    )  # the picture's size goes with its rate
     have = len(player.frames)
-    w.until(lambda: len(player.frames) >= have + WANTED or player.error)
+    w.run_until(lambda: len(player.frames) >= have + WANTED or player.error)
     real[first - 1].fault("errors", True, 1.0)  # so that the move goes to the other
-    w.module.extra.append(i.Move(ask))
+    w.module.injected.append(i.Move(ask))
     w.daemon.bridge.call()
-    w.until(lambda: len(w.module.told(i.Playing)) == 2)
+    w.run_until(lambda: len(w.module.events_of(i.Playing)) == 2)
     have = len(player.frames)
-    w.until(lambda: len(player.frames) >= have + WANTED or player.error)
+    w.run_until(lambda: len(player.frames) >= have + WANTED or player.error)
     player.stop = True
-    w.until(lambda: not player.is_alive())
+    w.run_until(lambda: not player.is_alive())
     assert player.error is None
-    assert w.module.told(i.Playing)[1].server != first
+    assert w.module.events_of(i.Playing)[1].server != first
     stamps = [f[0] for f in player.frames]
     assert stamps == sorted(stamps)
-    w.until(lambda: not w.daemon.asks.open)  # its TEARDOWN has come
+    w.run_until(lambda: not w.daemon.asks.open)  # its TEARDOWN has come
     for box in real:
         box.die("test")
