--- a/tests/front/harness.py
+++ b/tests/front/harness.py
@@ -40,19 +40,19 @@
     """One connection to a scripted server; `ScriptedServer.answer` answers its requests."""
 
     def __init__(self, server: ScriptedServer, sock: socket.socket) -> None:
-        self.server, self.parser = server, Parser()
+        self.scripted_server, self.parser = server, Parser()
         self.open, self.sequence, self.reason, self.channel = True, 100, "", 0
         self.stream = Stream(server.loop, sock, self)
 
     def data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
-                self.server.requests.append(event)
+                self.scripted_server.requests.append(event)
                 if offers := parse_transport(event.headers.get("Transport")):
                     self.channel = (offers[0].channels or (0, 1))[0]
-                self.server.answer(self, event)
+                self.scripted_server.answer(self, event)
             elif isinstance(event, Frames):
-                self.server.frames += split_frames(bytes(event.data))
+                self.scripted_server.frames += split_frames(bytes(event.data))
 
     def reply(self, request: Request, status: int = 200, *headers: str, body: bytes = b"") -> None:
         lines = [f"RTSP/1.0 {status} X", f"CSeq: {request.cseq}", *headers]
@@ -62,7 +62,7 @@
     def packet(self, payload: bytes = b"media", sequence: int | None = None, stamp: int = 9000) -> bytes:
         if sequence is None:
             sequence, self.sequence = self.sequence, self.sequence + 1
-        header = rtp.build_rtp(rtp.RtpHeader(26, False, sequence, stamp, self.server.ssrc))
+        header = rtp.build_rtp(rtp.RtpHeader(26, False, sequence, stamp, self.scripted_server.ssrc))
         return frame(self.channel, header + payload)
 
     def media(self, payload: bytes = b"media", stamp: int = 9000) -> None:
@@ -103,7 +103,7 @@
     def count(self, method: str) -> int:
         return sum(r.method == method for r in self.requests)
 
-    def close(self) -> None:
+    def stop_listening(self) -> None:
         self.loop.watch(self.listener, 0, lambda _: None)
         self.listener.close()
 
@@ -188,7 +188,7 @@
         self.faults: list[Exception] = []
         self.loop.on_error = self.faults.append
         self.address = self.daemon.open()
-        self.servers = [ScriptedServer(self.loop, n + 1) for n in range(servers)]
+        self.scripted_servers = [ScriptedServer(self.loop, n + 1) for n in range(servers)]
         self.apply_server_list(1, full=True)
         self.clients: list[Client] = []
 
@@ -197,7 +197,7 @@
         return Box(id=server.server_id, address=address, kind=0, weight=1.0, cell=0, state=state, **more)
 
     def apply_server_list(self, version: int, full: bool = False, entries: list[Box] | None = None) -> None:
-        entries = [self.server_entry(s) for s in self.servers] if entries is None else entries
+        entries = [self.server_entry(s) for s in self.scripted_servers] if entries is None else entries
         event = self.daemon.list.list.apply(Update(version=version, full=full, boxes=entries))
         assert event
         self.daemon.bridge.tell(event)
@@ -249,21 +249,21 @@
     def playing_server(self) -> ScriptedServer:
         """The server of the latest attempt that started to play."""
         server_id = self.module.events_of(i.Playing)[-1].server
-        return next(s for s in self.servers if s.server_id == server_id)
+        return next(s for s in self.scripted_servers if s.server_id == server_id)
 
     def set_up_count(self) -> int:
-        return sum(s.count("SETUP") for s in self.servers)
+        return sum(s.count("SETUP") for s in self.scripted_servers)
 
     def close(self) -> None:
         for client in self.clients:
             if client.stream.open:
                 client.stream.abort()
-        for server in self.servers:
+        for server in self.scripted_servers:
             for connection in server.connections:
                 if connection.stream.open:
                     connection.stream.abort()
             if server.listener.fileno() >= 0:
-                server.close()
+                server.stop_listening()
         for sock in self.daemon.listeners:
             if sock.fileno() >= 0:
                 self.loop.watch(sock, 0, lambda _: None)
--- a/tests/front/process_harness.py
+++ b/tests/front/process_harness.py
@@ -21,7 +21,7 @@
     """Sends one full server list to each client, then nothing more."""
 
     def __init__(self, loop: Loop, servers: list[ScriptedServer]) -> None:
-        self.loop, self.servers, self.streams = loop, servers, list[Stream]()
+        self.loop, self.scripted_servers, self.streams = loop, servers, list[Stream]()
         self.listener = listen(loop, ("127.0.0.1", 0), self.accept)
         self.port = self.listener.getsockname()[1]
 
@@ -29,7 +29,7 @@
         stream = Stream(self.loop, sock, self)  # type: ignore[arg-type]
         entries = [
             Box(id=s.server_id, address=f"127.0.0.1:{s.port}", weight=1.0, state=State.READY)
-            for s in self.servers
+            for s in self.scripted_servers
         ]
         body = delimit(Update(version=1, full=True, boxes=entries))
         stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/x-protobuf\r\n\r\n" + body)
@@ -39,10 +39,10 @@
 class ProcessHarness:
     def __init__(self, folder: Path, terms: str = TERMS, front_options: str = "") -> None:
         self.folder, self.loop, self.front_options = folder, Loop(), front_options
-        self.servers = [ScriptedServer(self.loop, n + 1) for n in range(2)]
-        for server in self.servers:
+        self.scripted_servers = [ScriptedServer(self.loop, n + 1) for n in range(2)]
+        for server in self.scripted_servers:
             server.script["PLAY"] = self.on_play
-        self.list = ListService(self.loop, self.servers)
+        self.list = ListService(self.loop, self.scripted_servers)
         self.streaming: list[ServerConnection] = []
         self.clients: list[tuple[Client, str]] = []
         self.processes: list[subprocess.Popen[str]] = []
@@ -53,7 +53,7 @@
         path = self.folder / name
         path.write_text(
             terms
-            + f"""front "f0" hall="hall-a" seed=3 listen="127.0.0.1:0" guard="front.guard" {self.fields} {{
+            + f"""front "f0" hall="hall-a" seed=3 listen="127.0.0.1:0" guard="front.guard" {self.front_options} {{
     boxes "http://127.0.0.1:{self.list.port}/boxes"
     {store}
 }}
@@ -112,7 +112,7 @@
         self.run_until(lambda: child.poll() is not None)
         return child.returncode
 
-    def play_session(self, address: tuple[str, int], path: str, claim: str = "") -> tuple[Client, int, str]:
+    def start_session(self, address: tuple[str, int], path: str, claim: str = "") -> tuple[Client, int, str]:
         client = Client(self.loop, address)
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
         more = [("X-Claim", claim)] if claim else []
@@ -131,7 +131,7 @@
 
     def play_sessions(self, address: tuple[str, int], count: int) -> None:
         for n in range(count):
-            assert self.play_session(address, f"/browse/{n}")[1] == 200
+            assert self.start_session(address, f"/browse/{n}")[1] == 200
         self.run_until(lambda: all(c.media for c, _ in self.clients))
 
     def open_clients(self) -> list[Client]:
@@ -155,11 +155,11 @@
         for stream in [*(c.stream for c, _ in self.clients), *self.list.streams]:
             if stream.open:
                 stream.abort()
-        for server in self.servers:
+        for server in self.scripted_servers:
             for connection in server.connections:
                 if connection.stream.open:
                     connection.stream.abort()
-            server.close()
+            server.stop_listening()
         self.loop.watch(self.list.listener, 0, lambda _: None)
         self.list.listener.close()
         self.loop.close()
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -161,7 +161,7 @@
             for conn in box.connections:
                 if conn.stream.open:
                     conn.stream.abort()
-            box.close()
+            box.stop_listening()
         self.loop.close()
 
 
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -194,20 +194,20 @@
     def fail_first(conn: Any, request: Any) -> None:
         failed.append(conn.box)
         conn.box.script.clear()
-        for box in w.servers:
+        for box in w.scripted_servers:
             box.script.clear()
         conn.stream.write(make_response(500, request.cseq).encode())
 
-    for box in w.servers:
+    for box in w.scripted_servers:
         box.script["DESCRIBE"] = fail_first
     clients = [w.connect_client() for _ in range(5)]
     for client in clients:
         client.send("DESCRIBE", "/browse/a")
     w.run_until(lambda: all(c.answers for c in clients))
     assert {c.answers[0].status for c in clients} == {200}
-    assert sum(b.count("DESCRIBE") for b in w.servers) == 2 and len(failed) == 1
+    assert sum(b.count("DESCRIBE") for b in w.scripted_servers) == 2 and len(failed) == 1
     assert b"trackID=0" in clients[0].answers[0].body
-    for box in w.servers:
+    for box in w.scripted_servers:
         box.script["DESCRIBE"] = lambda conn, request: conn.reply(request, 404)
     cseq = clients[0].send("DESCRIBE", "/browse/missing")
     w.run_until(lambda: clients[0].answers_to(cseq) == [404])
--- a/tests/front/test_halls.py
+++ b/tests/front/test_halls.py
@@ -67,11 +67,11 @@
     site = make(fields=fields)
     front = site.start_front()
     at, status = site.serving_address(front), status_of(site, 0)
-    assert site.play_session(at, "/browse/a")[1] == 200
+    assert site.start_session(at, "/browse/a")[1] == 200
     assert state(halls(site, "show", status)[2], "hall-a")["state"] == "up"
     told = halls(site, "hold", status, "hall-a")[2]
     assert state(told, "hall-a")["state"] == "dark" and state(told, "hall-a")["held_out"]
-    assert site.play_session(at, "/browse/b")[1] in (453, 503)  # hall-b has no server: refused, at once
+    assert site.start_session(at, "/browse/b")[1] in (453, 503)  # hall-b has no server: refused, at once
     assert len(site.open_clients()) == 1  # what played goes on
     front.send_signal(signal.SIGTERM)
     assert site.exit_status(front) == 0
@@ -80,13 +80,13 @@
     status = status_of(site, 1)
     code, said, told = halls(site, "show", status)
     assert code == 1 and state(told, "hall-a")["held_out"] and "held out" in said
-    assert site.play_session(at, "/browse/c")[1] in (453, 503)
+    assert site.start_session(at, "/browse/c")[1] in (453, 503)
     halls(site, "release", status, "hall-a")
     tries = 0
     while state(halls(site, "show", status)[2], "hall-a")["state"] != "up":
         tries += 1
         assert tries < 200
-    assert site.play_session(at, "/browse/d")[1] == 200
+    assert site.start_session(at, "/browse/d")[1] == 200
 
 
 def test_a_hall_that_is_not_there_and_a_front_without_halls_are_named(make: Make) -> None:
@@ -109,12 +109,12 @@
     site = make(fields=fields)
     old = site.start_front()
     at = site.serving_address(old)
-    assert site.play_session(at, "/browse/a")[1] == 200
+    assert site.start_session(at, "/browse/a")[1] == 200
     halls(site, "hold", status_of(site, 0), "hall-a")
     new = site.start_front("--replace")
     at = site.serving_address(new)
     told = halls(site, "show", status_of(site, 1))[2]
     assert state(told, "hall-a")["held_out"]
-    assert site.play_session(at, "/browse/b")[1] in (453, 503)
+    assert site.start_session(at, "/browse/b")[1] in (453, 503)
     assert len(site.open_clients()) == 1
     site.assert_no_gap(site.open_clients())
--- a/tests/front/test_handover.py
+++ b/tests/front/test_handover.py
@@ -50,8 +50,8 @@
     client, session = site.clients[0]
     cseq = client.send("TEARDOWN", "/browse/0", ("Session", session))
     site.run_until(lambda: client.answers_to(cseq) == [200])
-    site.run_until(lambda: sum(b.count("TEARDOWN") for b in site.servers) == 1)
-    assert site.play_session(at, "/browse/new")[1] == 200
+    site.run_until(lambda: sum(b.count("TEARDOWN") for b in site.scripted_servers) == 1)
+    assert site.start_session(at, "/browse/new")[1] == 200
     assert new.counts["played"] == 1 and not faults
     for daemon in (new,):
         for sock in daemon.listeners:
@@ -65,17 +65,17 @@
     old = site.start_front()
     at = site.serving_address(old)
     site.play_sessions(at, 10)
-    _, status, claim = site.play_session(at, "/claims/a")
+    _, status, claim = site.start_session(at, "/claims/a")
     assert status == 200 and claim
     new = site.start_front("--replace")
     assert site.serving_address(new) == at
     assert site.exit_status(old) == 0
     assert len(site.open_clients()) == 11
     site.assert_no_gap(site.open_clients())
-    assert site.play_session(at, "/browse/after")[1] == 200
-    set_ups = sum(b.count("SETUP") for b in site.servers)
-    assert site.play_session(at, "/claims/a", claim)[1] == 502  # it plays: never again
-    assert sum(b.count("SETUP") for b in site.servers) == set_ups
+    assert site.start_session(at, "/browse/after")[1] == 200
+    set_ups = sum(b.count("SETUP") for b in site.scripted_servers)
+    assert site.start_session(at, "/claims/a", claim)[1] == 502  # it plays: never again
+    assert sum(b.count("SETUP") for b in site.scripted_servers) == set_ups
     third = site.start_front("--replace")  # and the next one
     assert site.serving_address(third) == at
     assert site.exit_status(new) == 0
@@ -94,7 +94,7 @@
     assert site.exit_status(dead) == 9
     if who == "old":
         at = site.serving_address(new)  # at its own port if it was never handed the listener
-    while site.play_session(at, "/browse/new")[1] != 200:  # until it has its list
+    while site.start_session(at, "/browse/new")[1] != 200:  # until it has its list
         site.run_until(lambda: True)
     assert left.poll() is None
     alive = site.open_clients()
@@ -115,7 +115,7 @@
     new = site.start_front("--replace", settings="other.kdl")
     assert site.exit_status(new) == 2
     assert "places by kind" in (site.folder / "log-1").read_text()
-    assert site.play_session(at, "/browse/new")[1] == 200 and old.poll() is None
+    assert site.start_session(at, "/browse/new")[1] == 200 and old.poll() is None
     site.assert_no_gap(site.open_clients())
 
 
@@ -124,12 +124,12 @@
     at = site.serving_address(old)
     site.write_settings("other.kdl", TERMS.replace("places=50", 'places="many"'))
     assert site.exit_status(site.start_front("--replace", settings="other.kdl")) == 2
-    assert site.play_session(at, "/browse/new")[1] == 200
+    assert site.start_session(at, "/browse/new")[1] == 200
 
 
 def test_with_nobody_to_relieve_it_starts_as_the_first(site: ProcessHarness) -> None:
     child = site.start_front("--replace")
-    assert site.play_session(site.serving_address(child), "/browse/a")[1] == 200
+    assert site.start_session(site.serving_address(child), "/browse/a")[1] == 200
     assert "starting as the first" in (site.folder / "log-0").read_text()
 
 
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -32,7 +32,7 @@
 
 
 def both(w: FrontHarness, method: str, act: Callable[[ServerConnection, Any], object]) -> None:
-    for box in w.servers:
+    for box in w.scripted_servers:
         box.script[method] = act
 
 
@@ -57,7 +57,9 @@
     w.run_until(lambda: w.module.events_of(i.AttemptEnded))
     ended = w.module.events_of(i.AttemptEnded)[0]
     assert (ended.outcome, ended.closed) == (Outcome.CANCELLED, True)
-    w.run_until(lambda: any(c.reason for b in w.servers for c in b.connections))  # the server sees it go
+    w.run_until(
+        lambda: any(c.reason for b in w.scripted_servers for c in b.connections)
+    )  # the server sees it go
     w.run_for(0.2)
     assert w.set_up_count() == 1  # never sent again
     assert not +w.module.inner.seats and not w.daemon.asks.open  # freed
@@ -105,7 +107,7 @@
     def vanish(conn: ServerConnection, request: Any) -> None:
         gone.append(conn.box)
         conn.box.script.clear()
-        for box in w.servers:
+        for box in w.scripted_servers:
             box.script.clear()
         conn.stream.abort()
 
@@ -118,21 +120,21 @@
 
 def test_box_accepts_and_never_answers(make_front: Build) -> None:
     w = make_front()
-    slow = w.servers[0]
-    for box in w.servers:
-        box.script["SETUP"] = lambda conn, request: w.servers[0].script.setdefault("hung", conn)  # type: ignore
+    slow = w.scripted_servers[0]
+    for box in w.scripted_servers:
+        box.script["SETUP"] = lambda conn, request: w.scripted_servers[0].script.setdefault("hung", conn)  # type: ignore
     client, _, paid = w.send_play("/claims/one")
     w.run_until(lambda: client.answers_to(paid))
     assert client.answers_to(paid) == [502] and w.set_up_count() == 1
     assert outcomes(w)[-1] == Outcome.TIMEOUT
-    hung = next(b for b in w.servers if b.requests)
-    for box in w.servers:
+    hung = next(b for b in w.scripted_servers if b.requests)
+    for box in w.scripted_servers:
         if box is not hung:
             box.script.clear()
     other, _, safe = w.send_play("/browse/one")
     w.run_until(lambda: other.answers_to(safe))
     assert other.answers_to(safe) == [200]
-    assert slow in w.servers
+    assert slow in w.scripted_servers
 
 
 def test_an_answer_after_the_attempt_was_given_up_changes_nothing(make_front: Build) -> None:
@@ -152,7 +154,7 @@
     w = make_front(servers=1)
     client, _ = w.play_session("/browse/one")
     _, _ = w.play_session("/browse/two", channels="2-3", client=client)
-    first, second = w.servers[0].connections[-2:]
+    first, second = w.scripted_servers[0].connections[-2:]
     before = len(client.media)
     first.stream.write(first.packet(b"x" * 500)[:100])
     w.run_for(0.05)
@@ -168,8 +170,8 @@
 def test_teardown_crosses_the_end_of_the_stream(make_front: Build) -> None:
     w = make_front(servers=1)
     client, session = w.play_session("/claims/one")
-    conn = w.servers[0].connections[-1]
-    conn.stream.write(b"$\x01\x00\x08" + rtp.build_bye(w.servers[0].ssrc))
+    conn = w.scripted_servers[0].connections[-1]
+    conn.stream.write(b"$\x01\x00\x08" + rtp.build_bye(w.scripted_servers[0].ssrc))
     cseq = client.send("TEARDOWN", "/claims/one", ("Session", session))
     w.run_until(lambda: client.answers_to(cseq) and w.module.events_of(i.AttemptEnded))
     assert client.answers_to(cseq)[0] in (200, 454)
@@ -191,14 +193,14 @@
     cseq = client.send("TEARDOWN", "/browse/one", ("Session", one))
     w.run_until(lambda: client.answers_to(cseq) and len(w.daemon.asks.open) == 1)
     before = len(client.media)
-    w.servers[0].connections[-1].media(b"on")
+    w.scripted_servers[0].connections[-1].media(b"on")
     w.run_until(lambda: len(client.media) > before)
 
 
 def test_pipelined_requests_are_answered_in_their_order(make_front: Build) -> None:
     w = make_front(servers=1)
     kept: list[tuple[ServerConnection, Any]] = []
-    w.servers[0].script["PLAY"] = lambda conn, request: kept.append((conn, request))
+    w.scripted_servers[0].script["PLAY"] = lambda conn, request: kept.append((conn, request))
     client, session = w.set_up_session("/browse/one")
     play = client.send("PLAY", "/browse/one", ("Session", session))
     options = client.send("OPTIONS", "/browse/one")
@@ -217,10 +219,10 @@
     kept: list[tuple[ServerConnection, Any]] = []
     client, one = w.set_up_session("/browse/one", channels="0-1")
     _, two = w.set_up_session("/browse/two", channels="2-3", client=client)
-    w.servers[0].script["PLAY"] = lambda conn, request: kept.append((conn, request))
+    w.scripted_servers[0].script["PLAY"] = lambda conn, request: kept.append((conn, request))
     first = client.send("PLAY", "/browse/one", ("Session", one))
     w.run_until(lambda: kept)
-    w.servers[0].script.clear()
+    w.scripted_servers[0].script.clear()
     second = client.send("PLAY", "/browse/two", ("Session", two))
     w.run_until(lambda: w.module.events_of(i.Playing))
     w.run_for(0.1)
@@ -254,12 +256,12 @@
 
 def test_an_address_that_refuses_never_ran_a_reset_may_have(make_front: Build) -> None:
     w = make_front()
-    w.servers[0].close()
+    w.scripted_servers[0].stop_listening()
     for n in range(6):
         client, session = w.play_session(f"/claims/t{n}")
         client.send("TEARDOWN", f"/claims/t{n}", ("Session", session))
     refused = [e for e in w.module.events_of(i.AttemptEnded) if e.outcome == Outcome.CONNECT_FAILED]
-    assert refused and all(e.server == w.servers[0].server_id for e in refused)
+    assert refused and all(e.server == w.scripted_servers[0].server_id for e in refused)
     both(w, "SETUP", reset)
     client, _, cseq = w.send_play("/claims/last")
     w.run_until(lambda: client.answers_to(cseq))
@@ -279,14 +281,14 @@
 def test_a_change_of_rung_while_media_is_in_flight(make_front: Build) -> None:
     w = make_front(servers=1)
     client, _ = w.play_session("/browse/one")
-    conn = w.servers[0].connections[-1]
+    conn = w.scripted_servers[0].connections[-1]
     ask = w.module.events_of(i.NewSession)[0].id
     w.module.injected.append(i.SetRung(ask, 0))
     conn.media(b"a")
     w.daemon.bridge.call()
     conn.media(b"b")
-    w.run_until(lambda: w.servers[0].count("SET_PARAMETER") == 1 and len(client.media) == 3)
-    change = w.servers[0].requests[-1]
+    w.run_until(lambda: w.scripted_servers[0].count("SET_PARAMETER") == 1 and len(client.media) == 3)
+    change = w.scripted_servers[0].requests[-1]
     assert change.body == b"rung: 0\r\n" and change.headers.get("Bandwidth") == "80000"
     assert [m[1][-1:] for m in client.media[1:]] == [b"a", b"b"]
 
@@ -333,9 +335,9 @@
 def test_a_viewer_that_stops_reading_holds_bounded_memory_and_no_neighbour(make_front: Build) -> None:
     w = make_front(servers=1, limits="viewer-backlog=(kB)64 stalled=(s)2")
     slow, _ = w.play_session("/browse/slow")
-    slow_conn = w.servers[0].connections[-1]
+    slow_conn = w.scripted_servers[0].connections[-1]
     good, _ = w.play_session("/browse/good")
-    good_conn = w.servers[0].connections[-1]
+    good_conn = w.scripted_servers[0].connections[-1]
     slow.stream.pause()
     viewer = next(s.viewer for s in w.daemon.worker.by_id.values() if "/slow" in s.path)
     most = 0
@@ -361,7 +363,7 @@
     w.daemon.bridge.call()
     w.run_for(0.05)
     assert not w.module.events_of(i.AttemptEnded)
-    w.servers[0].script["SETUP"] = silent
+    w.scripted_servers[0].script["SETUP"] = silent
     other, _, cseq = w.send_play("/browse/two")
     w.run_until(lambda: w.set_up_count() == 2)
     w.module.injected.append(i.Cancel(w.module.events_of(i.NewSession)[1].id, 0))
@@ -375,7 +377,7 @@
     w = make_front(servers=1)
     client, _ = w.play_session("/browse/one", channels="0-1")
     w.play_session("/browse/two", channels="2-3", client=client)
-    second = w.servers[0].connections[-1]
+    second = w.scripted_servers[0].connections[-1]
     before = len(client.media)
     second.stream.write(b"$\x00\x00\x03bad")
     second.media(b"good")
@@ -386,8 +388,8 @@
 def test_notes_on_the_rtcp_channel_reach_the_module_and_not_the_viewer(make_front: Build) -> None:
     w = make_front(servers=1)
     client, _ = w.play_session("/browse/one")
-    conn = w.servers[0].connections[-1]
-    note = rtp.build_note(w.servers[0].ssrc, i.NoteKind.SHARE, 0.5)
+    conn = w.scripted_servers[0].connections[-1]
+    note = rtp.build_note(w.scripted_servers[0].ssrc, i.NoteKind.SHARE, 0.5)
     conn.stream.write(b"$\x01" + struct.pack(">H", len(note)) + note)
     conn.media(b"end")
     w.run_until(lambda: client.media[-1][1].endswith(b"end"))
@@ -474,7 +476,7 @@
     w.run_until(lambda: bad.answers)
     assert bad.answers[0].status == status
     before = len(good.media)
-    w.servers[0].connections[-1].media(b"still")
+    w.scripted_servers[0].connections[-1].media(b"still")
     w.run_until(lambda: len(good.media) == before + 1)
     assert w.set_up_count() == 1
 
@@ -542,17 +544,17 @@
 
 def test_a_drained_server_gets_nothing_new(make_front: Build) -> None:
     w = make_front()
-    w.apply_server_list(2, entries=[w.server_entry(w.servers[0], State.DRAINING)])
+    w.apply_server_list(2, entries=[w.server_entry(w.scripted_servers[0], State.DRAINING)])
     for n in range(5):
         w.play_session(f"/browse/t{n}")
-    assert w.servers[0].count("SETUP") == 0
+    assert w.scripted_servers[0].count("SETUP") == 0
 
 
 def test_a_clean_stop_answers_what_was_taken(make_front: Build) -> None:
     w = make_front(servers=1)
     playing, _ = w.play_session("/browse/one")
     kept: list[tuple[ServerConnection, Any]] = []
-    w.servers[0].script["PLAY"] = lambda conn, request: kept.append((conn, request))
+    w.scripted_servers[0].script["PLAY"] = lambda conn, request: kept.append((conn, request))
     asked, _, cseq = w.send_play("/browse/two")
     late, session = w.set_up_session("/browse/three")
     w.run_until(lambda: kept)
@@ -565,5 +567,5 @@
     w.run_until(lambda: asked.answers_to(cseq))
     assert asked.answers_to(cseq) == [200]
     w.run_until(lambda: playing.byes == 1 and asked.byes == 1)
-    w.run_until(lambda: w.servers[0].count("TEARDOWN") == 2)
+    w.run_until(lambda: w.scripted_servers[0].count("TEARDOWN") == 2)
     w.run_until(lambda: not w.daemon.asks.open)
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -50,7 +50,7 @@
 
 def in_halls(w: FrontHarness) -> None:
     """The first half of the boxes in hall-a, the others in hall-b."""
-    lines = [w.server_entry(b) for b in w.servers]
+    lines = [w.server_entry(b) for b in w.scripted_servers]
     for n, line in enumerate(lines):
         line.zone = int(n >= len(lines) / 2)
     w.apply_server_list(2, True, lines)
@@ -67,11 +67,11 @@
 def test_a_preference_does_not_refuse(hooked: Build) -> None:
     """Preferred servers that drain are not used, and the others serve."""
     w = hooked('on arrival { prefer hall "hall-b" }', servers=4)
-    lines = [w.server_entry(b) for b in w.servers[:2]]
-    lines += [w.server_entry(b, State.DRAINING, zone=1) for b in w.servers[2:]]
+    lines = [w.server_entry(b) for b in w.scripted_servers[:2]]
+    lines += [w.server_entry(b, State.DRAINING, zone=1) for b in w.scripted_servers[2:]]
     w.apply_server_list(2, True, [*lines])
     w.play_session("/browse/a")
-    assert w.servers[2].count("SETUP") + w.servers[3].count("SETUP") == 0
+    assert w.scripted_servers[2].count("SETUP") + w.scripted_servers[3].count("SETUP") == 0
 
 
 def test_a_refusal_by_a_hook_is_at_once_and_has_its_reason(hooked: Build) -> None:
@@ -92,7 +92,10 @@
     rungs = [a.rung for a in w.module.actions if isinstance(a, i.SetRung)]
     assert rungs and min(rungs) >= 1
     bits = [
-        int(r.headers.get("Bandwidth")) for b in w.servers for r in b.requests if "Bandwidth" in r.headers
+        int(r.headers.get("Bandwidth"))
+        for b in w.scripted_servers
+        for r in b.requests
+        if "Bandwidth" in r.headers
     ]
     assert bits and min(bits) >= 20 * 8000
 
@@ -114,7 +117,7 @@
 def test_a_break_is_heard_before_the_module_tries_again(hooked: Build) -> None:
     w = hooked('on break { avoid hall "hall-a"\n log "outcome" = outcome }', servers=2)
     in_halls(w)
-    for box in w.servers:
+    for box in w.scripted_servers:
         box.script["SETUP"] = lambda conn, request: conn.reply(request, 500)
     client, _, cseq = w.send_play("/browse/a")
     w.run_until(lambda: client.answers_to(cseq))
@@ -129,7 +132,7 @@
         servers=2,
     )
     in_halls(w)
-    for box in w.servers:
+    for box in w.scripted_servers:
         box.script["SETUP"] = lambda conn, request: conn.stream.abort()
     client, _, cseq = w.send_play("/claims/a")
     w.run_until(lambda: client.answers_to(cseq))
@@ -161,7 +164,7 @@
     patient = HALLS.replace("deadline=(ms)1200", "deadline=(s)30")  # a load may take a while
     w = hooked('on arrival { log "v" = 1 }\non break { metric "old" }', terms=patient)
     held: list[Any] = []
-    for box in w.servers:
+    for box in w.scripted_servers:
         box.script["SETUP"] = lambda conn, request: held.append((conn, request))
     client, _, cseq = w.send_play("/claims/a")
     w.run_until(lambda: held)
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -86,7 +86,7 @@
             if stream.open:
                 stream.abort()
         for box in self.boxes:
-            box.close()
+            box.stop_listening()
         for sock in self.daemon.listeners:
             self.loop.watch(sock, 0, lambda _: None)
             sock.close()
--- a/tests/front/test_stock_player.py
+++ b/tests/front/test_stock_player.py
@@ -49,7 +49,7 @@
         spec = BoxSpec(f"b{n}", 0, 0, 0, 1.0, 5000.0)
         made.append(Box(w.loop, Tap(), rack, spec, w.settings.terms, (1.0, 5.0), 25.0, Random(n)))
         made[-1].start(n + 1, cold=False)
-    for scripted, box in zip(w.servers, made, strict=True):
+    for scripted, box in zip(w.scripted_servers, made, strict=True):
         scripted.port = box.port
     w.apply_server_list(9, full=True)
     return made
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -103,7 +103,7 @@
 
 
 def set_ups(site: ProcessHarness) -> int:
-    return sum(box.count("SETUP") for box in site.servers)
+    return sum(box.count("SETUP") for box in site.scripted_servers)
 
 
 def test_sessions_are_spread_over_workers_and_the_pages_tell_of_all(make: Make) -> None:
@@ -131,13 +131,13 @@
     front = site.start_front()
     at = site.serving_address(front)
     site.play_sessions(at, 6)
-    claim = site.play_session(at, "/claims/first")[2]
+    claim = site.start_session(at, "/claims/first")[2]
     for round_ in range(3):
         stands_by(site)
         os.kill(decider(front.pid), signal.SIGKILL)
-        _, status, _ = site.play_session(at, f"/browse/after-{round_}")
+        _, status, _ = site.start_session(at, f"/browse/after-{round_}")
         assert status == 200
-    assert site.play_session(at, "/claims/first", claim)[1] == 502  # it has run, and that is still known
+    assert site.start_session(at, "/claims/first", claim)[1] == 502  # it has run, and that is still known
     assert len(site.open_clients()) == 10
     site.assert_no_gap(site.open_clients())
     front.terminate()
@@ -165,7 +165,7 @@
 def held(site: ProcessHarness) -> list[tuple[ServerConnection, Request]]:
     """Servers keep the set-ups that come, unanswered."""
     kept: list[tuple[ServerConnection, Request]] = []
-    for box in site.servers:
+    for box in site.scripted_servers:
         box.script["SETUP"] = lambda conn, request: kept.append((conn, request))
     return kept
 
@@ -200,7 +200,7 @@
     client, cseq = asked(site, at, "/claims/a")
     site.run_until(lambda: kept)
     os.kill(decider(front.pid), signal.SIGKILL)
-    for box in site.servers:
+    for box in site.scripted_servers:
         box.script.pop("SETUP")
     let(*kept[0], 503)  # full: it did not run
     site.run_until(lambda: client.answers_to(cseq))
@@ -222,7 +222,7 @@
     site.assert_no_gap(site.open_clients())
     before = set_ups(site)
     os.kill(pid, signal.SIGCONT)
-    assert site.play_session(at, "/browse/later")[1] == 200
+    assert site.start_session(at, "/browse/later")[1] == 200
     assert set_ups(site) == before + 1  # what was answered meanwhile is not set up after all
     assert decider(front.pid) == pid
     for client, _ in waiting:
@@ -241,7 +241,7 @@
     os.kill(gone, signal.SIGKILL)
     site.run_until(lambda: len(site.open_clients()) < 16 and len(workers(front.pid)) == 2)
     assert stays in workers(front.pid) and gone not in workers(front.pid)
-    for box in site.servers:
+    for box in site.scripted_servers:
         box.script.pop("SETUP")
     had = {id(c): len(c.media) for c, _ in site.clients}
     site.run_until(lambda: all(not c.stream.open or len(c.media) > had[id(c)] for c, _ in site.clients))
@@ -256,7 +256,7 @@
     site.run_until(lambda: again[0].answers_to(again[1]))
     assert again[0].answers_to(again[1]) == [502]  # it may have run
     again[0].stream.abort()
-    assert all(site.play_session(at, f"/browse/n{n}")[1] == 200 for n in range(4))
+    assert all(site.start_session(at, f"/browse/n{n}")[1] == 200 for n in range(4))
 
 
 def test_a_worker_that_does_not_run_is_ended_and_the_others_go_on(make: Make) -> None:
@@ -269,7 +269,7 @@
     asks = [asked(site, at, f"/browse/s{n}") for n in range(4)]  # whoever runs takes them
     site.run_until(lambda: all(c.answers_to(n) == [200] for c, n in asks))
     site.run_until(lambda: stopped not in workers(front.pid) and len(workers(front.pid)) == 2)
-    assert site.play_session(at, "/browse/after")[1] == 200
+    assert site.start_session(at, "/browse/after")[1] == 200
     for client, _ in asks:
         client.stream.abort()
 
@@ -307,7 +307,7 @@
         site.write_settings("front.kdl", SLOW)
         front.send_signal(signal.SIGHUP)
         site.run_until(lambda n=count: taking(site) == n)
-        assert site.play_session(at, f"/browse/with-{count}")[1] == 200
+        assert site.start_session(at, f"/browse/with-{count}")[1] == 200
     assert len(site.open_clients()) == 10
     site.assert_no_gap(site.open_clients())
     for client in site.open_clients()[:9]:
@@ -358,7 +358,7 @@
     old = site.start_front(*(["--die-at", fault] if fault and mine else []))
     at = site.serving_address(old)
     site.play_sessions(at, 6)
-    claim = site.play_session(at, "/claims/first")[2]
+    claim = site.start_session(at, "/claims/first")[2]
     new = site.start_front("--replace", *(["--die-at", fault] if fault and not mine else []))
     if fault in ("unpacked", "owned", "told"):
         assert site.exit_status(new) == 9
@@ -370,8 +370,8 @@
         assert len(site.open_clients()) == 7
         site.assert_no_gap(site.open_clients())
     assert at_last[1] == at[1] or mine
-    assert site.play_session(at_last, "/browse/new")[1] == 200
-    assert site.play_session(at_last, "/claims/first", claim)[1] == 502
+    assert site.start_session(at_last, "/browse/new")[1] == 200
+    assert site.start_session(at_last, "/claims/first", claim)[1] == 502
     if not fault:
         for client in site.open_clients():
             client.stream.abort()
@@ -425,13 +425,13 @@
     assert not any(isinstance(m, Configuration) for m in older)
     stranger = worker_of(path, Hello(1, 1, 72, 1, "another parent", build_id()), Welcome)
     assert not stranger[-1].takes_viewers and not any(isinstance(m, Configuration) for m in stranger)
-    assert site.play_session(at, "/browse/a")[1] == 200
+    assert site.start_session(at, "/browse/a")[1] == 200
     with socket.socket(socket.AF_UNIX) as sock:  # noise ends its own link and nothing else
         sock.settimeout(10.0)
         sock.connect(path)
         sock.sendall(b"\xff" * 64)
         assert sock.recv(64) == b""
-    assert site.play_session(at, "/browse/b")[1] == 200
+    assert site.start_session(at, "/browse/b")[1] == 200
 
 
 def test_an_ask_that_finds_the_queue_full_is_answered_with_a_pause_and_the_module_never_hears(
