--- a/tests/front/process_harness.py
+++ b/tests/front/process_harness.py
@@ -37,8 +37,8 @@
 
 
 class ProcessHarness:
-    def __init__(self, folder: Path, terms: str = TERMS, front_options: str = "") -> None:
-        self.folder, self.loop, self.front_options = folder, Loop(), front_options
+    def __init__(self, folder: Path, terms: str = TERMS, options: str = "") -> None:
+        self.folder, self.loop, self.options = folder, Loop(), options
         self.scripted_servers = [ScriptedServer(self.loop, n + 1) for n in range(2)]
         for server in self.scripted_servers:
             server.script["PLAY"] = self.on_play
@@ -53,7 +53,7 @@
         path = self.folder / name
         path.write_text(
             terms
-            + f"""front "f0" hall="hall-a" seed=3 listen="127.0.0.1:0" guard="front.guard" {self.front_options} {{
+            + f"""front "f0" hall="hall-a" seed=3 listen="127.0.0.1:0" guard="front.guard" {self.options} {{
     boxes "http://127.0.0.1:{self.list.port}/boxes"
     {store}
 }}
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -303,7 +303,7 @@
     at = site.serving_address(front)
     site.play_sessions(at, 8)
     for count in (4, 1):
-        site.front_options = f"workers={count}"
+        site.options = f"workers={count}"
         site.write_settings("front.kdl", SLOW)
         front.send_signal(signal.SIGHUP)
         site.run_until(lambda n=count: taking(site) == n)
@@ -385,7 +385,7 @@
     front = site.start_front()
     at = site.serving_address(front)
     site.play_sessions(at, 2)
-    site.front_options = "workers=0"
+    site.options = "workers=0"
     site.write_settings("other.kdl", SLOW)
     new = site.start_front("--replace", settings="other.kdl")
     assert site.exit_status(new) == 2
