--- a/tests/ipc/test_heartbeat.py
+++ b/tests/ipc/test_heartbeat.py
@@ -1,4 +1,4 @@
-"""Who is held for hung, and who takes the next viewer."""
+"""Detection of hung peers, and which workers accept the next viewer."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 from lemonhall.ipc.heartbeat import HeartbeatMonitor
 
 
-def test_silence_is_named_once_and_our_own_sleep_counts_for_nobody() -> None:
-    pulse = HeartbeatMonitor(timeout_s=6.0, tick_s=0.25)
-    pulse.record(1, 0.0)
-    pulse.record(2, 0.0)
+def test_a_silent_peer_is_reported_once_and_own_suspension_blames_no_peer() -> None:
+    monitor = HeartbeatMonitor(timeout_s=6.0, tick_s=0.25)
+    monitor.record(1, 0.0)
+    monitor.record(2, 0.0)
     now = 0.0
-    named = []
+    hung = []
     while now < 7.0:
         now += 0.25
-        pulse.record(1, now)
-        named += pulse.tick(now)
-    assert named == [2]
-    pulse.record(2, now)  # awake again
-    assert pulse.tick(now + 60.0) == []  # we did not run
-    assert pulse.tick(now + 60.25) == []
-    pulse.forget(1)
-    later = [pulse.tick(now + 60.25 + 0.25 * n) for n in range(1, 30)]
+        monitor.record(1, now)
+        hung += monitor.tick(now)
+    assert hung == [2]
+    monitor.record(2, now)  # running again
+    assert monitor.tick(now + 60.0) == []  # this process was suspended
+    assert monitor.tick(now + 60.25) == []
+    monitor.forget(1)
+    later = [monitor.tick(now + 60.25 + 0.25 * n) for n in range(1, 30)]
     assert sum(later, []) == [2]
 
 
-def test_one_far_over_the_mean_steps_back_until_nobody_says_what_the_mean_is() -> None:
+def test_a_worker_far_above_the_mean_stops_accepting_until_the_mean_is_stale() -> None:
     assert may_accept(100, 100.0, 0.1) and may_accept(117, 100.0, 0.1)
     assert not may_accept(200, 100.0, 0.1)
     assert may_accept(200, 100.0, 10.0)
-    assert may_accept(5, 0.0, 0.1)  # a few are no lot
+    assert may_accept(5, 0.0, 0.1)  # the slack allows a few viewers at any mean
--- a/tests/ipc/test_state_machines.py
+++ b/tests/ipc/test_state_machines.py
@@ -1,8 +1,8 @@
-"""Worker, decider and ledger on small scopes: every order of steps, with a crash at each of them.
+"""Model check of worker, decider and ledger in small scopes: every order of steps, with a crash at each.
 
-The world has one paid claim (its viewer may come again on another worker), up to two workers, one decider
-that may crash and come again with what is on disk, links that may be cut, a server that counts what ran.
-What is looked for: a claim that ran twice; an answer given twice; an ask with more attempts than it may have.
+The model has one paid claim (its viewer may return at another worker), up to two workers, one decider that may
+crash and restart from what is on disk, connections that may be lost, and a server that counts what it ran.
+Errors searched for: a claim that runs twice, a request answered twice, a request with too many attempts.
 """
 
 from __future__ import annotations
@@ -19,508 +19,590 @@
 from lemonhall.store import Hold, Ledger, Record, Standing, Token, Verdict, Write
 
 TOKEN = Token(1000, 0, 9, 1)
-MOST = 2
+MAX_ATTEMPTS = 2
 
 
 @dataclass
-class Ask:
-    """At a worker. `out`: its attempt: connecting, sent (runs at the server) or gone."""
+class WorkerRequest:
+    """A set-up request at its worker. `attempt`: "connect", "sent" (runs at the server), or "" for none."""
 
     number: int
-    carry: RequestState = field(default_factory=lambda: RequestState(MOST))
+    state: RequestState = field(default_factory=lambda: RequestState(MAX_ATTEMPTS))
     attempt: str = ""
     answers: list[str] = field(default_factory=list)
     sends: int = 0
 
 
-class World:
-    """One state. Messages lie in queues, a link a pair; a link that is cut loses what lies there."""
+class SystemModel:
+    """One state of the system.
 
-    def __init__(self, crashes: int, cuts: int, again: bool, overlap: bool = False) -> None:
-        """`again`: one comes with the same claim once the first has its answer, or (`overlap`) earlier."""
-        self.crashes, self.cuts, self.overlap = crashes, cuts, overlap
+    Messages are kept in one pair of queues per connection; what is in them is lost with the connection. Steps
+    are texts of a name and the worker's number: the viewer's request arrives ("arrive"), the worker connects
+    to the decider or loses the connection, its next message is delivered ("report", or "order" in the other
+    direction), its request is sent to the server, which plays it, refuses it as full or resets the connection,
+    a playing session finishes, the deadline expires, the worker is killed. Without a number: a write reaches
+    the disk ("persist"), the decider crashes.
+    """
+
+    def __init__(self, crashes: int, disconnects: int, returning: bool, overlap: bool = False) -> None:
+        """`returning`: a viewer returns with the same claim after the first answer, or (`overlap`) before."""
+        self.crashes, self.disconnects, self.overlap = crashes, disconnects, overlap
         self.disk: dict[bytes, Record] = {}
-        self.ran: list[int] = []  # each set-up that the server carried out
-        self.links = [0, 0]  # of each worker to the decider; 0: none
-        self.next_link = 1
-        self.up: list[list[Any]] = [[], []]
-        self.down: list[list[Any]] = [[], []]
-        self.asks: list[Ask | None] = [None, None]
-        self.to_come = [0, 1] if again else [0]
-        self.workers = tuple(self.to_come)
-        self.next_ask = 1
-        self.decide()
-
-    # the decider, as `front.deciding.asks` has it
-
-    def decide(self) -> None:
-        self.book = AttemptRegistry()
+        self.ran: list[int] = []  # requests of the set-ups that the server carried out
+        self.connections = [0, 0]  # of each worker to the decider; 0: none
+        self.next_connection = 1
+        self.reports: list[list[Any]] = [[], []]  # to the decider, by worker
+        self.orders: list[list[Any]] = [[], []]  # to the worker
+        self.requests: list[WorkerRequest | None] = [None, None]
+        self.arrivals = [0, 1] if returning else [0]
+        self.workers = tuple(self.arrivals)
+        self.next_request = 1
+        self.start_decider()
+
+    # the decider, as in `front.decider`
+
+    def start_decider(self) -> None:
+        self.registry = AttemptRegistry()
         self.pending: list[tuple[bytes, Record, Record | None, Any]] = []
-        self.ledger = Ledger(0, 9, self.lookup, self.waits, 1e9)
+        self.ledger = Ledger(0, 9, self.lookup, self.is_pending, 1e9)
         self.holds: dict[tuple[int, int], Hold] = {}
         self.open: dict[int, dict[str, Any]] = {}
 
-    def __deepcopy__(self, memo: dict[int, Any]) -> World:
-        made = World.__new__(World)
+    def __deepcopy__(self, memo: dict[int, Any]) -> SystemModel:
+        copy = SystemModel.__new__(SystemModel)
         for name, value in self.__dict__.items():
             if name != "ledger":
-                setattr(made, name, deepcopy(value, memo))
-        made.ledger = Ledger(0, 9, made.lookup, made.waits, 1e9)
-        made.ledger.holds, made.ledger.given = dict(self.ledger.holds), self.ledger.given
-        return made
+                setattr(copy, name, deepcopy(value, memo))
+        copy.ledger = Ledger(0, 9, copy.lookup, copy.is_pending, 1e9)
+        copy.ledger.holds, copy.ledger.given = dict(self.ledger.holds), self.ledger.given
+        return copy
 
     def lookup(self, key: bytes) -> Record | None:
         return next((r for k, r, _, _ in reversed(self.pending) if k == key), self.disk.get(key))
 
-    def waits(self, key: bytes) -> bool:
+    def is_pending(self, key: bytes) -> bool:
         return any(k == key for k, _, _, _ in self.pending)
 
-    def write(self, write: Any, then: Any) -> None:
-        self.pending.append((write.key, write.record, write.before, then))
+    def write(self, write: Any, on_written: Any) -> None:
+        self.pending.append((write.key, write.record, write.before, on_written))
 
     def settle(self, key: tuple[int, int], ran: bool) -> None:
         hold = self.holds.pop(key, None)
         if hold and (write := self.ledger.settle(hold, ran, 1.0)):
             self.write(write, None)
 
-    def asked(self, w: int, m: dict[str, Any]) -> None:
-        if not self.book.add_request(self.links[w], m["ask"]):
+    def set_up_requested(self, worker: int, message: dict[str, Any]) -> None:
+        if not self.registry.add_request(self.connections[worker], message["request"]):
             return
-        if m["unsent"][1] and (write := self.ledger.unsent(TOKEN, *m["unsent"], 1.0)):
+        if message["unsent"][1] and (write := self.ledger.unsent(TOKEN, *message["unsent"], 1.0)):
             self.write(write, None)
         begun = self.ledger.begin(TOKEN, 1.0)
-        go = begun.verdict is Verdict.GO and not m["ran"]
-        self.open[m["ask"]] = {"w": w, "hold": begun.hold if go else None, "tries": 0, "out": None}
-        self.place(m["ask"]) if go else self.final(m["ask"])
-
-    def place(self, ask: int) -> None:
-        """The module would try a server; here there is one."""
-        mine = self.open[ask]
-        if mine["tries"] >= MOST or mine["out"] is not None:
-            self.final(ask)
+        go = begun.verdict is Verdict.GO and not message["ran"]
+        self.open[message["request"]] = {
+            "worker": worker,
+            "hold": begun.hold if go else None,
+            "attempts": 0,
+            "attempt": None,
+        }
+        self.start_attempt(message["request"]) if go else self.answer_request(message["request"])
+
+    def start_attempt(self, request: int) -> None:
+        """Stands in for the module's choice of a server; there is one."""
+        entry = self.open[request]
+        if entry["attempts"] >= MAX_ATTEMPTS or entry["attempt"] is not None:
+            self.answer_request(request)
             return
-        number, mine["tries"] = mine["tries"], mine["tries"] + 1
-        write = self.ledger.attempt(mine["hold"], 7, 1.0)
+        number, entry["attempts"] = entry["attempts"], entry["attempts"] + 1
+        write = self.ledger.attempt(entry["hold"], 7, 1.0)
         if write is None:
-            self.final(ask)
+            self.answer_request(request)
             return
-        self.write(write, ("clear", ask, number, self.links[mine["w"]]))
-        mine["out"] = self.book.add_attempt(ask, number, 7, False)
-        self.holds[ask, number] = mine["hold"]
-        told = {"kind": "set-up", "ask": ask, "number": number, "turn": write.record.turn}
-        self.down[mine["w"]].append({**told, "made": write.record.attempts})
-
-    def final(self, ask: int) -> None:
-        mine = self.open.pop(ask)
-        self.book.remove_request(ask)
-        if mine["hold"]:
-            self.ledger.over(mine["hold"])
-        self.down[mine["w"]].append({"kind": "final", "ask": ask})
-
-    def ended(self, w: int, m: dict[str, Any]) -> None:
-        out = self.book.finish_attempt(self.links[w], m["ask"], m["number"])
-        if out is None:
+        self.write(write, ("clear", request, number, self.connections[entry["worker"]]))
+        entry["attempt"] = self.registry.add_attempt(request, number, 7, False)
+        self.holds[request, number] = entry["hold"]
+        order = {"kind": "start", "request": request, "number": number, "turn": write.record.turn}
+        self.orders[entry["worker"]].append({**order, "claim_attempts": write.record.attempts})
+
+    def answer_request(self, request: int) -> None:
+        entry = self.open.pop(request)
+        self.registry.remove_request(request)
+        if entry["hold"]:
+            self.ledger.over(entry["hold"])
+        self.orders[entry["worker"]].append({"kind": "answer", "request": request})
+
+    def attempt_finished(self, worker: int, message: dict[str, Any]) -> None:
+        attempt = self.registry.finish_attempt(
+            self.connections[worker], message["request"], message["number"]
+        )
+        if attempt is None:
             return
-        self.settle((m["ask"], m["number"]), m["ran"])
-        mine = self.open.get(m["ask"])
-        if mine is None or mine["out"] is not out:
+        self.settle((message["request"], message["number"]), message["ran"])
+        entry = self.open.get(message["request"])
+        if entry is None or entry["attempt"] is not attempt:
             return
-        mine["out"] = None
-        if m["closed"]:
-            self.open.pop(m["ask"])
-            self.book.remove_request(m["ask"])
-            self.ledger.over(mine["hold"])
-        elif m["ran"]:
-            self.final(m["ask"])
+        entry["attempt"] = None
+        if message["closed"]:
+            self.open.pop(message["request"])
+            self.registry.remove_request(message["request"])
+            self.ledger.over(entry["hold"])
+        elif message["ran"]:
+            self.answer_request(message["request"])
         else:
-            self.place(m["ask"])
-
-    def carried(self, w: int, m: dict[str, Any]) -> None:
-        if self.book.add_request(self.links[w], m["ask"]):
-            out = self.book.add_attempt(m["ask"], 0, 7, True)
-            hold = Hold(TOKEN, m["turn"], 0)
-            self.holds[m["ask"], 0] = hold
-            self.open[m["ask"]] = {"w": w, "hold": hold, "tries": 1, "out": out}
-
-    def lose(self, w: int) -> None:
-        asks, ends = self.book.remove_connection(self.links[w])
-        for out, proof in ends:
-            self.settle((out.request_id, out.number), proof is Execution.MAY_HAVE_RUN)
-        for ask in asks:
-            self.ledger.over(self.open.pop(ask)["hold"] or Hold(TOKEN, 0, 0))
-
-    # a worker, as `front.viewers.worker` has it
-
-    def tell(self, w: int) -> None:
-        ask, link = self.asks[w], self.links[w]
-        if ask is None or not link:
+            self.start_attempt(message["request"])
+
+    def ongoing_session(self, worker: int, message: dict[str, Any]) -> None:
+        if self.registry.add_request(self.connections[worker], message["request"]):
+            attempt = self.registry.add_attempt(message["request"], 0, 7, True)
+            hold = Hold(TOKEN, message["turn"], 0)
+            self.holds[message["request"], 0] = hold
+            self.open[message["request"]] = {
+                "worker": worker,
+                "hold": hold,
+                "attempts": 1,
+                "attempt": attempt,
+            }
+
+    def drop_worker(self, worker: int) -> None:
+        requests, ends = self.registry.remove_connection(self.connections[worker])
+        for attempt, execution in ends:
+            self.settle((attempt.request_id, attempt.number), execution is Execution.MAY_HAVE_RUN)
+        for request in requests:
+            self.ledger.over(self.open.pop(request)["hold"] or Hold(TOKEN, 0, 0))
+
+    # a worker, as in `front.viewers.worker`
+
+    def announce(self, worker: int) -> None:
+        request, connection = self.requests[worker], self.connections[worker]
+        if request is None or not connection:
             return
-        told = ask.carry.announce(link)
-        c = ask.carry
-        if told is Announcement.REQUEST:
-            self.up[w].append(
-                {"kind": "asked", "ask": ask.number, "ran": c.unreported_run, "unsent": c.unsent_claim}
+        announcement = request.state.announce(connection)
+        state = request.state
+        if announcement is Announcement.REQUEST:
+            self.reports[worker].append(
+                {
+                    "kind": "set_up_requested",
+                    "request": request.number,
+                    "ran": state.unreported_run,
+                    "unsent": state.unsent_claim,
+                }
             )
-        elif told is Announcement.ONGOING_SESSION:
-            self.up[w].append({"kind": "carried", "ask": ask.number, "turn": c.claim_turn})
-
-    def end(self, w: int, left: bool, never: bool) -> None:
-        ask = self.asks[w]
-        assert ask
-        ask.attempt = ""
-        playing = ask.carry.stage is RequestStage.PLAYING
-        number, over = (
-            ask.carry.attempt_number,
-            ask.carry.stage in (RequestStage.CLOSED, RequestStage.PLAYING),
+        elif announcement is Announcement.ONGOING_SESSION:
+            self.reports[worker].append(
+                {"kind": "ongoing_session", "request": request.number, "turn": state.claim_turn}
+            )
+
+    def end_attempt(self, worker: int, sent: bool, never_ran: bool) -> None:
+        request = self.requests[worker]
+        assert request
+        request.attempt = ""
+        playing = request.state.stage is RequestStage.PLAYING
+        number, closed = (
+            request.state.attempt_number,
+            request.state.stage in (RequestStage.CLOSED, RequestStage.PLAYING),
         )
-        then = ask.carry.on_attempt_ended(self.links[w], left, never)
-        if then is NextStep.REPORT:
-            told = {"kind": "ended", "ask": ask.number, "number": 0 if playing and number < 0 else number}
-            self.up[w].append({**told, "ran": left and not never, "closed": over})
-        elif then is NextStep.RESUBMIT:
-            self.tell(w)
-
-    def close(self, w: int, answer: str) -> None:
-        """The ask has its last word."""
-        ask = self.asks[w]
-        assert ask
-        maybe_ran = ask.carry.may_have_run()
-        known = ask.carry.close(self.links[w])
+        next_step = request.state.on_attempt_ended(self.connections[worker], sent, never_ran)
+        if next_step is NextStep.REPORT:
+            report = {
+                "kind": "attempt_finished",
+                "request": request.number,
+                "number": 0 if playing and number < 0 else number,
+            }
+            self.reports[worker].append({**report, "ran": sent and not never_ran, "closed": closed})
+        elif next_step is NextStep.RESUBMIT:
+            self.announce(worker)
+
+    def close(self, worker: int, answer: str) -> None:
+        """Gives the request its answer: of the decider, or of the worker itself ("alone")."""
+        request = self.requests[worker]
+        assert request
+        maybe_ran = request.state.may_have_run()
+        known = request.state.close(self.connections[worker])
         refused = answer == "alone" and not known and not maybe_ran
-        ask.answers.append("refused" if refused else answer)
-        attempt, ask.attempt = ask.attempt, ""
+        request.answers.append("refused" if refused else answer)
+        attempt, request.attempt = request.attempt, ""
         if attempt:
-            self.end(w, attempt == "sent", False)
+            self.end_attempt(worker, attempt == "sent", False)
         if known and answer == "alone":
-            self.up[w].append({"kind": "gone", "ask": ask.number})
+            self.reports[worker].append({"kind": "viewer_gone", "request": request.number})
 
     # steps
 
     def steps(self) -> Iterator[str]:
         for w in self.workers:
-            ask = self.asks[w]
-            first = self.asks[0]
-            after = 0 not in self.to_come and (first is None or first.answers)
-            if w in self.to_come and (w == 0 or self.overlap or after):
-                yield f"come {w}"
-            if not self.links[w]:
-                yield f"link {w}"
-            elif self.cuts:
-                yield f"cut {w}"
-            if self.up[w] and self.links[w]:
-                yield f"up {w}"
-            if self.down[w] and self.links[w]:
-                yield f"down {w}"
-            if ask and ask.attempt == "connect" and ask.carry.stage is RequestStage.SENT:
+            request = self.requests[w]
+            first = self.requests[0]
+            after = 0 not in self.arrivals and (first is None or first.answers)
+            if w in self.arrivals and (w == 0 or self.overlap or after):
+                yield f"arrive {w}"
+            if not self.connections[w]:
+                yield f"connect {w}"
+            elif self.disconnects:
+                yield f"disconnect {w}"
+            if self.reports[w] and self.connections[w]:
+                yield f"report {w}"
+            if self.orders[w] and self.connections[w]:
+                yield f"order {w}"
+            if request and request.attempt == "connect" and request.state.stage is RequestStage.SENT:
                 yield f"send {w}"
-            if ask and ask.attempt == "sent" and ask.carry.stage is RequestStage.SENT:
-                yield f"plays {w}"
+            if request and request.attempt == "sent" and request.state.stage is RequestStage.SENT:
+                yield f"play {w}"
                 yield f"full {w}"
                 yield f"reset {w}"
-            if ask and ask.carry.stage is RequestStage.PLAYING:
-                yield f"over {w}"
-            if ask and not ask.answers:
+            if request and request.state.stage is RequestStage.PLAYING:
+                yield f"finish {w}"
+            if request and not request.answers:
                 yield f"deadline {w}"
-            if self.crashes and ask:
+            if self.crashes and request:
                 yield f"kill {w}"
         if self.pending:
-            yield "disk"
+            yield "persist"
         if self.crashes:
             yield "crash"
 
     def step(self, name: str) -> None:
-        what, _, number = name.partition(" ")
-        w = int(number or 0)
-        getattr(self, f"on_{what}")(w)
-
-    def on_come(self, w: int) -> None:
-        self.to_come = [n for n in self.to_come if n != w]
-        self.asks[w] = Ask(self.next_ask)
-        self.next_ask += 1
-        self.tell(w)
-
-    def on_link(self, w: int) -> None:
-        self.links[w], self.next_link = self.next_link, self.next_link + 1
-        self.tell(w)
-
-    def on_cut(self, w: int) -> None:
-        """The link ends; both sides see it, what was under way is lost."""
-        self.cuts -= 1
-        self.drop_link(w)
-        self.lose(w)
-        self.links[w] = 0
-
-    def drop_link(self, w: int) -> None:
-        self.up[w], self.down[w] = [], []
-        ask = self.asks[w]
-        if ask and ask.carry.on_connection_lost():
-            ask.attempt = ""
+        step, _, number = name.partition(" ")
+        worker = int(number or 0)
+        getattr(self, f"on_{step}")(worker)
+
+    def on_arrive(self, worker: int) -> None:
+        self.arrivals = [n for n in self.arrivals if n != worker]
+        self.requests[worker] = WorkerRequest(self.next_request)
+        self.next_request += 1
+        self.announce(worker)
+
+    def on_connect(self, worker: int) -> None:
+        self.connections[worker], self.next_connection = self.next_connection, self.next_connection + 1
+        self.announce(worker)
+
+    def on_disconnect(self, worker: int) -> None:
+        """Both sides see the end of the connection; messages in transit are lost."""
+        self.disconnects -= 1
+        self.drop_connection(worker)
+        self.drop_worker(worker)
+        self.connections[worker] = 0
+
+    def drop_connection(self, worker: int) -> None:
+        self.reports[worker], self.orders[worker] = [], []
+        request = self.requests[worker]
+        if request and request.state.on_connection_lost():
+            request.attempt = ""
 
     def on_crash(self, _: int) -> None:
         self.crashes -= 1
         for w in (0, 1):
-            self.drop_link(w)
-            self.links[w] = 0
-        self.decide()  # what was not on disk is lost with it
+            self.drop_connection(w)
+            self.connections[w] = 0
+        self.start_decider()  # writes that were not on disk are lost
 
-    def on_kill(self, w: int) -> None:
-        """The worker ends with its viewers; the decider sees the link end."""
+    def on_kill(self, worker: int) -> None:
+        """The worker ends together with its viewers; the decider sees the connection end."""
         self.crashes -= 1
-        self.up[w], self.down[w] = [], []
-        self.asks[w] = None
-        if self.links[w]:
-            self.lose(w)
-            self.links[w] = 0
-
-    def on_disk(self, _: int) -> None:
-        key, record, before, then = self.pending.pop(0)
+        self.reports[worker], self.orders[worker] = [], []
+        self.requests[worker] = None
+        if self.connections[worker]:
+            self.drop_worker(worker)
+            self.connections[worker] = 0
+
+    def on_persist(self, _: int) -> None:
+        key, record, before, on_written = self.pending.pop(0)
         fits = self.disk.get(key) == before
         if fits:
             self.disk[key] = record
-        if then and fits:
-            _, ask, number, link = then
-            mine = self.open.get(ask)
-            out = mine["out"] if mine and self.links[mine["w"]] == link else None
-            if mine and out and out.number == number and self.book.allow_send(ask, number):
-                self.down[mine["w"]].append({"kind": "cleared", "ask": ask, "number": number})
-
-    def on_up(self, w: int) -> None:
-        m = self.up[w].pop(0)
-        if m["kind"] == "gone":
-            if m["ask"] in self.open and self.open[m["ask"]]["out"] is None:
-                mine = self.open.pop(m["ask"])
-                self.book.remove_request(m["ask"])
-                if mine["hold"]:
-                    self.ledger.over(mine["hold"])
+        if on_written and fits:
+            _, request, number, connection = on_written
+            entry = self.open.get(request)
+            attempt = entry["attempt"] if entry and self.connections[entry["worker"]] == connection else None
+            if entry and attempt and attempt.number == number and self.registry.allow_send(request, number):
+                self.orders[entry["worker"]].append(
+                    {"kind": "recorded", "request": request, "number": number}
+                )
+
+    def on_report(self, worker: int) -> None:
+        message = self.reports[worker].pop(0)
+        if message["kind"] == "viewer_gone":
+            if message["request"] in self.open and self.open[message["request"]]["attempt"] is None:
+                entry = self.open.pop(message["request"])
+                self.registry.remove_request(message["request"])
+                if entry["hold"]:
+                    self.ledger.over(entry["hold"])
         else:
-            getattr(self, m["kind"])(w, m)
-
-    def on_down(self, w: int) -> None:
-        m = self.down[w].pop(0)
-        ask = self.asks[w]
-        link = self.links[w]
-        mine = ask if ask and ask.number == m["ask"] else None
-        if m["kind"] == "set-up":
-            free = mine and not mine.attempt and not mine.answers
-            if free and mine and mine.carry.start_attempt(link, m["number"], True, m["turn"], m["made"]):
-                mine.attempt = "connect"
+            getattr(self, message["kind"])(worker, message)
+
+    def on_order(self, worker: int) -> None:
+        message = self.orders[worker].pop(0)
+        request = self.requests[worker]
+        connection = self.connections[worker]
+        own = request if request and request.number == message["request"] else None
+        if message["kind"] == "start":
+            free = own and not own.attempt and not own.answers
+            if (
+                free
+                and own
+                and own.state.start_attempt(
+                    connection, message["number"], True, message["turn"], message["claim_attempts"]
+                )
+            ):
+                own.attempt = "connect"
             else:
-                told = {"kind": "ended", "ask": m["ask"], "number": m["number"]}
-                self.up[w].append({**told, "ran": False, "closed": mine is None or bool(mine.answers)})
-        elif mine and m["kind"] == "cleared":
-            mine.carry.allow_send(link, m["number"])
-        elif mine and m["kind"] == "final" and not mine.answers:
-            self.close(w, "final")
-
-    def on_send(self, w: int) -> None:
-        ask = self.asks[w]
-        assert ask
-        ask.attempt = "sent"
-        ask.sends += 1
-        self.ran.append(ask.number)
-
-    def on_plays(self, w: int) -> None:
-        ask = self.asks[w]
-        assert ask
-        ask.answers.append("plays")
-        if ask.carry.on_playing(self.links[w]) is Announcement.ONGOING_SESSION:
-            self.up[w].append({"kind": "carried", "ask": ask.number, "turn": ask.carry.claim_turn})
-
-    def on_full(self, w: int) -> None:
-        """The server says that it did not take it."""
-        ask = self.asks[w]
-        assert ask
-        self.ran.remove(ask.number)
-        self.end(w, True, True)
-
-    def on_reset(self, w: int) -> None:
-        self.end(w, True, False)
-
-    def on_over(self, w: int) -> None:
-        self.end(w, True, False)
-
-    def on_deadline(self, w: int) -> None:
-        self.close(w, "alone")
-
-    # what must hold
+                report = {
+                    "kind": "attempt_finished",
+                    "request": message["request"],
+                    "number": message["number"],
+                }
+                self.reports[worker].append(
+                    {**report, "ran": False, "closed": own is None or bool(own.answers)}
+                )
+        elif own and message["kind"] == "recorded":
+            own.state.allow_send(connection, message["number"])
+        elif own and message["kind"] == "answer" and not own.answers:
+            self.close(worker, "answer")
+
+    def on_send(self, worker: int) -> None:
+        request = self.requests[worker]
+        assert request
+        request.attempt = "sent"
+        request.sends += 1
+        self.ran.append(request.number)
+
+    def on_play(self, worker: int) -> None:
+        request = self.requests[worker]
+        assert request
+        request.answers.append("plays")
+        if request.state.on_playing(self.connections[worker]) is Announcement.ONGOING_SESSION:
+            self.reports[worker].append(
+                {"kind": "ongoing_session", "request": request.number, "turn": request.state.claim_turn}
+            )
+
+    def on_full(self, worker: int) -> None:
+        """The server answers that it did not accept the session."""
+        request = self.requests[worker]
+        assert request
+        self.ran.remove(request.number)
+        self.end_attempt(worker, True, True)
+
+    def on_reset(self, worker: int) -> None:
+        self.end_attempt(worker, True, False)
+
+    def on_finish(self, worker: int) -> None:
+        self.end_attempt(worker, True, False)
+
+    def on_deadline(self, worker: int) -> None:
+        self.close(worker, "alone")
+
+    # invariants
 
     def check(self) -> None:
         assert len(self.ran) <= 1, f"ran {len(self.ran)} times"
-        for ask in self.asks:
-            assert ask is None or len(ask.answers) <= 1, f"answered {ask.answers}"
-            assert ask is None or ask.sends <= MOST, f"sent {ask.sends} times"
-            refused = ask is not None and "refused" in ask.answers and ask.number in self.ran
+        for request in self.requests:
+            assert request is None or len(request.answers) <= 1, f"answered {request.answers}"
+            assert request is None or request.sends <= MAX_ATTEMPTS, f"sent {request.sends} times"
+            refused = request is not None and "refused" in request.answers and request.number in self.ran
             assert not refused, "told that nothing ran"
 
     def key(self) -> str:
-        asks = [
-            a
+        requests = [
+            r
             and (
-                a.number,
-                a.attempt,
-                a.sends,
-                tuple(a.answers),
-                *(getattr(a.carry, n) for n in RequestState.__slots__),
+                r.number,
+                r.attempt,
+                r.sends,
+                tuple(r.answers),
+                *(getattr(r.state, n) for n in RequestState.__slots__),
             )
-            for a in self.asks
+            for r in self.requests
         ]
-        book = (
-            sorted(self.book.owners.items()),
-            sorted((k, o.send_allowed) for k, o in self.book.open_attempts.items()),
+        registry = (
+            sorted(self.registry.owners.items()),
+            sorted((k, a.send_allowed) for k, a in self.registry.open_attempts.items()),
+        )
+        rest = (
+            self.crashes,
+            self.disconnects,
+            self.disk,
+            self.ran,
+            self.connections,
+            self.reports,
+            self.orders,
+            self.arrivals,
+        )
+        opened = sorted(
+            (k, v["worker"], v["hold"], v["attempts"], v["attempt"]) for k, v in self.open.items()
         )
-        rest = (self.crashes, self.cuts, self.disk, self.ran, self.links, self.up, self.down, self.to_come)
-        opened = sorted((k, v["w"], v["hold"], v["tries"], v["out"]) for k, v in self.open.items())
         pending = [(k, r, b, t) for k, r, b, t in self.pending]
-        return repr((asks, book, rest, opened, pending, self.ledger.holds, sorted(self.holds.items())))
+        return repr(
+            (requests, registry, rest, opened, pending, self.ledger.holds, sorted(self.holds.items()))
+        )
+
 
+def explore(model: SystemModel, limit: int = 400_000) -> int:
+    """Visits all reachable states and returns their number.
 
-def explore(world: World, most: int = 400_000) -> int:
-    """All states that can be reached. Raises `AssertionError` with the way to one that must not be."""
-    seen = {world.key()}
-    stack: list[tuple[World, tuple[str, ...]]] = [(world, ())]
+    Raises `AssertionError` with the steps that lead to a state that violates an invariant.
+    """
+    seen = {model.key()}
+    stack: list[tuple[SystemModel, tuple[str, ...]]] = [(model, ())]
     while stack:
-        here, way = stack.pop()
-        for name in list(here.steps()):
-            there = deepcopy(here)
+        state, path = stack.pop()
+        for name in list(state.steps()):
+            successor = deepcopy(state)
             try:
-                there.step(name)
-                there.check()
+                successor.step(name)
+                successor.check()
             except AssertionError as error:
-                raise AssertionError(f"{error} after {' > '.join((*way, name))}") from error
-            mark = there.key()
-            if mark not in seen:
-                seen.add(mark)
-                assert len(seen) <= most, "the scope is too large"
-                stack.append((there, (*way, name)))
+                raise AssertionError(f"{error} after {' > '.join((*path, name))}") from error
+            key = successor.key()
+            if key not in seen:
+                seen.add(key)
+                assert len(seen) <= limit, "the scope is too large"
+                stack.append((successor, (*path, name)))
     return len(seen)
 
 
-def wander(made: Callable[[], World], walks: int, seed: int, most: int = 80) -> set[str]:
-    """Steps drawn at random, for scopes that are too large to be seen whole. The kinds of steps taken."""
+def random_walks(
+    make_model: Callable[[], SystemModel], walks: int, seed: int, max_steps: int = 80
+) -> set[str]:
+    """Random steps, for scopes that are too large to explore. Returns the kinds of steps taken."""
     random, kinds = Random(seed), set()
     for _ in range(walks):
-        world, way = made(), []
-        for _ in range(most):
-            names = list(world.steps())
+        model, path = make_model(), []
+        for _ in range(max_steps):
+            names = list(model.steps())
             if not names:
                 break
-            way.append(random.choice(names))
-            kinds.add(way[-1].split()[0])
+            path.append(random.choice(names))
+            kinds.add(path[-1].split()[0])
             try:
-                world.step(way[-1])
-                world.check()
+                model.step(path[-1])
+                model.check()
             except AssertionError as error:
-                raise AssertionError(f"{error} after {' > '.join(way)}") from error
+                raise AssertionError(f"{error} after {' > '.join(path)}") from error
     return kinds
 
 
 @pytest.mark.parametrize(
-    ("crashes", "cuts", "again", "least"),
+    ("crashes", "disconnects", "returning", "least_states"),
     [(1, 0, False, 1000), (2, 0, False, 3000), (0, 1, False, 1000), (0, 0, True, 5000)],
 )
-def test_no_order_of_steps_sets_a_claim_up_twice_or_answers_twice(
-    crashes: int, cuts: int, again: bool, least: int
+def test_no_order_of_steps_runs_a_claim_twice_or_answers_twice(
+    crashes: int, disconnects: int, returning: bool, least_states: int
 ) -> None:
-    assert explore(World(crashes, cuts, again)) > least
+    assert explore(SystemModel(crashes, disconnects, returning)) > least_states
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_nor_does_any_walk_with_more_crashes_cuts_and_a_viewer_that_comes_again(seed: int) -> None:
-    kinds = wander(lambda: World(3, 2, True, overlap=seed % 2 == 0), 1500, seed)
-    assert {"crash", "kill", "cut", "disk", "send", "plays", "reset", "deadline"} <= kinds
+def test_no_random_walk_with_more_faults_and_a_returning_viewer_does_either(seed: int) -> None:
+    kinds = random_walks(lambda: SystemModel(3, 2, True, overlap=seed % 2 == 0), 1500, seed)
+    assert {"crash", "kill", "disconnect", "persist", "send", "play", "reset", "deadline"} <= kinds
 
 
-# each defence, taken away, is missed
+# each safeguard, when removed, lets an invariant fail
 
 
-def never_asked(self: AttemptRegistry, worker: int) -> Any:
-    asks, ends = lost(self, worker)
-    return asks, [(out, Execution.NEVER_RAN) for out, _ in ends]
+def lost_as_never_run(self: AttemptRegistry, connection_id: int) -> Any:
+    requests, ends = remove_connection(self, connection_id)
+    return requests, [(attempt, Execution.NEVER_RAN) for attempt, _ in ends]
 
 
-def whichever(self: Ledger, token: Token, turn: int, made: int, wall_s: float) -> Any:
+def free_any_attempt(self: Ledger, token: Token, turn: int, attempts: int, wall_s: float) -> Any:
     record = self.lookup(token.key)
     return Write(token.key, replace(record, standing=Standing.FREE), record) if record else None
 
 
-def no_hold(self: RequestState, link: int, number: int, hold: bool, turn: int, made: int) -> bool:
-    return set_up(self, link, number, False, turn, made)
+def send_without_ledger(
+    self: RequestState,
+    connection_id: int,
+    number: int,
+    wait_for_ledger: bool,
+    claim_turn: int,
+    claim_attempts: int,
+) -> bool:
+    return start_attempt(self, connection_id, number, False, claim_turn, claim_attempts)
 
 
-def forgets(self: RequestState, link: int, left: bool, never_ran: bool) -> NextStep:
-    return ended(self, link, left, True)
+def ended_as_never_run(
+    self: RequestState, connection_id: int, request_sent: bool, never_ran: bool
+) -> NextStep:
+    return on_attempt_ended(self, connection_id, request_sent, True)
 
 
-def twice(self: RequestState, link: int, number: int, hold: bool, turn: int, made: int) -> bool:
+def forget_attempts(
+    self: RequestState,
+    connection_id: int,
+    number: int,
+    wait_for_ledger: bool,
+    claim_turn: int,
+    claim_attempts: int,
+) -> bool:
     self.attempts_made = 0
-    return set_up(self, link, number, hold, turn, made)
+    return start_attempt(self, connection_id, number, wait_for_ledger, claim_turn, claim_attempts)
 
 
-def sure(self: RequestState) -> bool:
+def never_may_have_run(self: RequestState) -> bool:
     return False
 
 
-lost, set_up, ended = (
+remove_connection, start_attempt, on_attempt_ended = (
     AttemptRegistry.remove_connection,
     RequestState.start_attempt,
     RequestState.on_attempt_ended,
 )
-RUNS = "link 0, come 0, up 0, disk, down 0, down 0, send 0"
-AGAIN = "link 1, come 1, up 1, disk, disk, disk, down 1, down 1, send 1"
-REST = "link 0, up 0, disk, disk, down 0, down 0, send 0"
+FIRST_SENT = "connect 0, arrive 0, report 0, persist, order 0, order 0, send 0"
+SECOND_SENT = "connect 1, arrive 1, report 1, persist, persist, persist, order 1, order 1, send 1"
+FIRST_SENT_AGAIN = "connect 0, report 0, persist, persist, order 0, order 0, send 0"
 FLAWS: dict[str, tuple[type, str, Any, str]] = {
-    "a lost worker's attempts are held for never run": (
+    "attempts of a lost worker count as never run": (
         AttemptRegistry,
         "remove_connection",
-        never_asked,
-        f"{RUNS}, kill 0, {AGAIN}",
+        lost_as_never_run,
+        f"{FIRST_SENT}, kill 0, {SECOND_SENT}",
     ),
-    "a request leaves before its attempt is on disk": (
+    "a request is sent before its attempt is on disk": (
         RequestState,
         "start_attempt",
-        no_hold,
-        f"link 0, come 0, up 0, down 0, send 0, crash, {AGAIN}",
+        send_without_ledger,
+        f"connect 0, arrive 0, report 0, order 0, send 0, crash, {SECOND_SENT}",
     ),
-    "a word about an earlier attempt frees a later one": (
+    "a report about an earlier attempt frees a later one": (
         Ledger,
         "unsent",
-        whichever,
-        f"link 0, come 0, up 0, disk, down 0, crash, link 0, up 0, disk, cut 0, {AGAIN}, {REST}",
+        free_any_attempt,
+        "connect 0, arrive 0, report 0, persist, order 0, crash, connect 0, report 0, persist, disconnect 0, "
+        f"{SECOND_SENT}, {FIRST_SENT_AGAIN}",
     ),
-    "an end that proves nothing is held for a proof": (
+    "an end that proves nothing counts as a proof": (
         RequestState,
         "on_attempt_ended",
-        forgets,
-        f"{RUNS}, crash, reset 0, {REST}",
+        ended_as_never_run,
+        f"{FIRST_SENT}, crash, reset 0, {FIRST_SENT_AGAIN}",
     ),
-    "a viewer is told that nothing ran while its request is out": (
+    "a viewer is told that nothing ran while its request is in progress": (
         RequestState,
         "may_have_run",
-        sure,
-        f"{RUNS}, crash, deadline 0",
+        never_may_have_run,
+        f"{FIRST_SENT}, crash, deadline 0",
     ),
-    "attempts are counted anew under each decider": (
+    "attempts are counted from 0 under each decider": (
         RequestState,
         "start_attempt",
-        twice,
-        f"{RUNS}, crash, full 0, {REST}, crash, full 0, {REST}",
+        forget_attempts,
+        f"{FIRST_SENT}, crash, full 0, {FIRST_SENT_AGAIN}, crash, full 0, {FIRST_SENT_AGAIN}",
     ),
 }
 
 
-def follow(way: str) -> None:
-    """A way through a world; steps that cannot be taken are left out."""
-    world = World(3, 2, True, overlap=True)
-    for name in way.split(", "):
-        if name in set(world.steps()):
-            world.step(name)
-            world.check()
+def follow(path: str) -> None:
+    """Takes the steps of `path` one after another; skips those that are not possible."""
+    model = SystemModel(3, 2, True, overlap=True)
+    for name in path.split(", "):
+        if name in set(model.steps()):
+            model.step(name)
+            model.check()
 
 
 @pytest.mark.parametrize("name", FLAWS)
-def test_each_defence_is_missed(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    kind, method, flawed, way = FLAWS[name]
-    follow(way)
-    monkeypatch.setattr(kind, method, flawed)
+def test_each_safeguard_is_necessary(name: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    kind, method, replacement, path = FLAWS[name]
+    follow(path)
+    monkeypatch.setattr(kind, method, replacement)
     with pytest.raises(AssertionError, match="(ran|sent) [23] times|told that nothing ran"):
-        follow(way)
+        follow(path)
