--- a/lemonhall/front/deciding/asks.py
+++ b/lemonhall/front/deciding/asks.py
@@ -216,7 +216,7 @@
         left_ms = max(1.0, (ask.deadline - self.loop.now()) * 1000)
         said, capture = ask.said, self.bridge.capture
         if capture:
-            capture.word(self.bridge.now_ms(), "viewer", f"session {said.session} {said.path}", ask.number)
+            capture.word(self.bridge.now_ms(), "viewer", f"session {said.session_id} {said.path}", ask.number)
         ruling = self.hooks.ask("arrival", ask, said.moved)
         ask.advice, ask.reason, ask.cls = ruling.advice, ruling.reason, ruling.cls
         if capture and (ruling.advice != i.NO_ADVICE or ruling.cls != said.cls):
--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -68,7 +68,7 @@
         self.ending = False
         at = listener.getsockname()
         self.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
-        self.door = SharedListener(self.loop, listener, self.take, self.may_take)
+        self.door = SharedListener(self.loop, listener, self.take, self.may_accept)
         self.loop.after_pass.append(self.flush)
         self.loop.on_error = self.on_error
         self.connect()
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -179,7 +179,7 @@
     assert (told["used"], told["held"], told["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
     w.run_until(lambda: client.answers_to(done))
-    w.run_until(lambda: not w.daemon.asks.book.out)
+    w.run_until(lambda: not w.daemon.asks.book.open_attempts)
     w.play_session("/browse/b")
     assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
 
--- a/tests/ipc/test_state_machines.py
+++ b/tests/ipc/test_state_machines.py
@@ -1,7 +1,7 @@
 """Model check of worker, decider and ledger in small scopes: every order of steps, with a crash at each.
 
-The model has one paid claim (its viewer may return at another worker), up to two workers, one decider that may
-crash and restart from what is on disk, connections that may be lost, and a server that counts what it ran.
+The model has one paid claim (its viewer may return at another worker), up to two workers, one decider that
+may crash and restart from what is on disk, connections that may be lost, and a server that counts what it ran.
 Errors searched for: a claim that runs twice, a request answered twice, a request with too many attempts.
 """
 
@@ -39,9 +39,9 @@
     Messages are kept in one pair of queues per connection; what is in them is lost with the connection. Steps
     are texts of a name and the worker's number: the viewer's request arrives ("arrive"), the worker connects
     to the decider or loses the connection, its next message is delivered ("report", or "order" in the other
-    direction), its request is sent to the server, which plays it, refuses it as full or resets the connection,
-    a playing session finishes, the deadline expires, the worker is killed. Without a number: a write reaches
-    the disk ("persist"), the decider crashes.
+    direction), its request is sent to the server, which plays it, refuses it as full or resets the
+    connection, a playing session finishes, the deadline expires, the worker is killed. Without a number: a
+    write reaches the disk ("persist"), the decider crashes.
     """
 
     def __init__(self, crashes: int, disconnects: int, returning: bool, overlap: bool = False) -> None:
