--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -192,8 +192,8 @@
     failed = []
 
     def fail_first(conn: Any, request: Any) -> None:
-        failed.append(conn.box)
-        conn.box.script.clear()
+        failed.append(conn.scripted_server)
+        conn.scripted_server.script.clear()
         for box in w.scripted_servers:
             box.script.clear()
         conn.stream.write(make_response(500, request.cseq).encode())
--- a/tests/front/test_halls.py
+++ b/tests/front/test_halls.py
@@ -96,8 +96,8 @@
     code, said, _ = halls(site, "hold", status_of(site, 0), "hall-x")
     assert code == 2 and "no hall 'hall-x'; there are hall-a hall-b" in said
     plain = make(terms=TERMS)
-    other = plain.serve()
-    plain.started(other)
+    other = plain.start_front()
+    plain.serving_address(other)
     code, said, _ = halls(plain, "show", status_of(plain, 0))
     assert code == 2 and "no spill in the settings" in said
     code, said, _ = halls(plain, "show", "127.0.0.1:1")
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -105,8 +105,8 @@
     gone: list[ScriptedServer] = []
 
     def vanish(conn: ServerConnection, request: Any) -> None:
-        gone.append(conn.box)
-        conn.box.script.clear()
+        gone.append(conn.scripted_server)
+        conn.scripted_server.script.clear()
         for box in w.scripted_servers:
             box.script.clear()
         conn.stream.abort()
--- a/tests/ipc/test_state_machines.py
+++ b/tests/ipc/test_state_machines.py
@@ -1,7 +1,7 @@
 """Model check of worker, decider and ledger in small scopes: every order of steps, with a crash at each.
 
 The model has one paid claim (its viewer may return at another worker), up to two workers, one decider that
-may crash and restart from what is on disk, connections that may be lost, and a server that counts what it ran.
+crash and restart from what is on disk, connections that may be lost, and a server that counts its set-ups.
 Errors searched for: a claim that runs twice, a request answered twice, a request with too many attempts.
 """
 
