--- a/benchmarks/workers.py
+++ b/benchmarks/workers.py
@@ -206,7 +206,7 @@
     until = time.monotonic() + 20
     while time.monotonic() < until:
         lines = (folder / "front.log").read_text()
-        if lines.count('"decider stands by"') > lines.count('"decider serves"'):
+        if lines.count('"standby decider ready"') > lines.count('"decider active"'):
             return
         time.sleep(0.02)
     raise TimeoutError("no decider stands by")
--- a/lemonhall/cli/serve.py
+++ b/lemonhall/cli/serve.py
@@ -92,24 +92,24 @@
     point = front_handover.exit_at_failpoint(
         "" if die_at in asks.POINTS else die_at, parent_handover.FAILPOINTS
     )
-    parent.die_at = die_at if die_at in asks.POINTS else ""
+    parent.decider_failpoint = die_at if die_at in asks.POINTS else ""
     wrong: list[str] = []
 
     def opened(anew: bool) -> None:
         if anew:
             listening(parent, settings)
-        parent.open()
+        parent.start()
         if made.guard:
             parent_handover.ParentHandoverSource(parent, made.guard, point)
 
     def refused(why: str) -> None:
         wrong.append(why)
         parent.exit_status = 2
-        parent.begin_end()
+        parent.begin_shutdown()
 
     def relieve() -> None:
         """Once one stands by, so that the place is empty for a moment only."""
-        parent.on_spare = lambda: None
+        parent.on_standby_ready = lambda: None
         try:
             parent_handover.ParentHandoverTarget(parent, made.guard, opened, refused, point)
         except OSError:
@@ -120,8 +120,8 @@
     if replace:
         if not made.guard:
             raise BadInput(str(settings), '--replace needs a guard in the settings: front ... guard="FILE"')
-        parent.on_spare = relieve
-        parent.want_spare()
+        parent.on_standby_ready = relieve
+        parent.ensure_standby()
     else:
         opened(True)
     status = parent.run()
@@ -132,7 +132,7 @@
 
 def listening(parent: Parent, settings: Path) -> None:
     try:
-        parent.listen()
+        parent.open_sockets()
     except OSError as error:
         raise BadInput(str(settings), f"cannot listen: {error.strerror}") from error
 
--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -1,8 +1,8 @@
-"""A viewer's connection with its sessions and their servers' connections, written down and read again.
+"""Serializes a viewer's connection with its sessions and their server connections, and restores it.
 
-Only what is quiet can be handed over: every answer has been given, every session waits or plays. The sockets
-themselves travel beside it, in the order in which they are named. Times are of the machine's monotonic clock,
-which both processes share.
+Only a connection with nothing in progress can be handed over: every request has been answered, and every
+session is ready or playing. The sockets travel next to the message, in the order in which they are named.
+Times are of the machine's monotonic clock, which both processes share.
 """
 
 from __future__ import annotations
@@ -36,42 +36,48 @@
 Packed = dict[str, Any]
 
 
-def text(data: bytes) -> str:
+def to_base64(data: bytes) -> str:
     return base64.b64encode(data).decode()
 
 
-def quiet(viewer: ViewerConnection) -> bool:
-    """Whether nothing is under way on it that the other process could not go on with."""
+def can_hand_over(viewer: ViewerConnection) -> bool:
+    """Whether nothing is in progress on the connection that the successor could not continue."""
     stream = viewer.stream
-    if viewer.ending or viewer.slots or viewer.parser.broken or not fit(stream):
+    if viewer.ending or viewer.slots or viewer.parser.broken or not is_usable(stream):
         return False
     return all(
         s.state is State.READY
-        or (s.state is State.PLAYING and s.ask and s.ask.attempt and s.ask.answered and plays(s.ask.attempt))
+        or (
+            s.state is State.PLAYING
+            and s.ask
+            and s.ask.attempt
+            and s.ask.answered
+            and is_playing(s.ask.attempt)
+        )
         for s in viewer.sessions.values()
     )
 
 
-def fit(stream: Stream) -> bool:
+def is_usable(stream: Stream) -> bool:
     return stream.open and not stream.closing and not stream.connecting
 
 
-def plays(attempt: Attempt) -> bool:
-    return attempt.state is AttemptState.PLAYING and fit(attempt.stream) and not attempt.parser.broken
+def is_playing(attempt: Attempt) -> bool:
+    return attempt.state is AttemptState.PLAYING and is_usable(attempt.stream) and not attempt.parser.broken
 
 
-def streams(viewer: ViewerConnection) -> list[Stream]:
-    """The viewer's, then its servers', in the order of its sessions."""
-    asks = [s.ask for s in viewer.sessions.values() if s.state is State.PLAYING]
-    return [viewer.stream, *(a.attempt.stream for a in asks if a and a.attempt)]
+def connection_streams(viewer: ViewerConnection) -> list[Stream]:
+    """The viewer's stream, then those of its servers in the order of its sessions."""
+    requests = [s.ask for s in viewer.sessions.values() if s.state is State.PLAYING]
+    return [viewer.stream, *(a.attempt.stream for a in requests if a and a.attempt)]
 
 
-# writing
+# serialization
 
 
 def pack_stream(stream: Stream) -> Packed:
     return {
-        "out": text(b"".join(bytes(part) for part in stream.out)),
+        "out": to_base64(b"".join(bytes(part) for part in stream.out)),
         "written": stream.written,
         "read": stream.read,
         "paused": stream.paused,
@@ -103,7 +109,7 @@
         "bandwidth": attempt.bandwidth,
         "start_s": attempt.start_s,
         "began": attempt.began,
-        "kept": text(bytes(attempt.parser.kept)),
+        "kept": to_base64(bytes(attempt.parser.kept)),
         "cseq": attempt.cseq,
         "session": attempt.session,
         "waiting": attempt.waiting,
@@ -112,15 +118,15 @@
     }
 
 
-def pack_ask(daemon: Daemon, ask: Ask) -> Packed:
-    assert ask.attempt
-    known = daemon.asks.open.get(ask.number)
+def pack_request(daemon: Daemon, request: Ask) -> Packed:
+    assert request.attempt
+    open_request = daemon.asks.open.get(request.number)
     return {
-        "said": text(encode(ask.said)),
-        "memo": text(daemon.asks.memo(known) if known else ask.memo),
-        "rung": ask.rung,
-        "claimed": [ask.carry.claim_turn, ask.carry.claim_attempts],
-        "attempt": pack_attempt(ask.attempt),
+        "said": to_base64(encode(request.said)),
+        "memo": to_base64(daemon.asks.memo(open_request) if open_request else request.memo),
+        "rung": request.rung,
+        "claimed": [request.carry.claim_turn, request.carry.claim_attempts],
+        "attempt": pack_attempt(request.attempt),
     }
 
 
@@ -139,16 +145,16 @@
         "again": session.again,
         "held_back": session.held_back,
         "claim": str(session.claim or ""),
-        "ask": pack_ask(daemon, session.ask) if playing and session.ask else None,
+        "ask": pack_request(daemon, session.ask) if playing and session.ask else None,
     }
 
 
-def pack(daemon: Daemon, viewer: ViewerConnection) -> Packed:
+def pack_viewer(daemon: Daemon, viewer: ViewerConnection) -> Packed:
     return {
         "peer": str(viewer.peer),
-        "kept": text(bytes(viewer.parser.kept)),
+        "kept": to_base64(bytes(viewer.parser.kept)),
         "last": viewer.last,
-        "last_answer": None if viewer.last_answer is None else text(viewer.last_answer),
+        "last_answer": None if viewer.last_answer is None else to_base64(viewer.last_answer),
         "active_at": viewer.active_at,
         "asked": viewer.asked,
         "stream": pack_stream(viewer.stream),
@@ -156,24 +162,24 @@
     }
 
 
-# reading
+# restoring
 
 
 def unpack_stream(daemon: Daemon, packed: Packed, fd: int, handler: Handler, high: int) -> Stream:
-    """As it was, but frozen."""
+    """Restores a stream in its earlier state, but frozen."""
     stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, frozen=True)
-    if waiting := base64.b64decode(packed["out"]):
-        stream.out = deque([memoryview(waiting)])
-        stream.backlog = len(waiting)
+    if unsent := base64.b64decode(packed["out"]):
+        stream.out = deque([memoryview(unsent)])
+        stream.backlog = len(unsent)
     stream.written, stream.read = packed["written"], packed["read"]
     stream.paused, stream.was_full = packed["paused"], packed["was_full"]
     stream.stalled_since = packed["stalled_since"]
     return stream
 
 
-def parser_of(kept: str) -> Parser:
+def restore_parser(buffered: str) -> Parser:
     parser = Parser()
-    parser.kept = bytearray(base64.b64decode(kept))
+    parser.kept = bytearray(base64.b64decode(buffered))
     return parser
 
 
@@ -186,16 +192,16 @@
     return track
 
 
-def unpack_attempt(daemon: Daemon, ask: Ask, packed: Packed, fd: int) -> Attempt:
+def unpack_attempt(daemon: Daemon, request: Ask, packed: Packed, fd: int) -> Attempt:
     attempt = Attempt.__new__(Attempt)
-    attempt.loop, attempt.owner = daemon.loop, ask
+    attempt.loop, attempt.owner = daemon.loop, request
     attempt.number, attempt.server, attempt.url = packed["number"], packed["server"], packed["url"]
     attempt.tracks = [(control, (a, b)) for control, (a, b) in packed["tracks"]]
     attempt.headers = [(name, value) for name, value in packed["headers"]]
     attempt.bandwidth, attempt.start_s = packed["bandwidth"], packed["start_s"]
     attempt.report_fields = daemon.settings.terms.report_fields
     attempt.state, attempt.left_as = AttemptState.PLAYING, Outcome.OK
-    attempt.began, attempt.parser = packed["began"], parser_of(packed["kept"])
+    attempt.began, attempt.parser = packed["began"], restore_parser(packed["kept"])
     attempt.cseq, attempt.set_up = packed["cseq"], len(attempt.tracks)
     attempt.session, attempt.waiting = packed["session"], dict(packed["waiting"])
     attempt.report = tuple(packed["report"])
@@ -205,29 +211,30 @@
     return attempt
 
 
-def unpack_ask(daemon: Daemon, session: Session, packed: Packed, fd: int) -> Ask:
+def unpack_request(daemon: Daemon, session: Session, packed: Packed, fd: int) -> Ask:
     worker = daemon.worker
-    said = MessageDecoder().feed(base64.b64decode(packed["said"]))[0]
-    if isinstance(said, MalformedMessage) or not isinstance(said, SetUpRequested):
-        raise ValueError("a session that cannot be read")
-    said.request_id = worker.next_ask
+    message = MessageDecoder().feed(base64.b64decode(packed["said"]))[0]
+    if isinstance(message, MalformedMessage) or not isinstance(message, SetUpRequested):
+        raise ValueError("the set-up request of a session is malformed")
+    message.request_id = worker.next_ask
     worker.next_ask += 1
-    ask = Ask(session, said, daemon.settings.terms.max_attempts)
-    ask.rung, ask.answered, ask.memo = packed["rung"], True, base64.b64decode(packed["memo"])
-    ask.carry.stage, ask.carry.attempts_made = RequestStage.PLAYING, 1
-    ask.carry.claim_turn, ask.carry.claim_attempts = packed["claimed"]
-    ask.attempt = unpack_attempt(daemon, ask, packed["attempt"], fd)
-    return ask
+    request = Ask(session, message, daemon.settings.terms.max_attempts)
+    request.rung, request.answered, request.memo = packed["rung"], True, base64.b64decode(packed["memo"])
+    request.carry.stage, request.carry.attempts_made = RequestStage.PLAYING, 1
+    request.carry.claim_turn, request.carry.claim_attempts = packed["claimed"]
+    request.attempt = unpack_attempt(daemon, request, packed["attempt"], fd)
+    return request
 
 
-def unpack(daemon: Daemon, packed: Packed, fds: list[int]) -> ViewerConnection:
-    """Built and frozen: nothing is read, written or told before `start`. Takes as many of `fds` as it needs.
+def unpack_viewer(daemon: Daemon, packed: Packed, fds: list[int]) -> ViewerConnection:
+    """Restores a frozen connection; nothing is read, written or reported before `start_viewer`.
 
-    Raises `KeyError`, `ValueError` or `TypeError` for what cannot be read.
+    Removes the descriptors that it needs from `fds`. Raises `KeyError`, `ValueError` or `TypeError` for
+    invalid data.
     """
     viewer = ViewerConnection.__new__(ViewerConnection)
     viewer.worker, viewer.peer, viewer.limits = daemon.worker, packed["peer"], daemon.settings.limits
-    viewer.parser = parser_of(packed["kept"])
+    viewer.parser = restore_parser(packed["kept"])
     viewer.sessions, viewer.slots = {}, deque()
     last = packed["last"]
     viewer.last = None if last is None else (last[0], last[1], last[2])
@@ -236,39 +243,42 @@
     viewer.asked = packed["asked"]
     viewer.stream = unpack_stream(daemon, packed["stream"], fds.pop(0), viewer, viewer.limits.viewer_backlog)
     viewer.idle_timer = daemon.loop.call_later(0, lambda: None)
-    for each in packed["sessions"]:
-        asked = {**each["asked"], "prefer": tuple((a, b) for a, b in each["asked"]["prefer"])}
+    for session_data in packed["sessions"]:
+        routed = {
+            **session_data["asked"],
+            "prefer": tuple((a, b) for a, b in session_data["asked"]["prefer"]),
+        }
         session = Session(
             daemon.worker,
             viewer,
-            each["path"],
-            each["there"],
-            Asked(**asked),
-            each["viewer_name"],
-            each["top"],
+            session_data["path"],
+            session_data["there"],
+            Asked(**routed),
+            session_data["viewer_name"],
+            session_data["top"],
         )
-        session.id = each["id"]
-        session.tracks = {n: unpack_track(t) for n, t in each["tracks"]}
-        session.position_s, session.since = each["position_s"], each["since"]
-        session.again, session.held_back = each["again"], each["held_back"]
-        session.claim = Token.parse(each["claim"])
-        if each["ask"]:
-            session.ask = unpack_ask(daemon, session, each["ask"], fds.pop(0))
+        session.id = session_data["id"]
+        session.tracks = {n: unpack_track(t) for n, t in session_data["tracks"]}
+        session.position_s, session.since = session_data["position_s"], session_data["since"]
+        session.again, session.held_back = session_data["again"], session_data["held_back"]
+        session.claim = Token.parse(session_data["claim"])
+        if session_data["ask"]:
+            session.ask = unpack_request(daemon, session, session_data["ask"], fds.pop(0))
             session.state = State.PLAYING
         viewer.sessions[session.id] = session
     return viewer
 
 
-def start(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """It is this process's now: the module hears of what plays, and bytes flow."""
+def start_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+    """Activates a connection of this process: reports its sessions to the module, resumes its streams."""
     worker = daemon.worker
     worker.viewers.add(viewer)
     for session in viewer.sessions.values():
         worker.add(session)
-        if ask := session.ask:
-            worker.asks[ask.number] = ask
-            worker.tell(ask)
-    for stream in streams(viewer):
+        if request := session.ask:
+            worker.asks[request.number] = request
+            worker.tell(request)
+    for stream in connection_streams(viewer):
         stream.thaw()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
     viewer.watch_head()
@@ -276,55 +286,55 @@
         daemon.loop.call_later(viewer.limits.stalled_ms / 1000, viewer.check_stalled)
 
 
-def drop(viewer: ViewerConnection) -> None:
-    """It is the other process's: our copies are closed without a word to anybody."""
+def discard_viewer(viewer: ViewerConnection) -> None:
+    """Closes this process's copies of a connection that the other one owns; nothing is sent."""
     viewer.idle_timer.cancel()
     if viewer.head_timer:
         viewer.head_timer.cancel()
-    for stream in streams(viewer):
+    for stream in connection_streams(viewer):
         stream.let_go()
 
 
-# at the front that is relieved
+# at the source
 
 
-def freeze(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """From here on nobody touches it; the decider's words for its sessions find nobody."""
+def freeze_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+    """Stops all activity on the connection; the decider's messages for its sessions are ignored."""
     viewer.idle_timer.cancel()
     if viewer.head_timer:
         viewer.head_timer.cancel()
         viewer.head_timer = None
-    for stream in streams(viewer):
+    for stream in connection_streams(viewer):
         stream.freeze()
     for session in viewer.sessions.values():
         if session.ask:
             daemon.worker.asks.pop(session.ask.number, None)
 
 
-def thaw(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """It stayed here after all."""
+def thaw_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+    """Resumes a frozen connection that stays with this process."""
     for session in viewer.sessions.values():
         if session.ask and session.state is State.PLAYING:
             daemon.worker.asks[session.ask.number] = session.ask
-    for stream in streams(viewer):
+    for stream in connection_streams(viewer):
         stream.thaw()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
     viewer.watch_head()
 
 
-def forget(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """It has gone to the successor: the module here counts it no more, its claim is the other's."""
-    drop(viewer)
+def release_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+    """Forgets a connection that the successor owns: the module here drops its sessions, claims go along."""
+    discard_viewer(viewer)
     worker = daemon.worker
     worker.viewers.discard(viewer)
     for session in viewer.sessions.values():
         worker.by_id.pop(session.id, None)
-        ask = session.ask
-        if ask is None or ask.attempt is None:
+        request = session.ask
+        if request is None or request.attempt is None:
             continue
-        attempt = ask.attempt
-        daemon.asks.holds.pop((ask.number, attempt.number), None)
-        if ask.carry.close(worker.link):
-            worker.say(ViewerGone(ask.number, True))
-            cancelled = (ask.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
+        attempt = request.attempt
+        daemon.asks.holds.pop((request.number, attempt.number), None)
+        if request.carry.close(worker.link):
+            worker.say(ViewerGone(request.number, True))
+            cancelled = (request.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
             worker.say(AttemptFinished(*cancelled, True, True, False, True, ()))
--- a/lemonhall/front/handover/endpoint.py
+++ b/lemonhall/front/handover/endpoint.py
@@ -1,5 +1,7 @@
-"""What both kinds of front have in common where they are relieved: the place at which a successor asks, its
-first words, and who it must be. What is handed over is theirs (`guard`, `workers/changing`)."""
+"""Handover endpoint shared by both kinds of front: where a successor connects, and which one is accepted.
+
+What is handed over is defined by the subclasses (`front_handover`, `workers.parent_handover`).
+"""
 
 from __future__ import annotations
 
@@ -18,96 +20,103 @@
 from lemonhall.loop import Loop, listen
 
 log = structlog.get_logger("lemonhall.front")
-VERSION = 1
+VERSION = 1  # of the handover protocol
 
 
-def about(s: FrontSettings) -> dict[str, Any]:
-    """What must be the same at both, field by field: who the front is, and the terms of its service."""
-    own = {name: repr(getattr(s, name)) for name in ("name", "index", "hall", "listen", "store")}
-    terms = {f.name: repr(getattr(s.terms, f.name)) for f in fields(s.terms) if f.name not in LIVE_TERMS}
-    return {"version": VERSION, "workers": s.workers > 0, **own, **terms}
+def handover_properties(settings: FrontSettings) -> dict[str, Any]:
+    """Settings that must be equal at source and target: the front's identity and its terms of service."""
+    identity = {name: repr(getattr(settings, name)) for name in ("name", "index", "hall", "listen", "store")}
+    terms = {
+        f.name: repr(getattr(settings.terms, f.name))
+        for f in fields(settings.terms)
+        if f.name not in LIVE_TERMS
+    }
+    return {"version": VERSION, "workers": settings.workers > 0, **identity, **terms}
 
 
-def differences(ours: dict[str, Any], theirs: dict[str, Any]) -> list[str]:
-    names = sorted(ours.keys() | theirs.keys())
-    return [name.replace("_", " ") for name in names if ours.get(name) != theirs.get(name)]
+def differences(own: dict[str, Any], other: dict[str, Any]) -> list[str]:
+    names = sorted(own.keys() | other.keys())
+    return [name.replace("_", " ") for name in names if own.get(name) != other.get(name)]
 
 
 class HandoverEndpoint:
-    """Listens at `path` for a successor. `settings`: the front's, as they are when it comes.
+    """Listens at `path` for a successor.
 
-    `hello`: the name of the point at which its first word is heard."""
+    `settings` returns the front's settings at the time of the call. `hello_failpoint` is the failpoint that
+    is reached when the successor's first message arrives.
+    """
 
-    hello = "hello"
+    hello_failpoint = "hello"
 
     def __init__(
         self, loop: Loop, path: str, settings: Callable[[], FrontSettings], failpoint: Callable[[str], object]
     ) -> None:
-        """Raises `OSError` if the path cannot be listened at."""
+        """Raises `OSError` if the path cannot be bound."""
         self.loop, self.path, self.settings, self.failpoint = loop, Path(path), settings, failpoint
-        self.giver = HandoverSource()
+        self.source = HandoverSource()
         self.channel: Channel | None = None
         self.listener: socket.socket | None = None
-        self.listen()
+        self.open_listener()
 
-    def busy(self) -> bool:
-        """Nobody can be relieved now."""
+    def is_busy(self) -> bool:
+        """Whether no handover can start now."""
         raise NotImplementedError
 
-    def act(self, effect: Effect) -> None:
+    def perform(self, effect: Effect) -> None:
         raise NotImplementedError
 
-    def listen(self) -> None:
-        """What lies at the path is of an earlier life: nobody who serves lets another come so far."""
+    def open_listener(self) -> None:
+        """Binds the path. A file that exists there was left by an earlier process: a front that still served
+        would have answered, and this process would not have come so far."""
         self.path.unlink(missing_ok=True)
-        self.listener = listen(self.loop, str(self.path), self.accept)
+        self.listener = listen(self.loop, str(self.path), self.on_connection)
         self.path.chmod(0o600)
 
-    def accept(self, sock: socket.socket, _: Any) -> None:
-        """One that cannot be let in is told so: a channel that just ends would say that nobody is here."""
-        if self.channel is not None or self.busy():
-            other = Channel(self.loop, sock, lambda message, fds: None, lambda: None)
-            other.send({"refused": ["another change of guard is under way"]})
+    def on_connection(self, sock: socket.socket, _: Any) -> None:
+        """Refuses explicitly while busy: a channel that just closes would mean that this front has ended."""
+        if self.channel is not None or self.is_busy():
+            rejected = Channel(self.loop, sock, lambda message, fds: None, lambda: None)
+            rejected.send({"refused": ["another change of guard is under way"]})
             return
-        self.channel = Channel(self.loop, sock, self.heard, self.ended)
+        self.channel = Channel(self.loop, sock, self.on_message, self.on_channel_closed)
 
-    def heard(self, message: dict[str, Any], fds: list[int]) -> None:
+    def on_message(self, message: dict[str, Any], fds: list[int]) -> None:
         for fd in fds:
             os.close(fd)
         if "hello" in message:
-            self.failpoint(self.hello)
-            other = differences(about(self.settings()), message["hello"])
-            if other:
-                log.warning("successor refused", other=other)
+            self.failpoint(self.hello_failpoint)
+            mismatches = differences(handover_properties(self.settings()), message["hello"])
+            if mismatches:
+                log.warning("successor refused, its settings differ; serving on", mismatches=mismatches)
                 assert self.channel
-                self.channel.send({"refused": other})
-            self.carry_out(self.giver.asked(not other))
+                self.channel.send({"refused": mismatches})
+            self.perform_all(self.source.on_hello(not mismatches))
         elif "tried" in message:
-            self.carry_out(self.giver.answered(message["tried"]))
+            self.perform_all(self.source.on_claim_reported(message["tried"]))
         elif "here" in message:
-            self.carry_out(self.giver.confirmed())
+            self.perform_all(self.source.on_confirmed())
 
-    def ended(self) -> None:
+    def on_channel_closed(self) -> None:
         self.channel = None
-        if self.giver.out is not None or self.giver.relieved:
-            log.warning("successor has ended")
-        self.carry_out(self.giver.gone())
+        if self.source.pending_batch is not None or self.source.handed_over:
+            log.warning("successor ended during handover")
+        self.perform_all(self.source.on_channel_closed())
 
-    def carry_out(self, effects: list[Effect]) -> None:
+    def perform_all(self, effects: list[Effect]) -> None:
         for effect in effects:
-            self.act(effect)
+            self.perform(effect)
 
     def close_listener(self) -> None:
         if self.listener:
-            self.loop.watch(self.listener, 0, self.accept)
+            self.loop.watch(self.listener, 0, self.on_connection)
             self.listener.close()
             self.listener = None
 
     def close(self) -> None:
-        """A path that another listens at by now is left alone."""
-        had = self.listener is not None
+        """Closes listener and channel. After a handover the path is kept: it belongs to the successor."""
+        was_listening = self.listener is not None
         self.close_listener()
-        if had and not self.giver.relieved:
+        if was_listening and not self.source.handed_over:
             self.path.unlink(missing_ok=True)
         if self.channel:
             self.channel.close()
--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -1,8 +1,8 @@
-"""Change of guard on real sockets: `Guard` at the front that is relieved, `Successor` at the one that comes.
+"""Handover of a front without worker processes: `FrontHandoverSource` and `FrontHandoverTarget`.
 
-Who owns what when is `relief`'s to say; how a connection is written down, `handover`'s. Here both are carried
-out: messages, sockets, batons, patience. `point` is told each step's name, so that tests can end a process
-at it.
+`state_machine` decides which process owns what, `connection_state` serializes a connection. This module
+carries out both: messages, sockets, ownership tokens, timeouts. `failpoint` is called with the name of each
+step, so that tests can end a process there.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from lemonhall.boxlist import Update
 from lemonhall.front.handover import connection_state
-from lemonhall.front.handover.endpoint import HandoverEndpoint, about
-from lemonhall.front.handover.state_machine import Do, Effect, HandoverTarget
+from lemonhall.front.handover.endpoint import HandoverEndpoint, handover_properties
+from lemonhall.front.handover.state_machine import Action, Effect, HandoverTarget
 from lemonhall.front.keeping.keeper import to_learned, to_memory
 from lemonhall.front.process.channel import Channel, OwnershipToken
 from lemonhall.front.process.daemon import Daemon, InheritedSockets
@@ -27,10 +27,10 @@
 from lemonhall.store.store_pb2 import Learned
 
 log = structlog.get_logger("lemonhall.front")
-PATIENCE_S = 3.0  # a successor that is silent for so long has its portion taken back
-AGAIN_S = 0.02  # connections that are not quiet are looked at again after
-CONNECTIONS = 16  # in one portion
-FDS = 100  # in one portion
+TARGET_TIMEOUT_S = 3.0  # after which a batch is reclaimed from a successor that does not answer
+POLL_INTERVAL_S = 0.02  # before connections with requests in progress are checked again
+MAX_BATCH_CONNECTIONS = 16
+MAX_BATCH_FDS = 100
 FAILPOINTS = (
     "hello",
     "hand-front",
@@ -50,153 +50,161 @@
 
 
 class FrontHandoverSource(HandoverEndpoint):
-    """At the front that serves: waits for a successor at `path`, and hands over when one asks."""
+    """At the front that serves: waits for a successor at `path` and hands over to it."""
 
     def __init__(
         self, daemon: Daemon, path: str, failpoint: Callable[[str], object] = lambda name: None
     ) -> None:
-        """Raises `OSError` if the path cannot be listened at."""
+        """Raises `OSError` if the path cannot be bound."""
         self.daemon = daemon
-        self.baton: OwnershipToken | None = None
+        self.token: OwnershipToken | None = None
         self.frozen: list[ViewerConnection] = []
-        self.patience: Timer | None = None
-        self.look: Timer | None = None
-        self.given = 0
+        self.timeout_timer: Timer | None = None
+        self.poll_timer: Timer | None = None
+        self.viewers_handed_over = 0
         super().__init__(daemon.loop, path, lambda: daemon.settings, failpoint)
 
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
         return self.daemon.stopping
 
-    def act(self, effect: Effect) -> None:
-        n = effect.portion
-        if effect.do is Do.HAND:
-            self.hand_front() if n == 0 else self.hand(n)
-            self.patience = self.loop.call_later(PATIENCE_S, self.lose_patience, n)
-        elif effect.do is Do.TRY:
-            if self.patience:
-                self.patience.cancel()
-            baton, self.baton = self.baton, None
-            self.carry_out(self.giver.tried(n, baton is not None and baton.take()))
-        elif effect.do is Do.RESUME:
-            self.daemon.resume_front() if n == 0 else self.resume()
-        elif effect.do is Do.FORGET:
-            self.forget(n)
-        elif effect.do is Do.NEXT:
-            self.next()
-        elif effect.do is Do.SERVE:
-            log.warning("serving again, the successor is no more")
+    def perform(self, effect: Effect) -> None:
+        batch = effect.batch
+        if effect.action is Action.SEND:
+            self.send_front() if batch == 0 else self.send_batch(batch)
+            self.timeout_timer = self.loop.call_later(TARGET_TIMEOUT_S, self.on_timeout, batch)
+        elif effect.action is Action.CLAIM_TOKEN:
+            if self.timeout_timer:
+                self.timeout_timer.cancel()
+            token, self.token = self.token, None
+            self.perform_all(self.source.on_token_claimed(batch, token is not None and token.claim()))
+        elif effect.action is Action.RESUME:
+            self.daemon.resume_front() if batch == 0 else self.resume_batch()
+        elif effect.action is Action.RELEASE:
+            self.release_batch(batch)
+        elif effect.action is Action.PREPARE_NEXT:
+            self.prepare_next()
+        elif effect.action is Action.SERVE:
+            log.warning("serving again: the successor ended before the handover was complete")
             self.close_listener()
-            self.listen()
+            self.open_listener()
             self.daemon.resume_front()
-        elif effect.do is Do.DRAIN:
-            self.next()  # those that were taken back stay until the successor answers, or to their end
-        elif effect.do is Do.LAST:
+        elif effect.action is Action.DRAIN:
+            # Reclaimed sessions stay here until the successor answers, or until they end.
+            self.prepare_next()
+        elif effect.action is Action.ASK_CONFIRMATION:
             assert self.channel
             self.channel.send({"last": True})
-        elif effect.do is Do.OVER:
-            self.over()
+        elif effect.action is Action.FINISH:
+            self.finish()
 
-    def lose_patience(self, n: int) -> None:
-        log.warning("successor is silent", portion=n)
-        self.carry_out(self.giver.answered(n))
+    def on_timeout(self, batch: int) -> None:
+        log.warning("successor did not answer in time; reclaiming the batch", batch=batch)
+        self.perform_all(self.source.on_claim_reported(batch))
 
-    # portion 0
+    # batch 0: the front itself
 
-    def hand_front(self) -> None:
+    def send_front(self) -> None:
         self.failpoint("hand-front")
-        d = self.daemon
-        d.pause_front()
+        daemon = self.daemon
+        daemon.pause_front()
         sockets = {
-            "viewers": d.listeners[0],
-            "status": d.listeners[1] if len(d.listeners) > 1 else None,
-            "peers": d.peers.sock if d.peers else None,
-            "members": d.membership.sock if d.membership else None,
+            "viewers": daemon.listeners[0],
+            "status": daemon.listeners[1] if len(daemon.listeners) > 1 else None,
+            "peers": daemon.peers.sock if daemon.peers else None,
+            "members": daemon.membership.sock if daemon.membership else None,
         }
         named = [(name, sock) for name, sock in sockets.items() if sock is not None]
-        self.baton = OwnershipToken()
-        fds = [self.baton.fd, *(sock.fileno() for _, sock in named)]
-        lock = d.keeper.store.lock if d.keeper else None
+        self.token = OwnershipToken()
+        fds = [self.token.fd, *(sock.fileno() for _, sock in named)]
+        lock = daemon.keeper.store.lock if daemon.keeper else None
         fds += [lock] if lock is not None else []
-        memory = d.memory()
+        memory = daemon.memory()
         message = {
             "portion": 0,
             "sockets": [name for name, _ in named],
             "lock": lock is not None,
-            "memory": connection_state.text(to_learned(memory).SerializeToString()) if memory else "",
-            "list": connection_state.text(d.list.list.snapshot().SerializeToString())
-            if d.list.list.version
+            "memory": connection_state.to_base64(to_learned(memory).SerializeToString()) if memory else "",
+            "list": connection_state.to_base64(daemon.list.list.snapshot().SerializeToString())
+            if daemon.list.list.version
+            else "",
+            "born_ms": daemon.list.list.born_ms,
+            "clock": [daemon.start_wall_ms, daemon.start],
+            "fleet": list(daemon.membership.share.told) if daemon.membership else None,
+            "limits": connection_state.to_base64(daemon.asks.limits.machine.escrow.state())
+            if daemon.asks.limits
             else "",
-            "born_ms": d.list.list.born_ms,
-            "clock": [d.start_wall_ms, d.start],
-            "fleet": list(d.membership.share.told) if d.membership else None,
-            "limits": connection_state.text(d.asks.limits.machine.escrow.state()) if d.asks.limits else "",
         }
         assert self.channel
         self.channel.send(message, fds)
         self.failpoint("front-sent")
 
-    # connections
+    # later batches: connections
 
-    def next(self) -> None:
-        if self.giver.lost or self.channel is None:
+    def prepare_next(self) -> None:
+        if self.source.channel_closed or self.channel is None:
             return
-        d = self.daemon
-        if not d.worker.viewers and not d.worker.asks:
-            self.carry_out(self.giver.nothing_left())
+        daemon = self.daemon
+        if not daemon.worker.viewers and not daemon.worker.asks:
+            self.perform_all(self.source.on_nothing_left())
             return
         ready: list[ViewerConnection] = []
         fds = 0
-        for viewer in d.worker.viewers:
-            if connection_state.quiet(viewer):
-                fds += len(connection_state.streams(viewer))
-                if ready and (fds > FDS or len(ready) >= CONNECTIONS):
+        for viewer in daemon.worker.viewers:
+            if connection_state.can_hand_over(viewer):
+                fds += len(connection_state.connection_streams(viewer))
+                if ready and (fds > MAX_BATCH_FDS or len(ready) >= MAX_BATCH_CONNECTIONS):
                     break
                 ready.append(viewer)
         if ready:
             self.frozen = ready
-            self.carry_out(self.giver.portion())
+            self.perform_all(self.source.on_batch_ready())
         else:
-            self.look = self.loop.call_later(AGAIN_S, self.next)
+            self.poll_timer = self.loop.call_later(POLL_INTERVAL_S, self.prepare_next)
 
-    def hand(self, n: int) -> None:
+    def send_batch(self, batch: int) -> None:
         self.failpoint("hand")
-        d = self.daemon
+        daemon = self.daemon
         for viewer in self.frozen:
-            connection_state.freeze(d, viewer)
-        d.decider_queue.deliver()
-        d.bridge.flush()  # what was told before of them is settled before they are written down
-        self.baton = OwnershipToken()
-        fds = [self.baton.fd]
+            connection_state.freeze_viewer(daemon, viewer)
+        daemon.decider_queue.deliver()
+        daemon.bridge.flush()  # earlier messages about these sessions are processed before they are packed
+        self.token = OwnershipToken()
+        fds = [self.token.fd]
         for viewer in self.frozen:
-            fds += [s.sock.fileno() for s in connection_state.streams(viewer)]
+            fds += [s.sock.fileno() for s in connection_state.connection_streams(viewer)]
         assert self.channel
-        self.channel.send({"portion": n, "viewers": [connection_state.pack(d, v) for v in self.frozen]}, fds)
+        self.channel.send(
+            {"portion": batch, "viewers": [connection_state.pack_viewer(daemon, v) for v in self.frozen]}, fds
+        )
         self.failpoint("sent")
 
-    def resume(self) -> None:
-        frozen, self.frozen = self.frozen, []
-        for viewer in frozen:
-            connection_state.thaw(self.daemon, viewer)
+    def resume_batch(self) -> None:
+        viewers, self.frozen = self.frozen, []
+        for viewer in viewers:
+            connection_state.thaw_viewer(self.daemon, viewer)
 
-    def forget(self, n: int) -> None:
-        if n == 0:
+    def release_batch(self, batch: int) -> None:
+        if batch == 0:
             self.failpoint("front-given")
-            log.info("relieved", viewers=len(self.daemon.worker.viewers))
+            log.info(
+                "successor serves as the front; handing over connections",
+                viewers=len(self.daemon.worker.viewers),
+            )
             return
-        frozen, self.frozen = self.frozen, []
-        for viewer in frozen:
-            connection_state.forget(self.daemon, viewer)
-        self.given += len(frozen)
+        viewers, self.frozen = self.frozen, []
+        for viewer in viewers:
+            connection_state.release_viewer(self.daemon, viewer)
+        self.viewers_handed_over += len(viewers)
         self.failpoint("given")
 
-    def over(self) -> None:
+    def finish(self) -> None:
         self.failpoint("over")
-        log.info("handed over", viewers=self.given)
-        self.daemon.leave_front()
+        log.info("handover complete", viewers=self.viewers_handed_over)
+        self.daemon.exit_after_handover()
 
 
 class ReplaceableDaemon(Daemon):
-    """A front that may be relieved."""
+    """A front without worker processes that can be handed over to a successor."""
 
     def open_handover(self) -> None:
         if self.settings.guard:
@@ -204,7 +212,7 @@
 
 
 class FrontHandoverTarget:
-    """At the front that comes. `opened` is called once it serves, `refused(why)` if it is not wanted."""
+    """At the successor. Calls `opened` once it serves, `refused(reason)` if it cannot take over."""
 
     def __init__(
         self,
@@ -214,46 +222,51 @@
         refused: Callable[[str], object],
         failpoint: Callable[[str], object] = lambda name: None,
     ) -> None:
-        """Raises `OSError` if nobody is there to be relieved."""
+        """Raises `OSError` if no front listens at `path`."""
         self.daemon, self.loop, self.path, self.failpoint = daemon, daemon.loop, path, failpoint
         self.opened, self.refused = opened, refused
-        self.taker = HandoverTarget()
-        self.built: dict[int, list[ViewerConnection]] = {}
-        self.batons: dict[int, OwnershipToken] = {}
+        self.target = HandoverTarget()
+        self.unpacked: dict[int, list[ViewerConnection]] = {}
+        self.tokens: dict[int, OwnershipToken] = {}
         self.inherited = InheritedSockets()
-        self.took = 0
+        self.viewers_taken = 0
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.connect(path)
         except OSError:
             sock.close()
             raise
-        self.channel = Channel(self.loop, sock, self.heard, self.ended)
-        self.channel.send({"hello": about(daemon.settings)})
+        self.channel = Channel(self.loop, sock, self.on_message, self.on_channel_closed)
+        self.channel.send({"hello": handover_properties(daemon.settings)})
 
-    def heard(self, message: dict[str, Any], fds: list[int]) -> None:
+    def on_message(self, message: dict[str, Any], fds: list[int]) -> None:
         if "refused" in message:
-            self.taker.ended = True
+            self.target.ended = True
             self.refused(f"refused by the front that serves, for: {', '.join(message['refused'])}")
             return
         if "last" in message:
-            self.carry_out(self.taker.last())
+            self.perform_all(self.target.on_confirmation_requested())
             return
-        n = message["portion"]
-        self.batons[n] = OwnershipToken(fds.pop(0))
+        batch = message["portion"]
+        self.tokens[batch] = OwnershipToken(fds.pop(0))
         try:
-            if n == 0:
+            if batch == 0:
                 self.unpack_front(message, fds)
             else:
-                self.built[n] = [
-                    connection_state.unpack(self.daemon, packed, fds) for packed in message["viewers"]
+                self.unpacked[batch] = [
+                    connection_state.unpack_viewer(self.daemon, packed, fds) for packed in message["viewers"]
                 ]
-            fine = True
+            usable = True
         except Exception as error:
-            log.error("cannot take over", portion=n, why=str(error), exc_info=error)
-            fine = False
-        self.failpoint("front-unpacked" if n == 0 else "unpacked")
-        self.carry_out(self.taker.handed(n, fine))
+            log.error(
+                "batch cannot be unpacked; it stays with the old front",
+                batch=batch,
+                error=str(error),
+                exc_info=error,
+            )
+            usable = False
+        self.failpoint("front-unpacked" if batch == 0 else "unpacked")
+        self.perform_all(self.target.on_batch_received(batch, usable))
 
     def unpack_front(self, message: dict[str, Any], fds: list[int]) -> None:
         for name in message["sockets"]:
@@ -264,63 +277,66 @@
         if self.daemon.settings.store and self.daemon.keeper is None:
             self.daemon.open_store(self.daemon.settings.store, self.inherited.lock)
 
-    def ended(self) -> None:
-        self.carry_out(self.taker.gone())
+    def on_channel_closed(self) -> None:
+        self.perform_all(self.target.on_channel_closed())
         if self.daemon.asks.limits:
             self.daemon.asks.limits.machine.carried_all()
-        if self.taker.serving:
-            log.info("the old front has ended", viewers=self.took)
+        if self.target.serving:
+            log.info("old front has ended", viewers=self.viewers_taken)
 
-    def carry_out(self, effects: list[Effect]) -> None:
+    def perform_all(self, effects: list[Effect]) -> None:
         for effect in effects:
-            self.act(effect)
+            self.perform(effect)
 
-    def act(self, effect: Effect) -> None:
-        n = effect.portion
-        if effect.do is Do.TRY:
-            self.carry_out(self.taker.tried(n, self.batons.pop(n).take()))
-        elif effect.do is Do.SERVE:
+    def perform(self, effect: Effect) -> None:
+        batch = effect.batch
+        if effect.action is Action.CLAIM_TOKEN:
+            self.perform_all(self.target.on_token_claimed(batch, self.tokens.pop(batch).claim()))
+        elif effect.action is Action.SERVE:
             self.serve()
-        elif effect.do is Do.TOOK:
-            self.failpoint("front-owned" if n == 0 else "owned")
-            self.channel.send({"tried": n})
-            self.failpoint("front-told" if n == 0 else "told")
-        elif effect.do is Do.HERE:
+        elif effect.action is Action.REPORT_CLAIM:
+            self.failpoint("front-owned" if batch == 0 else "owned")
+            self.channel.send({"tried": batch})
+            self.failpoint("front-told" if batch == 0 else "told")
+        elif effect.action is Action.CONFIRM:
             self.channel.send({"here": True})
-        elif effect.do is Do.OWN:
-            for viewer in self.built.pop(n):
-                connection_state.start(self.daemon, viewer)
-                self.took += 1
-        elif effect.do is Do.DROP:
-            for viewer in self.built.pop(n, []):
-                connection_state.drop(viewer)
-        elif effect.do is Do.END:
+        elif effect.action is Action.START:
+            for viewer in self.unpacked.pop(batch):
+                connection_state.start_viewer(self.daemon, viewer)
+                self.viewers_taken += 1
+        elif effect.action is Action.DISCARD:
+            for viewer in self.unpacked.pop(batch, []):
+                connection_state.discard_viewer(viewer)
+        elif effect.action is Action.ABORT:
             self.refused("the front that serves goes on: this one could not take over")
 
     def serve(self) -> None:
         if self.inherited.message:
-            self.adopt(self.inherited.message)
+            self.adopt_state(self.inherited.message)
         self.opened()
 
-    def adopt(self, message: dict[str, Any]) -> None:
-        """What the old front knew, before this one is opened."""
-        d = self.daemon
-        d.start_wall_ms, d.start = message["clock"]
-        d.list.list.born_ms = message["born_ms"]
-        d.inherited = self.inherited
+    def adopt_state(self, message: dict[str, Any]) -> None:
+        """Restores clock, server list and learned state of the old front before this front opens."""
+        daemon = self.daemon
+        daemon.start_wall_ms, daemon.start = message["clock"]
+        daemon.list.list.born_ms = message["born_ms"]
+        daemon.inherited = self.inherited
         if message["list"]:
             update = Update.FromString(base64.b64decode(message["list"]))
-            if event := d.list.list.apply(update):
-                d.bridge.tell(event)
+            if event := daemon.list.list.apply(update):
+                daemon.bridge.tell(event)
         if message["memory"]:
             learned = Learned.FromString(base64.b64decode(message["memory"]))
-            d.bridge.tell(to_memory(learned))
+            daemon.bridge.tell(to_memory(learned))
+
 
+def exit_at_failpoint(name: str, failpoints: Sequence[str] = FAILPOINTS) -> Callable[[str], object]:
+    """For tests: a callback that ends the process at the named failpoint, as if killed there.
 
-def exit_at_failpoint(name: str, points: Sequence[str] = FAILPOINTS) -> Callable[[str], object]:
-    """For tests: a process that is gone at a named point, as if killed there. Raises `ValueError`."""
-    if name and name not in points:
-        raise ValueError(f"no point {name!r} of a change of guard")
+    Raises `ValueError` for an unknown name.
+    """
+    if name and name not in failpoints:
+        raise ValueError(f"failpoint {name!r} does not exist in a handover")
 
     def failpoint(reached: str) -> None:
         if reached == name:
@@ -330,5 +346,5 @@
 
 
 def wait_for_handover(loop: Loop, successor: FrontHandoverTarget) -> None:
-    """Runs the loop until the successor serves or is not wanted."""
-    loop.run(until=lambda: successor.taker.serving or successor.taker.ended)
+    """Runs the loop until the successor serves or cannot take over."""
+    loop.run(until=lambda: successor.target.serving or successor.target.ended)
--- a/lemonhall/front/handover/state_machine.py
+++ b/lemonhall/front/handover/state_machine.py
@@ -1,12 +1,13 @@
-"""A change of guard, step by step: who owns what, whoever dies when. Pure: what happens in, effects out.
+"""State machine of a handover: which process owns what, whichever of them ends at any step. Pure: no I/O.
 
-What is handed over goes in portions: 0 is the front itself (listeners, store, membership), each later one
-some connections. With each goes a baton: a pipe that holds one byte. Both processes have it, and the kernel
-gives the byte to one reader only: who reads it owns the portion, the other lets go. So there is no moment at
-which both own it, and none at which neither can, whichever process dies and whatever words are lost.
+Inputs are method calls, outputs are effects. A front is handed over in batches: batch 0 is the front itself
+(listeners, store, membership), each later one some connections. Each batch comes with an ownership token: a
+pipe that holds one byte. Both processes have the pipe, and the kernel gives the byte to one reader only: the
+process that reads it owns the batch, the other releases its copies. So at no moment do both own a batch, and
+there is none at which neither can, whichever process ends and whichever messages are lost.
 
-`Giver` is the front that is relieved, `Taker` its successor. A channel that ends means that the other process
-has ended: nobody closes it before the end.
+`HandoverSource` is the front that is replaced, `HandoverTarget` its successor. A closed channel means that
+the other process has ended: neither closes it before its end.
 """
 
 from __future__ import annotations
@@ -15,89 +16,94 @@
 from enum import Enum, auto
 
 
-class Do(Enum):
-    """Effects. Each has a portion's number where it speaks of one."""
+class Action(Enum):
+    """What a process has to do. Effects that concern a batch carry its number."""
 
-    HAND = auto()  # giver: freeze the portion and send it, with its baton
-    TRY = auto()  # both: read the portion's baton, and say how it went by `tried`
-    RESUME = auto()  # giver: it is still ours, as it was
-    FORGET = auto()  # giver: it is the successor's; close our copies
-    NEXT = auto()  # giver: say what the next portion is, by `portion` or `nothing_left`
-    SERVE = auto()  # both: be the front: accept, take part among the members
-    LAST = auto()  # giver: ask whether the successor is there, before it is left alone
-    OVER = auto()  # giver: end, nothing is left here
-    DRAIN = auto()  # giver: no successor takes these: play them out, beside the new front
-    OWN = auto()  # taker: start what was unpacked
-    DROP = auto()  # taker: close what was unpacked, it is not ours
-    HERE = auto()  # taker: say so
-    TOOK = auto()  # taker: tell the giver that the baton has been tried
-    END = auto()  # taker: it was not needed
+    SEND = auto()  # source: freeze the batch and send it with its token
+    CLAIM_TOKEN = auto()  # both: read the batch's token and pass the result to `on_token_claimed`
+    RESUME = auto()  # source: resume the batch, this process still owns it
+    RELEASE = auto()  # source: the successor owns the batch; close the copies here
+    PREPARE_NEXT = auto()  # source: prepare the next batch, then call `on_batch_ready` or `on_nothing_left`
+    SERVE = auto()  # both: serve as the front: accept connections, act as a member of the fleet
+    ASK_CONFIRMATION = auto()  # source: before ending, ask the successor to confirm that it serves
+    FINISH = auto()  # source: end, nothing is left here
+    DRAIN = auto()  # source: the successor cannot take these sessions; keep them until they end
+    START = auto()  # target: start the unpacked batch
+    DISCARD = auto()  # target: close the unpacked batch, the source owns it
+    CONFIRM = auto()  # target: confirm that this process serves
+    REPORT_CLAIM = auto()  # target: tell the source that the token has been tried
+    ABORT = auto()  # target: end, the source goes on
 
 
 @dataclass(frozen=True)
 class Effect:
-    do: Do
-    portion: int = 0
+    action: Action
+    batch: int = 0
 
 
 class HandoverSource:
     def __init__(self) -> None:
-        self.out: int | None = None  # the portion whose owner is not known
-        self.lost = False  # the channel is gone
-        self.relieved = False  # the successor is the front
-        self.handed = 0  # portions so far
-
-    def asked(self, fine: bool) -> list[Effect]:
-        """A successor says hello. One at a time, and only if its settings fit (`fine`)."""
-        if not fine or self.out is not None or self.relieved:
+        self.pending_batch: int | None = None  # batch sent, owner not known yet
+        self.channel_closed = False  # the successor has ended
+        self.handed_over = False  # the successor serves as the front
+        self.batches_sent = 0  # connection batches sent so far
+
+    def on_hello(self, compatible: bool) -> list[Effect]:
+        """A successor has connected. Accepted one at a time, and only if its settings are `compatible`."""
+        if not compatible or self.pending_batch is not None or self.handed_over:
             return []
-        self.out, self.lost = 0, False
-        return [Effect(Do.HAND, 0)]
-
-    def answered(self, portion: int) -> list[Effect]:
-        """It has tried the baton, or says that it cannot use the portion, or has been silent for too long."""
-        return [Effect(Do.TRY, portion)] if portion == self.out else []
-
-    def gone(self) -> list[Effect]:
-        """The channel has ended: the successor is no more."""
-        self.lost = True
-        if self.out is not None:
-            return [Effect(Do.TRY, self.out)]
-        return self.alone()
-
-    def tried(self, portion: int, won: bool) -> list[Effect]:
-        self.out = None
-        if portion == 0:
-            if won or self.lost:  # never given, or the front died with it: its listeners are still here too
-                return [Effect(Do.RESUME, 0)]
-            self.relieved = True
-            return [Effect(Do.FORGET, 0), Effect(Do.NEXT)]
-        kept = [Effect(Do.RESUME if won else Do.FORGET, portion)]
-        if self.lost:
-            return kept + self.alone()
-        return [*kept, Effect(Do.DRAIN)] if won else [*kept, Effect(Do.NEXT)]
-
-    def portion(self) -> list[Effect]:
-        """There is a next one."""
-        if self.lost or not self.relieved:
+        self.pending_batch, self.channel_closed = 0, False
+        return [Effect(Action.SEND, 0)]
+
+    def on_claim_reported(self, batch: int) -> list[Effect]:
+        """The successor has tried the token, cannot use the batch, or did not answer in time."""
+        return [Effect(Action.CLAIM_TOKEN, batch)] if batch == self.pending_batch else []
+
+    def on_channel_closed(self) -> list[Effect]:
+        """The successor has ended."""
+        self.channel_closed = True
+        if self.pending_batch is not None:
+            return [Effect(Action.CLAIM_TOKEN, self.pending_batch)]
+        return self.resume_serving()
+
+    def on_token_claimed(self, batch: int, won: bool) -> list[Effect]:
+        self.pending_batch = None
+        if batch == 0:
+            # Not handed over, or lost with the successor; in both cases the listeners are still open here.
+            if won or self.channel_closed:
+                return [Effect(Action.RESUME, 0)]
+            self.handed_over = True
+            return [Effect(Action.RELEASE, 0), Effect(Action.PREPARE_NEXT)]
+        effects = [Effect(Action.RESUME if won else Action.RELEASE, batch)]
+        if self.channel_closed:
+            return effects + self.resume_serving()
+        return [*effects, Effect(Action.DRAIN)] if won else [*effects, Effect(Action.PREPARE_NEXT)]
+
+    def on_batch_ready(self) -> list[Effect]:
+        """Another batch is ready to be sent."""
+        if self.channel_closed or not self.handed_over:
             return []
-        self.handed += 1
-        self.out = self.handed
-        return [Effect(Do.HAND, self.handed)]
-
-    def nothing_left(self) -> list[Effect]:
-        return [Effect(Do.LAST)] if self.relieved and not self.lost else []
-
-    def confirmed(self) -> list[Effect]:
-        """The successor is there and has all: from here on its end is its own matter."""
-        return [Effect(Do.OVER)] if self.relieved and not self.lost and self.out is None else []
-
-    def alone(self) -> list[Effect]:
-        """The successor died after it had become the front: this one is the front again."""
-        if not self.relieved:
+        self.batches_sent += 1
+        self.pending_batch = self.batches_sent
+        return [Effect(Action.SEND, self.batches_sent)]
+
+    def on_nothing_left(self) -> list[Effect]:
+        return [Effect(Action.ASK_CONFIRMATION)] if self.handed_over and not self.channel_closed else []
+
+    def on_confirmed(self) -> list[Effect]:
+        """The successor has everything and serves; this process is not needed any more."""
+        return (
+            [Effect(Action.FINISH)]
+            if self.handed_over and not self.channel_closed and self.pending_batch is None
+            else []
+        )
+
+    def resume_serving(self) -> list[Effect]:
+        """The successor ended after it had become the front: this process serves again."""
+        if not self.handed_over:
             return []
-        self.relieved = False
-        return [Effect(Do.SERVE)]
+        self.handed_over = False
+        return [Effect(Action.SERVE)]
 
 
 class HandoverTarget:
@@ -105,33 +111,33 @@
         self.serving = False
         self.ended = False
 
-    def handed(self, portion: int, fine: bool) -> list[Effect]:
-        """A portion has come and was unpacked. Not `fine`: it cannot be used here; its baton stays."""
-        if not fine:
-            if portion == 0:
+    def on_batch_received(self, batch: int, usable: bool) -> list[Effect]:
+        """A batch was received and unpacked. If it is not `usable` here, its token is left alone."""
+        if not usable:
+            if batch == 0:
                 self.ended = True
-                return [Effect(Do.END)]
-            return [Effect(Do.DROP, portion), Effect(Do.TOOK, portion)]
-        return [Effect(Do.TRY, portion)]
+                return [Effect(Action.ABORT)]
+            return [Effect(Action.DISCARD, batch), Effect(Action.REPORT_CLAIM, batch)]
+        return [Effect(Action.CLAIM_TOKEN, batch)]
 
-    def tried(self, portion: int, won: bool) -> list[Effect]:
+    def on_token_claimed(self, batch: int, won: bool) -> list[Effect]:
         if not won:
-            if portion == 0:
+            if batch == 0:
                 self.ended = True
-                return [Effect(Do.END)]
-            return [Effect(Do.DROP, portion)]
-        if portion == 0:
+                return [Effect(Action.ABORT)]
+            return [Effect(Action.DISCARD, batch)]
+        if batch == 0:
             self.serving = True
-            return [Effect(Do.SERVE), Effect(Do.TOOK, 0)]
-        return [Effect(Do.OWN, portion), Effect(Do.TOOK, portion)]
+            return [Effect(Action.SERVE), Effect(Action.REPORT_CLAIM, 0)]
+        return [Effect(Action.START, batch), Effect(Action.REPORT_CLAIM, batch)]
 
-    def last(self) -> list[Effect]:
-        """The old front has nothing left, and asks."""
-        return [Effect(Do.HERE)] if self.serving else []
+    def on_confirmation_requested(self) -> list[Effect]:
+        """The source has nothing left and asks for confirmation."""
+        return [Effect(Action.CONFIRM)] if self.serving else []
 
-    def gone(self) -> list[Effect]:
-        """The old front is no more. What it had sent has been read: if nothing, this one begins anew."""
+    def on_channel_closed(self) -> list[Effect]:
+        """The source has ended; all it sent was read. If that was nothing, this front starts fresh."""
         if self.serving or self.ended:
             return []
         self.serving = True
-        return [Effect(Do.SERVE)]
+        return [Effect(Action.SERVE)]
--- a/lemonhall/front/process/channel.py
+++ b/lemonhall/front/process/channel.py
@@ -1,6 +1,6 @@
-"""Messages with open descriptors between two processes, over a Unix socket: a length, JSON, and SCM_RIGHTS.
+"""Messages with open file descriptors between two processes over a Unix socket: length, JSON, SCM_RIGHTS.
 
-Descriptors travel with the first byte of their message (unix(7)); each message says how many are its own.
+Descriptors travel with the first byte of their message (unix(7)); each message states how many belong to it.
 """
 
 from __future__ import annotations
@@ -17,53 +17,55 @@
 from lemonhall.loop.core import READ, WRITE
 
 LENGTH = struct.Struct(">I")
-FDS_MOST = 200  # in one message; the kernel takes 253
-BYTES_MOST = 64 << 20
-Heard = Callable[[dict[str, Any], list[int]], object]
+MAX_FDS = 200  # in one message; the kernel accepts 253 (SCM_MAX_FD)
+MAX_MESSAGE_BYTES = 64 << 20
+MessageHandler = Callable[[dict[str, Any], list[int]], object]
 
 
 class Channel:
-    """`heard(message, descriptors)`, in order; `ended()` once, when the other process has closed its end."""
+    """Calls `on_message(message, descriptors)` in order and `on_closed()` once the peer has closed."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, heard: Heard, ended: Callable[[], object]) -> None:
-        self.loop, self.sock, self.heard, self.ended = loop, sock, heard, ended
+    def __init__(
+        self, loop: Loop, sock: socket.socket, on_message: MessageHandler, on_closed: Callable[[], object]
+    ) -> None:
+        self.loop, self.sock, self.on_message, self.on_closed = loop, sock, on_message, on_closed
         self.open = True
-        self.kept = bytearray()
-        self.fds: deque[int] = deque()
-        self.out: deque[tuple[memoryview, list[int]]] = deque()
+        self.buffer = bytearray()
+        self.received_fds: deque[int] = deque()
+        self.unsent: deque[tuple[memoryview, list[int]]] = deque()
         sock.setblocking(False)
-        self.watch()
+        self.update_watch()
 
-    def watch(self) -> None:
+    def update_watch(self) -> None:
         if self.open:
-            self.loop.watch(self.sock, READ | (WRITE if self.out else 0), self.on_ready)
+            self.loop.watch(self.sock, READ | (WRITE if self.unsent else 0), self.on_ready)
 
     def send(self, message: dict[str, Any], fds: Sequence[int] = ()) -> None:
-        """The descriptors stay open here; copies of them travel. Raises `ValueError` for too many."""
-        if len(fds) > FDS_MOST:
-            raise ValueError(f"{len(fds)} descriptors are more than a message carries ({FDS_MOST})")
+        """Sends duplicates of the descriptors; the originals stay open. Raises `ValueError` for too many."""
+        if len(fds) > MAX_FDS:
+            raise ValueError(f"{len(fds)} descriptors exceed the limit of a message ({MAX_FDS})")
         body = json.dumps({**message, "fds": len(fds)}, separators=(",", ":")).encode()
         copies = [os.dup(fd) for fd in fds]
-        self.out.append((memoryview(LENGTH.pack(len(body)) + body), copies))
+        self.unsent.append((memoryview(LENGTH.pack(len(body)) + body), copies))
         self.flush()
 
     def flush(self) -> None:
-        while self.out and self.open:
-            data, fds = self.out[0]
+        while self.unsent and self.open:
+            data, fds = self.unsent[0]
             try:
                 sent = socket.send_fds(self.sock, [data], fds) if fds else self.sock.send(data)
             except BlockingIOError:
                 break
             except OSError:
-                self.end()
+                self.close_and_notify()
                 return
             for fd in fds:
                 os.close(fd)
             if sent == len(data):
-                self.out.popleft()
+                self.unsent.popleft()
             else:
-                self.out[0] = (data[sent:], [])
-        self.watch()
+                self.unsent[0] = (data[sent:], [])
+        self.update_watch()
 
     def on_ready(self, mask: int) -> None:
         if mask & WRITE:
@@ -72,70 +74,72 @@
             return
         while self.open:
             try:
-                data, fds, flags, _ = socket.recv_fds(self.sock, 1 << 16, FDS_MOST)
+                data, fds, flags, _ = socket.recv_fds(self.sock, 1 << 16, MAX_FDS)
             except BlockingIOError:
                 return
             except OSError:
                 data, fds, flags = b"", [], 0
             for fd in fds:
                 os.set_inheritable(fd, False)
-                self.fds.append(fd)
+                self.received_fds.append(fd)
             if not data or flags & socket.MSG_CTRUNC:
-                self.end()
+                self.close_and_notify()
                 return
-            self.kept += data
-            self.take()
-
-    def take(self) -> None:
-        while self.open and len(self.kept) >= LENGTH.size:
-            size = LENGTH.unpack_from(self.kept)[0]
-            if size > BYTES_MOST:
-                self.end()
+            self.buffer += data
+            self.process_buffer()
+
+    def process_buffer(self) -> None:
+        while self.open and len(self.buffer) >= LENGTH.size:
+            size = LENGTH.unpack_from(self.buffer)[0]
+            if size > MAX_MESSAGE_BYTES:
+                self.close_and_notify()
                 return
-            if len(self.kept) < LENGTH.size + size:
+            if len(self.buffer) < LENGTH.size + size:
                 return
-            body = bytes(self.kept[LENGTH.size : LENGTH.size + size])
-            del self.kept[: LENGTH.size + size]
+            body = bytes(self.buffer[LENGTH.size : LENGTH.size + size])
+            del self.buffer[: LENGTH.size + size]
             try:
                 message = json.loads(body)
                 count = int(message["fds"])
             except (ValueError, KeyError, TypeError):
-                self.end()
+                self.close_and_notify()
                 return
-            self.heard(message, [self.fds.popleft() for _ in range(min(count, len(self.fds)))])
+            self.on_message(
+                message, [self.received_fds.popleft() for _ in range(min(count, len(self.received_fds)))]
+            )
 
-    def end(self) -> None:
+    def close_and_notify(self) -> None:
         if self.open:
             self.close()
-            self.ended()
+            self.on_closed()
 
     def close(self) -> None:
-        """Without a word to the owner."""
+        """Closes the channel without calling `on_closed`."""
         if not self.open:
             return
         self.open = False
         self.loop.watch(self.sock, 0, self.on_ready)
         self.sock.close()
-        for fd in [*self.fds, *(fd for _, fds in self.out for fd in fds)]:
+        for fd in [*self.received_fds, *(fd for _, fds in self.unsent for fd in fds)]:
             os.close(fd)
-        self.fds.clear()
-        self.out.clear()
+        self.received_fds.clear()
+        self.unsent.clear()
 
 
 class OwnershipToken:
-    """A byte in a pipe, which the kernel gives to one reader only."""
+    """A byte in a pipe that two processes share; the kernel gives it to one reader only."""
 
     def __init__(self, fd: int | None = None) -> None:
         if fd is None:
-            self.fd, write = os.pipe()
-            os.write(write, b"!")
-            os.close(write)
+            self.fd, write_fd = os.pipe()
+            os.write(write_fd, b"!")
+            os.close(write_fd)
         else:
             self.fd = fd
         os.set_blocking(self.fd, False)
 
-    def take(self) -> bool:
-        """Whether it was still there; it is gone now. To be called once."""
+    def claim(self) -> bool:
+        """Takes the byte. Returns False if the other process has taken it. To be called once."""
         try:
             return os.read(self.fd, 1) == b"!"
         except OSError:
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -1,6 +1,8 @@
-"""The front as a daemon: the deciding side wired to one loop, started, and stopped so that what was taken is
-answered. Without workers in processes of their own viewers and servers are on the same loop, behind the same
-seam."""
+"""The daemon: connects the decider's parts on one event loop, starts them, and stops them in order.
+
+When it stops, every accepted request is answered first. Without worker processes, viewers and media servers
+are handled on the same loop, through the same message interface.
+"""
 
 from __future__ import annotations
 
@@ -47,11 +49,11 @@
 from lemonhall.problem import BadInput
 
 log = structlog.get_logger("lemonhall.front")
-LOOK_BACK_S = 0.5
+OVERDUE_CHECK_INTERVAL_S = 0.5
 
 
 def load_module(path: str) -> Callable[[i.Settings, int], Decider]:
-    """The `Front` of another file of decisions. Raises `BadInput` if there is none."""
+    """Loads the `Front` class of another decision module. Raises `BadInput` if there is none."""
     spec = importlib.util.spec_from_file_location("lemonhall_other_module", path)
     if spec is None or spec.loader is None or not Path(path).is_file():
         raise BadInput(path, "no Python file")
@@ -59,28 +61,28 @@
     spec.loader.exec_module(module)
     if not hasattr(module, "Front"):
         raise BadInput(path, "defines no Front")
-    made: Callable[[i.Settings, int], Decider] = module.Front
-    return made
+    front_class: Callable[[i.Settings, int], Decider] = module.Front
+    return front_class
 
 
-class Closing(Protocol):
+class Closable(Protocol):
     def close(self) -> None: ...
 
 
 class Workers(Protocol):
-    """Workers in processes of their own, as the daemon sees them."""
+    """Worker processes, as the daemon sees them."""
 
-    def send_all(self, message: Message) -> None: ...
-    def settle(self, settings: FrontSettings) -> None: ...
-    def left(self) -> int: ...
-    def opened(self) -> None: ...
+    def broadcast(self, message: Message) -> None: ...
+    def apply_settings(self, settings: FrontSettings) -> None: ...
+    def worker_count(self) -> int: ...
+    def start(self) -> None: ...
     def gauges(self) -> tuple[int, int]: ...
     def close(self) -> None: ...
 
 
 @dataclass
 class InheritedSockets:
-    """Sockets that were open before this process: of the front that it relieves, or of its parent."""
+    """Sockets opened before this process: by the front that it replaces, or by its parent."""
 
     viewers: socket.socket | None = None
     status: socket.socket | None = None
@@ -93,7 +95,7 @@
 
 
 class Daemon:
-    """`viewers` of `open`'s world are this process's own where `workers` is None, else the workers'."""
+    """A front, or its decider. Without `workers` this process handles the viewers itself."""
 
     def __init__(
         self,
@@ -145,27 +147,27 @@
             self.counts,
         )
         self.decider_queue, self.worker_queue = LocalQueue(self.loop, 1), LocalQueue(self.loop, 1)
-        self.decider_queue.heard = lambda message: self.asks.heard(self.worker_queue, message)
-        self.worker_queue.heard = self.worker.heard
+        self.decider_queue.on_message = lambda message: self.asks.heard(self.worker_queue, message)
+        self.worker_queue.on_message = self.worker.heard
         pools, listed = self.asks.pools, self.list.list
         pools.version, pools.servers = lambda: listed.version, listed.by_address
         self.path, self.settings_tree = "", b""
         self.on_settings_changed: Callable[[bytes], object] = lambda tree: (
             None
-        )  # told of settings that hold from now on
+        )  # called with new settings that were accepted
         self.stopping = self.draining = False
         self.peers: Peers | None = None
         self.membership: Membership | None = None
         self.keeper: Keeper | None = None
-        self.handover: Closing | None = None
-        self.inherited: InheritedSockets | None = None  # from the front that this one relieves
+        self.handover: Closable | None = None
+        self.inherited: InheritedSockets | None = None  # from the front that this one replaces, or the parent
         self.failpoint: Callable[[str], object] = lambda name: None
         self.listeners: list[socket.socket] = []
         self.host = ""
         self.capture: Capturer | None = None
         self.status_pages = StatusPages(self)
         self.subsystems = Subsystems(self)
-        self.asks.on_took = self.status_pages.set_up_took
+        self.asks.on_took = self.status_pages.observe_set_up
         self.bridge.carry_out.update(
             {
                 i.SetTimer: self.set_timer,
@@ -173,44 +175,44 @@
                 i.TellPeers: self.tell_peers,
                 i.Subscribe: self.list.subscribe,
                 i.Reload: self.list.reload,
-                i.Remark: lambda a: log.info("remark", text=a.text),
+                i.Remark: lambda action: log.info("remark", text=action.text),
             }
         )
         self.loop.after_pass.append(self.bridge.flush)
         self.loop.on_error = self.on_error
 
-    # settings, anew
+    # reload of settings
 
     def remember_settings(self, path: str, tree: bytes) -> None:
-        """Where the settings came from, and their checked nodes, pickled: what a reload is held against."""
+        """Keeps the settings' path and pickled checked nodes, which a reload is compared with."""
         self.path, self.settings_tree = path, tree
 
     def reload(self) -> None:
-        """Reads settings and scripts anew, beside what plays. All of it holds from one moment, or nothing."""
+        """Reloads settings and hook scripts while sessions play. All changes apply at once, or none."""
         if not self.path:
             self.hooks.reload()
             return
         try:
             self.reader_client.submit(("settings", self.path, self.settings_tree), self.on_settings_read)
         except OSError as error:
-            log.error("settings not read", error=str(error))
+            log.error("settings cannot be read; keeping the current ones", error=str(error))
 
     def on_settings_read(self, result: Any) -> None:
         if result is None or result[0] is None:
             problems = [str(p) for p in result[3]] if result else ["the settings could not be read"]
             self.reject_settings(problems)
             return
-        new, tree, changes, _ = result
-        if fixed := fixed_changes(self.settings, new):
+        settings, tree, changes, _ = result
+        if fixed := fixed_changes(self.settings, settings):
             self.reject_settings([f"{name} cannot change while the front runs" for name in fixed])
             return
         self.settings_tree = tree
         self.on_settings_changed(tree)
-        self.settings = self.asks.settings = new
-        self.asks.pools.settle(new)
-        self.worker.settle(new, 1)
+        self.settings = self.asks.settings = settings
+        self.asks.pools.settle(settings)
+        self.worker.settle(settings, 1)
         if self.workers:
-            self.workers.settle(new)
+            self.workers.apply_settings(settings)
         self.counts["settings_loaded"] += 1
         for change in changes:
             log.info("settings changed", what=change.what, danger=change.danger, place=change.place)
@@ -220,136 +222,152 @@
                 self.capture.word(self.now_ms(), "settings", change.what)
         if self.asks.limits:
             self.asks.limits.settle(self.subsystems.limits_plan())
-        elif new.terms.fleet_limits:
+        elif settings.terms.fleet_limits:
             self.subsystems.open_limits()
-        self.hooks.resettle(new)
+        self.hooks.resettle(settings)
 
     def reject_settings(self, problems: list[str]) -> None:
         self.counts["settings_refused"] += 1
-        log.error("settings refused, the old ones stay", problems=problems[:20])
+        log.error("new settings rejected; keeping the current ones", problems=problems[:20])
         self.hooks.on_load(False)
 
     def now_ms(self) -> float:
-        """The module's clock: Unix time at the start, and from there monotonic."""
+        """The decision module's clock: Unix time at the start, monotonic from then on."""
         return self.start_wall_ms + (self.loop.now() - self.start) * 1000
 
     def on_error(self, error: Exception) -> None:
-        """A fault in one callback ends nothing else; it is counted and reported with its trace."""
+        """Counts and logs an exception of one callback, with its trace; everything else goes on."""
         self.counts["faults"] += 1
         log.error("fault", exc_info=error)
 
     # starting and stopping
 
     def open(self) -> tuple[str, int]:
-        """Listens and starts. Returns where viewers are served. Raises `OSError` if an address is taken."""
-        s, taken = self.settings, self.inherited or InheritedSockets()
-        if s.capture.on:
-            self.capture = self.bridge.capture = Capturer(s.capture, header_of(s), self.wall)
-        if s.store and self.keeper is None:
-            self.open_store(s.store)
-        if s.members:
+        """Listens and starts. Returns the viewers' address. Raises `OSError` if an address is in use."""
+        settings, inherited = self.settings, self.inherited or InheritedSockets()
+        if settings.capture.on:
+            self.capture = self.bridge.capture = Capturer(settings.capture, header_of(settings), self.wall)
+        if settings.store and self.keeper is None:
+            self.open_store(settings.store)
+        if settings.members:
             self.membership = Membership(
                 self.loop,
-                s.index,
-                s.fronts,
-                s.members.listen,
-                s.members.seeds,
-                read_keys(s.members.keys),
+                settings.index,
+                settings.fronts,
+                settings.members.listen,
+                settings.members.seeds,
+                read_keys(settings.members.keys),
                 self.bridge.tell,
                 SystemRandom(),
-                Config(period_ms=s.members.period_ms, answer_ms=0.3 * s.members.period_ms),
-                taken.members,
-                tuple(taken.message["fleet"]) if taken.message and taken.message["fleet"] else None,
-                s.members.via,
+                Config(period_ms=settings.members.period_ms, answer_ms=0.3 * settings.members.period_ms),
+                inherited.members,
+                tuple(inherited.message["fleet"])
+                if inherited.message and inherited.message["fleet"]
+                else None,
+                settings.members.via,
             )
-        anew = taken.message is None
-        self.subsystems.open_return(anew)
+        fresh = inherited.message is None
+        self.subsystems.open_recovery(fresh)
         self.hooks.start()
-        if taken.viewers is None:
-            viewers = listen(self.loop, s.listen, self.worker.accept, share=s.share_port)
+        if inherited.viewers is None:
+            viewers = listen(self.loop, settings.listen, self.worker.accept, share=settings.share_port)
         else:
-            viewers = taken.viewers
+            viewers = inherited.viewers
             if self.workers is None:
                 accept_on(self.loop, viewers, self.worker.accept)
         self.listeners.append(viewers)
-        at = viewers.getsockname()
-        self.host = self.worker.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
-        if s.status:
-            self.open_status(self.status_pages.serve(), taken.status)
-        if s.peers_listen:
-            self.peers = Peers(self.loop, s.peers_listen, s.index, s.peers, self.bridge.tell, taken.peers)
+        address = viewers.getsockname()
+        self.host = self.worker.host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
+        if settings.status:
+            self.open_status(self.status_pages.connection_handler(), inherited.status)
+        if settings.peers_listen:
+            self.peers = Peers(
+                self.loop,
+                settings.peers_listen,
+                settings.index,
+                settings.peers,
+                self.bridge.tell,
+                inherited.peers,
+            )
         self.asks.claims = Claims(self.loop, self.keeper, self.membership)
         if self.membership:
             self.membership.on_claim = self.asks.claims.heard
-        if s.terms.spills:
-            self.subsystems.open_halls()
-        if s.terms.fleet_limits:
+        if settings.terms.spills:
+            self.subsystems.open_zones()
+        if settings.terms.fleet_limits:
             self.subsystems.open_limits()
-        if s.record:
-            self.asks.recorder = Recorder(Path(s.record), s, self.loop.now() * 1000)
+        if settings.record:
+            self.asks.recorder = Recorder(Path(settings.record), settings, self.loop.now() * 1000)
         if self.keeper:
-            self.recall(self.keeper, anew)
+            self.restore_kept_state(self.keeper, fresh)
         self.open_handover()
         if self.workers:
-            self.workers.opened()
+            self.workers.start()
         else:
             self.worker.linked(self.decider_queue, self.welcome())
         self.bridge.call()
-        if s.limits.memory:
+        if settings.limits.memory:
             self.worker.watch_memory()
         self.check_overdue_requests()
         pages_at = self.listeners[1].getsockname() if len(self.listeners) > 1 else ""
-        shown = pages_at if isinstance(pages_at, str) else f"{pages_at[0]}:{pages_at[1]}"
-        log.info("serving", at=self.host, front=s.name, index=s.index, fronts=s.fronts, status=shown)
-        return (at, 0) if isinstance(at, str) else (at[0], at[1])
+        status_address = pages_at if isinstance(pages_at, str) else f"{pages_at[0]}:{pages_at[1]}"
+        log.info(
+            "serving",
+            at=self.host,
+            front=settings.name,
+            index=settings.index,
+            fronts=settings.fronts,
+            status=status_address,
+        )
+        return (address, 0) if isinstance(address, str) else (address[0], address[1])
 
     def on_list_event(self, event: i.Event) -> None:
-        """What the list client tells the module goes to the machine of halls as well."""
+        """Passes an event of the list client to the module, and server lists to the zones' state machine."""
         self.bridge.tell(event)
         if self.asks.halls and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
             fresh = event.kind != i.ListKind.CACHED
             self.asks.halls.listed(self.list.list.servers(), fresh)
 
     def open_handover(self) -> None:
-        """Where a front can be relieved, its class says how."""
+        """Overridden where the front can be handed over to a successor."""
 
     def welcome(self, version: int = VERSION, mine: bool = True) -> Welcome:
-        """What a worker must know to begin with."""
+        """The first message to a worker."""
         ledger = self.keeper.ledger if self.keeper else None
         store, pruned_s = (ledger.store, ledger.pruned_s) if ledger else (0, 0)
         return Welcome(version, self.settings.index, store, pruned_s, mine)
 
-    def send_all(self, message: Message) -> None:
+    def broadcast(self, message: Message) -> None:
         if self.workers:
-            self.workers.send_all(message)
+            self.workers.broadcast(message)
         else:
             self.worker_queue.send(message)
 
     def check_overdue_requests(self) -> None:
         self.asks.look_back()
-        self.loop.call_later(LOOK_BACK_S, self.check_overdue_requests)
+        self.loop.call_later(OVERDUE_CHECK_INTERVAL_S, self.check_overdue_requests)
 
     def on_store_status(self, failing: bool) -> None:
         assert self.keeper
-        self.send_all(StoreStatus(self.keeper.ledger.pruned_s, failing))
+        self.broadcast(StoreStatus(self.keeper.ledger.pruned_s, failing))
 
     def gauges(self) -> tuple[int, int]:
-        """Viewers and sessions, of all workers."""
+        """Numbers of viewers and sessions, over all workers."""
         return self.workers.gauges() if self.workers else (len(self.worker.viewers), len(self.worker.by_id))
 
     def open_status(
-        self, accept: Callable[[socket.socket, Any], object], taken: socket.socket | None
+        self, accept: Callable[[socket.socket, Any], object], inherited: socket.socket | None
     ) -> None:
-        if taken:
-            accept_on(self.loop, taken, accept)
-            self.listeners.append(taken)
+        if inherited:
+            accept_on(self.loop, inherited, accept)
+            self.listeners.append(inherited)
         else:
             assert self.settings.status
             self.listeners.append(listen(self.loop, self.settings.status, accept))
-        self.serve_status = accept
+        self.status_handler = accept
 
     def on_membership_view(self, view: View) -> None:
-        """Another view of who is there."""
+        """Passes a new view of the fleet's members on."""
         if self.asks.limits and self.membership:
             self.asks.limits.view(view, self.membership.machine.conflict)
         if self.asks.halls:
@@ -357,14 +375,14 @@
         if self.asks.returning:
             self.asks.returning.view(view)
         if self.capture:
-            there = " ".join(map(str, view.members))
-            words = f"there are {there}" + (", this one may be cut off" if view.cut_off else "")
-            self.capture.word(self.now_ms(), "members", words)
+            members = " ".join(map(str, view.members))
+            text = f"there are {members}" + (", this one may be cut off" if view.cut_off else "")
+            self.capture.word(self.now_ms(), "members", text)
 
-    # change of guard
+    # handover
 
     def pause_front(self) -> None:
-        """While it is not clear which process is this front: nobody is taken, no other front is spoken to."""
+        """Accepts no connection and sends nothing to other fronts while the front's owner is not known."""
         for sock in self.listeners:
             self.loop.watch(sock, 0, self.worker.accept)
         if self.membership:
@@ -376,7 +394,7 @@
     def resume_front(self) -> None:
         accept_on(self.loop, self.listeners[0], self.worker.accept)
         if len(self.listeners) > 1:
-            accept_on(self.loop, self.listeners[1], self.serve_status)
+            accept_on(self.loop, self.listeners[1], self.status_handler)
         if self.membership:
             self.membership.resume()
         if self.asks.halls:
@@ -388,8 +406,8 @@
         if self.peers:
             self.loop.watch(self.peers.sock, READ, self.peers.on_ready)
 
-    def leave_front(self) -> None:
-        """All has been handed over: this process goes, without a word to viewers, servers or other fronts."""
+    def exit_after_handover(self) -> None:
+        """Everything has been handed over: exits without notice to viewers, servers or other fronts."""
         self.stopping = True
         self.subsystems.stop()
         self.list.wanted = False
@@ -414,20 +432,22 @@
         self.loop.stop()
 
     def open_store(self, settings: StoreSettings, lock: int | None = None) -> None:
-        random = Random(SystemRandom().getrandbits(64))  # tokens must not come twice, whatever the seed
+        random = Random(SystemRandom().getrandbits(64))  # tokens must be unique, whatever the seed
         self.keeper = Keeper(self.loop, settings, self.settings.index, random, self.memory, self.wall, lock)
         self.list.keeper = self.asks.keeper = self.keeper
         self.keeper.on_turn = self.on_store_status
 
     def memory(self) -> i.Memory | None:
-        """What the module has learned; another file's module may not say."""
-        give: Callable[[], i.Memory] | None = getattr(self.bridge.decider, "memory", None)
-        return give() if give and self.bridge.calls else None
-
-    def recall(self, keeper: Keeper, anew: bool) -> None:
-        """What was kept of an earlier life, unless a front that lives has told it: sessions that played then
-        ended with their process."""
-        if not anew:
+        """What the module has learned; None if another module does not provide it."""
+        get_memory: Callable[[], i.Memory] | None = getattr(self.bridge.decider, "memory", None)
+        return get_memory() if get_memory and self.bridge.calls else None
+
+    def restore_kept_state(self, keeper: Keeper, fresh: bool) -> None:
+        """Restores what an earlier process stored, unless a running front handed its state over.
+
+        Sessions that were playing then have ended with their process.
+        """
+        if not fresh:
             keeper.start()
             return
         if memory := keeper.load_memory():
@@ -435,11 +455,11 @@
         lost = keeper.lost()
         if memory or lost:
             age_s = round((self.now_ms() - memory.at) / 1000, 1) if memory else None
-            log.info("kept state read", sessions_lost=lost, learned_s_ago=age_s)
+            log.info("stored state restored", sessions_lost=lost, learned_state_age_s=age_s)
         keeper.start()
 
     def drain(self) -> None:
-        """Takes nothing new; what plays comes to its end, for as long as the settings allow. Then stops."""
+        """Accepts nothing new and lets sessions play on, as long as the settings allow. Then stops."""
         if self.draining or self.stopping:
             return
         self.draining = self.worker.draining = True
@@ -447,23 +467,23 @@
         if self.membership:
             self.membership.say_leaving()
         if self.settings.drain_to:
-            self.send_all(RedirectViewers(self.settings.drain_to))
+            self.broadcast(RedirectViewers(self.settings.drain_to))
         if self.workers:
-            self.workers.send_all(RetireWorker(False))
+            self.workers.broadcast(RetireWorker(False))
         for sock in self.listeners[:1]:
             self.loop.watch(sock, 0, self.worker.accept)
             sock.close()
         self.loop.call_later(self.settings.limits.drain_ms / 1000, self.stop)
-        self.drained()
+        self.check_drained()
 
-    def drained(self) -> None:
-        if not (self.workers.left() if self.workers else self.worker.by_id):
+    def check_drained(self) -> None:
+        if not (self.workers.worker_count() if self.workers else self.worker.by_id):
             self.stop()
         elif not self.stopping:
-            self.loop.call_later(0.1, self.drained)
+            self.loop.call_later(0.1, self.check_drained)
 
     def report_crash(self, error: BaseException) -> dict[str, Any]:
-        """What is known of a crash of the loop, for its report; kept where the settings say."""
+        """Returns a report about a crash of the loop, and writes it to the file that the settings name."""
         report = {
             "at_ms": self.wall() * 1000,
             "front": self.settings.name,
@@ -485,7 +505,7 @@
         return report
 
     def step_down(self) -> None:
-        """Another decider is about to take over, with the same workers: goes without a word to anybody."""
+        """Another decider is about to take over with the same workers: exits without notice to anyone."""
         self.stopping = True
         self.subsystems.stop()
         self.list.wanted = False
@@ -498,30 +518,30 @@
         if self.peers:
             self.peers.close()
             self.peers = None
-        self.end()
+        self.shut_down()
 
     def stop(self) -> None:
-        """Takes nothing new, answers what was taken, ends what plays, then ends the loop."""
+        """Accepts nothing new, answers open requests, ends playing sessions, then ends the loop."""
         if self.stopping:
             return
         self.stopping = True
-        log.info("stopping", asked=len(self.asks.open), viewers=self.gauges()[0])
+        log.info("stopping", open_requests=len(self.asks.open), viewers=self.gauges()[0])
         for sock in self.listeners:
             if sock.fileno() >= 0:
                 self.loop.watch(sock, 0, self.worker.accept)
                 sock.close()
         self.reader_client.stop()
-        self.loop.call_later(STOP_S, self.end)
+        self.loop.call_later(STOP_S, self.shut_down)
         if self.workers:
-            self.workers.send_all(RetireWorker(True))
+            self.workers.broadcast(RetireWorker(True))
         else:
             self.worker.stop()
-        self.finish()
+        self.finish_stop()
 
-    def finish(self) -> None:
-        """Again each moment until no answer is owed and no attempt is out."""
-        if self.workers.left() if self.workers else self.worker.asks or self.asks.open:
-            self.loop.call_later(0.02, self.finish)
+    def finish_stop(self) -> None:
+        """Repeats until no request is open and no attempt is in progress, then closes the other parts."""
+        if self.workers.worker_count() if self.workers else self.worker.asks or self.asks.open:
+            self.loop.call_later(0.02, self.finish_stop)
             return
         self.list.stop()
         if self.asks.recorder:
@@ -534,10 +554,10 @@
         if self.peers:
             self.peers.close()
             self.peers = None
-        self.loop.call_later(0.05, self.end)
+        self.loop.call_later(0.05, self.shut_down)
 
-    def end(self) -> None:
-        """The last: what the store and the capture still have to write is written."""
+    def shut_down(self) -> None:
+        """Writes what store and capture still have to write, and ends the loop."""
         self.subsystems.stop()
         if self.workers:
             self.workers.close()
@@ -557,16 +577,16 @@
             self.peers.send(action)
 
     def probe(self, action: i.Probe) -> None:
-        """OPTIONS would prove a listener only; a DESCRIBE of nothing shows that requests are read."""
+        """Sends DESCRIBE for an empty path: its answer shows that requests are read; OPTIONS would not."""
         address = self.list.list.addresses.get(action.server)
-        began = self.loop.now()
+        started_at = self.loop.now()
 
-        def done(status_code: int, _: bytes) -> None:
+        def on_done(status_code: int, _: bytes) -> None:
             outcome = {502: Outcome.CONNECT_FAILED, 504: Outcome.TIMEOUT}.get(status_code, Outcome.OK)
-            took_ms = (self.loop.now() - began) * 1000
+            took_ms = (self.loop.now() - started_at) * 1000
             self.bridge.tell(i.ProbeEnded(action.server, outcome, took_ms))
 
         if address is None:
-            self.loop.call_soon(done, 502, b"")
+            self.loop.call_soon(on_done, 502, b"")
         else:
-            Call(self.loop, address, "/", done)
+            Call(self.loop, address, "/", on_done)
--- a/lemonhall/front/process/local_queue.py
+++ b/lemonhall/front/process/local_queue.py
@@ -1,4 +1,4 @@
-"""The seam within one process: a pair of queues, emptied in the pass of the loop in which they are filled."""
+"""Connection between decider and worker in one process: queues delivered in the same pass of the loop."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 from lemonhall.ipc.messages import OverflowPolicy
 from lemonhall.loop import Loop
 
-MOST = 10_000  # messages that wait one way
+MAX_QUEUED = 10_000  # messages per direction
 
 
 class LocalQueue:
-    """One way. `number` is that of the link, as for one between processes."""
+    """One direction. `number` identifies the connection, as `WorkerConnection.number` does."""
 
     def __init__(self, loop: Loop, number: int) -> None:
         self.loop, self.number = loop, number
-        self.heard: Callable[[Message], object] = lambda message: None
-        self.waiting: deque[Message] = deque()
-        self.called = False
+        self.on_message: Callable[[Message], object] = lambda message: None
+        self.queue: deque[Message] = deque()
+        self.scheduled = False
 
     def send(self, message: Message) -> bool:
-        if len(self.waiting) >= MOST and message.OVERFLOW is OverflowPolicy.REJECT:
+        if len(self.queue) >= MAX_QUEUED and message.OVERFLOW is OverflowPolicy.REJECT:
             return False
-        self.waiting.append(message)
-        if not self.called:
-            self.called = True
+        self.queue.append(message)
+        if not self.scheduled:
+            self.scheduled = True
             self.loop.call_soon(self.deliver)
         return True
 
     def deliver(self) -> None:
-        """A fault with one message keeps none of the others waiting."""
-        self.called = False
-        for _ in range(len(self.waiting)):
-            message = self.waiting.popleft()
+        """Delivers all queued messages; an exception in the handler of one does not stop the others."""
+        self.scheduled = False
+        for _ in range(len(self.queue)):
+            message = self.queue.popleft()
             try:
-                self.heard(message)
+                self.on_message(message)
             except Exception as error:
                 if self.loop.on_error is None:
                     raise
--- a/lemonhall/front/process/reader.py
+++ b/lemonhall/front/process/reader.py
@@ -1,10 +1,13 @@
-"""The process beside a front that reads what may be large or hostile: hook scripts, settings.
+"""Reader process: compiles hook scripts and reads settings, whose input may be large or hostile.
 
-So nothing that is read holds up the front, however it is written. Messages are pickled and have their length
-in front, 8 bytes, network order; both ends are this program. The end of input ends the process.
+In a process of its own the input cannot delay the front, whatever it contains. Messages are pickled, preceded
+by their length (8 bytes, network byte order); both ends are of the same program. The end of input ends the
+process.
 
     ("hooks", scripts, known)    ->  (programs, problems)
-    ("settings", path, old)      ->  (settings, tree, changes, problems); old, tree: checked nodes, pickled
+    ("settings", path, previous) ->  (settings, tree, changes, problems)
+
+`previous` and `tree` are checked nodes of settings, pickled.
 """
 
 from __future__ import annotations
@@ -24,11 +27,11 @@
 from lemonhall.problem import BadInput, Problem
 
 LENGTH = struct.Struct(">Q")
-MEMORY_MOST = 2 << 30
-SECONDS_MOST = 60  # of the processor, for one job
+MAX_MEMORY_BYTES = 2 << 30
+MAX_CPU_S = 60  # processor time of one job
 
 
-def build_hooks(sources: list[Source], known: Known) -> tuple[list[Program], list[Problem]]:
+def compile_hooks(sources: list[Source], known: Known) -> tuple[list[Program], list[Problem]]:
     programs, problems = [], []
     for source in sources:
         try:
@@ -38,29 +41,31 @@
     return programs, problems
 
 
-def read_anew(path: str, old: bytes) -> tuple[FrontSettings | None, bytes, list[Change], list[Problem]]:
-    """The settings of a file, and how they differ in meaning from the checked nodes `old`."""
+def read_changed_settings(
+    path: str, previous_tree: bytes
+) -> tuple[FrontSettings | None, bytes, list[Change], list[Problem]]:
+    """Returns the settings of a file, and how their meaning differs from that of `previous_tree`."""
     try:
         typed = read_tree(path, SETTINGS)[1]
     except BadInput as error:
         return None, b"", [], error.problems
-    before: list[Typed] = pickle.loads(old)
-    return make_settings(typed), pickle.dumps(typed), diff(before, typed), []
+    previous: list[Typed] = pickle.loads(previous_tree)
+    return make_settings(typed), pickle.dumps(typed), diff(previous, typed), []
 
 
-JOBS: dict[str, Any] = {"hooks": build_hooks, "settings": read_anew}
+JOBS: dict[str, Any] = {"hooks": compile_hooks, "settings": read_changed_settings}
 
 
 def main() -> None:
-    resource.setrlimit(resource.RLIMIT_AS, (MEMORY_MOST, MEMORY_MOST))
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_MEMORY_BYTES, MAX_MEMORY_BYTES))
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     while len(head := source.read(LENGTH.size)) == LENGTH.size:
         used = resource.getrusage(resource.RUSAGE_SELF)
-        most = int(used.ru_utime + used.ru_stime) + SECONDS_MOST
-        resource.setrlimit(resource.RLIMIT_CPU, (most, resource.RLIM_INFINITY))
-        job, *given = pickle.loads(source.read(LENGTH.unpack(head)[0]))
-        made = pickle.dumps(JOBS[job](*given))
-        sink.write(LENGTH.pack(len(made)) + made)
+        cpu_limit_s = int(used.ru_utime + used.ru_stime) + MAX_CPU_S
+        resource.setrlimit(resource.RLIMIT_CPU, (cpu_limit_s, resource.RLIM_INFINITY))
+        job, *arguments = pickle.loads(source.read(LENGTH.unpack(head)[0]))
+        result = pickle.dumps(JOBS[job](*arguments))
+        sink.write(LENGTH.pack(len(result)) + result)
         sink.flush()
 
 
--- a/lemonhall/front/process/reader_client.py
+++ b/lemonhall/front/process/reader_client.py
@@ -1,4 +1,4 @@
-"""The front's end of its worker process: started when it is needed, ended when it is idle."""
+"""Client of the reader process: starts it when needed, ends it when idle."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 from lemonhall.front.process.reader import LENGTH
 from lemonhall.loop import Handler, Loop, Stream, Timer
 
-BUILD_S = 60.0  # after which a job is given up
-IDLE_S = 20.0  # without work, after which the process ends
-Done = Callable[[Any], None]
+JOB_TIMEOUT_S = 60.0  # per job, after which the process is killed
+IDLE_TIMEOUT_S = 20.0  # without a job, after which the process is killed
+ResultHandler = Callable[[Any], None]
 
 
 class ReaderClient(Handler):
-    """Jobs in their order, one at a time. `done` is told of each result; None if there is none."""
+    """Runs jobs in order, one at a time. Passes each result to its handler; None if the job failed."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.child: subprocess.Popen[bytes] | None = None
         self.stream: Stream | None = None
-        self.kept = bytearray()
-        self.jobs: deque[tuple[tuple[Any, ...], Done]] = deque()  # the first is under way
+        self.buffer = bytearray()
+        self.jobs: deque[tuple[tuple[Any, ...], ResultHandler]] = deque()  # the first one is running
         self.timer: Timer | None = None
         self.stopped = False
 
-    def submit(self, job: tuple[Any, ...], done: Done) -> None:
-        """Raises `OSError` if no process can be started."""
-        self.jobs.append((job, done))
+    def submit(self, job: tuple[Any, ...], on_result: ResultHandler) -> None:
+        """Queues a job. Raises `OSError` if the process cannot be started."""
+        self.jobs.append((job, on_result))
         if len(self.jobs) == 1:
-            self.send()
+            self.send_job()
 
-    def send(self) -> None:
+    def send_job(self) -> None:
         if self.stream is None or not self.stream.open:
-            self.start()
+            self.start_process()
         assert self.stream
-        self.kept = bytearray()
+        self.buffer = bytearray()
         data = pickle.dumps(self.jobs[0][0])
         self.stream.write(LENGTH.pack(len(data)) + data)
-        self.expect(BUILD_S)
+        self.set_timeout(JOB_TIMEOUT_S)
 
-    def start(self) -> None:
+    def start_process(self) -> None:
         ours, theirs = socket.socketpair()
         with theirs:
             child = self.child = subprocess.Popen(
@@ -61,36 +61,36 @@
         self.loop.on_child(child.pid, ended)
         self.stream = Stream(self.loop, ours, self, high=1 << 28)
 
-    def expect(self, within_s: float) -> None:
+    def set_timeout(self, within_s: float) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(within_s, self.end)
+        self.timer = self.loop.call_later(within_s, self.kill)
 
     def data(self, view: memoryview) -> None:
-        self.kept += view
-        if len(self.kept) < LENGTH.size:
+        self.buffer += view
+        if len(self.buffer) < LENGTH.size:
             return
-        size = LENGTH.unpack_from(self.kept)[0]
-        if len(self.kept) >= LENGTH.size + size:
-            self.expect(IDLE_S)
-            self.finish(pickle.loads(memoryview(self.kept)[LENGTH.size :]))
+        size = LENGTH.unpack_from(self.buffer)[0]
+        if len(self.buffer) >= LENGTH.size + size:
+            self.set_timeout(IDLE_TIMEOUT_S)
+            self.on_job_done(pickle.loads(memoryview(self.buffer)[LENGTH.size :]))
 
     def closed(self, reason: str) -> None:
-        """The process is gone: too slow, too large, or no longer needed."""
+        """The process has ended: over its time or memory limit, or idle."""
         if self.timer:
             self.timer.cancel()
         if self.jobs:
-            self.finish(None)
+            self.on_job_done(None)
 
-    def finish(self, result: Any) -> None:
-        _, done = self.jobs.popleft()
+    def on_job_done(self, result: Any) -> None:
+        _, on_result = self.jobs.popleft()
         if self.stopped:
             return
         if self.jobs:
-            self.send()
-        done(result)  # which may ask for more
+            self.send_job()
+        on_result(result)  # may submit another job
 
-    def end(self) -> None:
+    def kill(self) -> None:
         if self.child and self.child.returncode is None:
             self.child.kill()
         if self.stream:
@@ -98,4 +98,4 @@
 
     def stop(self) -> None:
         self.stopped = True
-        self.end()
+        self.kill()
--- a/lemonhall/front/process/status_pages.py
+++ b/lemonhall/front/process/status_pages.py
@@ -1,4 +1,4 @@
-"""What a front shows of itself: pages over HTTP, and the counters as Prometheus asks for them."""
+"""Status pages of a front, and its counters in the Prometheus exposition format."""
 
 from __future__ import annotations
 
@@ -24,11 +24,12 @@
 from lemonhall.loop import Loop
 from lemonhall.recovery import Phase
 
-SET_UP_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)  # the steps of the histogram
+# Upper bounds of the histogram's buckets.
+SET_UP_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
 
 
 class Front(Protocol):
-    """The daemon, as far as it is shown."""
+    """The part of the daemon that the status pages need."""
 
     loop: Loop
     asks: Asks
@@ -49,19 +50,19 @@
     def __init__(self, front: Front) -> None:
         self.front = front
         self.registry = prom.CollectorRegistry()
-        self.took = prom.Histogram(
+        self.set_up_seconds = prom.Histogram(
             "lemonhall_set_up_seconds",
             "From the attempt's start to the first media",
             registry=self.registry,
-            buckets=SET_UP_S,
+            buckets=SET_UP_BUCKETS_S,
         )
         self.registry.register(self)
 
-    def set_up_took(self, ms: float) -> None:
-        self.took.observe(ms / 1000)
+    def observe_set_up(self, ms: float) -> None:
+        self.set_up_seconds.observe(ms / 1000)
 
-    def serve(self) -> Callable[[socket.socket, Any], object]:
-        """What takes connections to the status address."""
+    def connection_handler(self) -> Callable[[socket.socket, Any], object]:
+        """Returns the handler of connections to the status address."""
         pages: dict[str, status_server.Page] = {
             "/health": self.health_page,
             "/ready": self.ready_page,
@@ -72,12 +73,12 @@
             "/halls": self.halls_page,
             "/limits": self.limits_page,
         }
-        acts: dict[str, status_server.Act] = {
+        commands: dict[str, status_server.Command] = {
             "/halls/hold": lambda hall: self.order_hall(hall, Order.HOLD),
             "/halls/release": lambda hall: self.order_hall(hall, Order.NONE),
             "/limits/forget": self.forget_front,
         }
-        return status_server.serve(self.front.loop, pages, acts)
+        return status_server.serve(self.front.loop, pages, commands)
 
     # pages
 
@@ -91,20 +92,20 @@
         return 200, "text/plain", b"ready\n"
 
     def health_page(self) -> tuple[int, str, bytes]:
-        """200 while the loop turns, with how far the front has come back."""
-        desk = self.front.asks.returning
-        return desk.page() if desk else (200, "text/plain", b"ok\n")
+        """200 while the event loop runs, with the phase of recovery."""
+        driver = self.front.asks.returning
+        return driver.page() if driver else (200, "text/plain", b"ok\n")
 
     def members_page(self) -> tuple[int, str, bytes]:
         if self.front.membership is None:
             return 404, "text/plain", b"no members in the settings\n"
-        status, kind, body = self.front.membership.page()
-        desk = self.front.asks.returning
-        shown = {**json.loads(body), "return": desk.show() if desk else None}
-        return status, kind, json.dumps(shown).encode() + b"\n"
+        status, content_type, body = self.front.membership.page()
+        driver = self.front.asks.returning
+        content = {**json.loads(body), "return": driver.show() if driver else None}
+        return status, content_type, json.dumps(content).encode() + b"\n"
 
     def capture_page(self) -> tuple[int, str, bytes]:
-        """The last minutes, as a file."""
+        """The capture of the last minutes, as a file."""
         if self.front.capture is None:
             return 404, "text/plain", b"the settings say capture on=#false\n"
         return 200, "application/octet-stream", self.front.capture.save()
@@ -134,56 +135,64 @@
 
     # counters
 
-    def phases(self) -> list[Any]:
+    def phase_metrics(self) -> list[Any]:
         phase = GaugeMetricFamily(
             "lemonhall_phase", "How far the front has come back: 1 at its phase", labels=["phase"]
         )
         full = GaugeMetricFamily("lemonhall_full_service_seconds", "From its start until its phase was full")
         if self.front.asks.returning:
-            shown = self.front.asks.returning.show()
-            for one in Phase:
-                phase.add_metric([one.name.lower()], float(one.name.lower() == shown["phase"]))
-            if shown["full_service_s"] is not None:
-                full.add_metric([], shown["full_service_s"])
+            content = self.front.asks.returning.show()
+            for entry in Phase:
+                phase.add_metric([entry.name.lower()], float(entry.name.lower() == content["phase"]))
+            if content["full_service_s"] is not None:
+                full.add_metric([], content["full_service_s"])
         return [phase, full]
 
-    def limits(self) -> list[Any]:
-        held = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
+    def limit_metrics(self) -> list[Any]:
+        limits = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
         refused = CounterMetricFamily("lemonhall_limit_refused", "Told that it is full", labels=["limit"])
-        if desk := self.front.asks.limits:
-            for told in desk.machine.show(desk.now())["limits"]:
-                refused.add_metric([told["limit"]], told["refused"])
+        if driver := self.front.asks.limits:
+            for limit in driver.machine.show(driver.now())["limits"]:
+                refused.add_metric([limit["limit"]], limit["refused"])
                 for what in ("goes_by", "used", "held", "borrowed", "lent", "needed", "others", "off_most"):
-                    if what in told:
-                        held.add_metric([told["limit"], what], told[what])
-        return [held, refused]
+                    if what in limit:
+                        limits.add_metric([limit["limit"], what], limit[what])
+        return [limits, refused]
 
     def collect(self) -> list[Any]:
-        """The counters in the exposition's terms (prometheus_client asks for them)."""
-        happened = CounterMetricFamily("lemonhall_events", "What happened, by name", labels=["event"])
+        """Called by prometheus_client to collect the metrics."""
+        events = CounterMetricFamily("lemonhall_events", "What happened, by name", labels=["event"])
         for name, value in sorted(Counter(self.front.counts).items()):
-            happened.add_metric([name], value)
-        now = GaugeMetricFamily("lemonhall_now", "What is open now, by name", labels=["what"])
+            events.add_metric([name], value)
+        current = GaugeMetricFamily("lemonhall_now", "What is open now, by name", labels=["what"])
         viewers, sessions = self.front.gauges()
-        now.add_metric(["viewers"], viewers)
-        now.add_metric(["sessions"], sessions)
-        now.add_metric(["asks"], len(self.front.asks.open))
-        now.add_metric(["boxes"], len(self.front.list.list.boxes))
-        now.add_metric(["list_version"], self.front.list.list.version)
-        happened.add_metric(["older_lists"], self.front.list.list.older)
-        now.add_metric(["longest_pass_seconds"], self.front.loop.longest_pass_s)
-        said = CounterMetricFamily("lemonhall_hook", "Counted by hook scripts", labels=["name"])
+        current.add_metric(["viewers"], viewers)
+        current.add_metric(["sessions"], sessions)
+        current.add_metric(["asks"], len(self.front.asks.open))
+        current.add_metric(["boxes"], len(self.front.list.list.boxes))
+        current.add_metric(["list_version"], self.front.list.list.version)
+        events.add_metric(["older_lists"], self.front.list.list.older)
+        current.add_metric(["longest_pass_seconds"], self.front.loop.longest_pass_s)
+        hook_metrics = CounterMetricFamily("lemonhall_hook", "Counted by hook scripts", labels=["name"])
         for name, value in sorted(self.front.hooks.engine.metrics.items()):
-            said.add_metric([name], value)
+            hook_metrics.add_metric([name], value)
         scripts = CounterMetricFamily("lemonhall_hook_script", "Of each script", labels=["script", "what"])
-        for one in self.front.hooks.engine.report():
+        for entry in self.front.hooks.engine.report():
             for what in ("calls", "fuel", "words"):
-                scripts.add_metric([one["script"], what], one[what])
-            scripts.add_metric([one["script"], "cuts"], sum(one["cuts"].values()))
+                scripts.add_metric([entry["script"], what], entry[what])
+            scripts.add_metric([entry["script"], "cuts"], sum(entry["cuts"].values()))
         overruled = CounterMetricFamily("lemonhall_hooks_overruled", "Words that did not stand")
         overruled.add_metric([], sum(self.front.hooks.engine.overruled.values()))
         if self.front.keeper:
             for name, value in sorted((self.front.keeper.counts + self.front.asks.claims.counts).items()):
-                happened.add_metric([f"store_{name}"], value)
-            now.add_metric(["store_groups"], self.front.keeper.writer.groups)
-        return [happened, now, said, scripts, overruled, *self.phases(), *self.limits()]
+                events.add_metric([f"store_{name}"], value)
+            current.add_metric(["store_groups"], self.front.keeper.writer.groups)
+        return [
+            events,
+            current,
+            hook_metrics,
+            scripts,
+            overruled,
+            *self.phase_metrics(),
+            *self.limit_metrics(),
+        ]
--- a/lemonhall/front/process/status_server.py
+++ b/lemonhall/front/process/status_server.py
@@ -1,4 +1,4 @@
-"""Health, readiness and counters over HTTP: `/health`, `/ready`, `/metrics`."""
+"""Minimal HTTP server for the status pages, one request per connection."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 from lemonhall.loop import Handler, Loop, Stream
 
 Page = Callable[[], tuple[int, str, bytes]]  # status, content type, body
-Act = Callable[[str], tuple[int, str, bytes]]  # told what stands behind the ?
+Command = Callable[[str], tuple[int, str, bytes]]  # called with the query string
 PHRASES = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 503: "Unavailable"}
-IDLE_S = 10.0
+CONNECTION_TIMEOUT_S = 10.0
 
 
 class StatusConnection(Handler):
-    def __init__(self, loop: Loop, sock: socket.socket, pages: dict[str, Page], acts: dict[str, Act]) -> None:
-        self.pages, self.acts = pages, acts
+    def __init__(
+        self, loop: Loop, sock: socket.socket, pages: dict[str, Page], commands: dict[str, Command]
+    ) -> None:
+        self.pages, self.commands = pages, commands
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.stream = Stream(loop, sock, self)
-        self.timer = loop.call_later(IDLE_S, self.stream.close)
+        self.timer = loop.call_later(CONNECTION_TIMEOUT_S, self.stream.close)
 
     def data(self, view: memoryview) -> None:
         try:
@@ -39,8 +41,8 @@
         url, self.url = self.url, b""
         path, _, query = url.decode(errors="replace").partition("?")
         page, method = self.pages.get(path), self.parser.get_method()
-        if method == b"POST" and path in self.acts:
-            self.respond(*self.acts[path](query))
+        if method == b"POST" and path in self.commands:
+            self.respond(*self.commands[path](query))
         elif method != b"GET":
             self.respond(405, "text/plain", b"GET only\n")
         elif page is None:
@@ -48,9 +50,10 @@
         else:
             self.respond(*page())
 
-    def respond(self, status: int, kind: str, body: bytes) -> None:
+    def respond(self, status: int, content_type: str, body: bytes) -> None:
         head = (
-            f"HTTP/1.1 {status} {PHRASES[status]}\r\nContent-Type: {kind}\r\nContent-Length: {len(body)}\r\n"
+            f"HTTP/1.1 {status} {PHRASES[status]}\r\n"
+            f"Content-Type: {content_type}\r\nContent-Length: {len(body)}\r\n"
         )
         self.stream.write(head.encode() + b"Connection: close\r\n\r\n" + body)
         self.stream.close()
@@ -60,7 +63,7 @@
 
 
 def serve(
-    loop: Loop, pages: dict[str, Page], acts: dict[str, Act] | None = None
+    loop: Loop, pages: dict[str, Page], commands: dict[str, Command] | None = None
 ) -> Callable[[socket.socket, Any], object]:
-    """`pages` are read by GET, `acts` done by POST."""
-    return lambda sock, _: StatusConnection(loop, sock, pages, acts or {})
+    """Returns the handler of new connections. `pages` are served to GET, `commands` to POST."""
+    return lambda sock, _: StatusConnection(loop, sock, pages, commands or {})
--- a/lemonhall/front/process/subsystems.py
+++ b/lemonhall/front/process/subsystems.py
@@ -1,5 +1,4 @@
-"""The machines that stand beside the module at a front (the return, halls, limits): made, wired to their
-desks, and stopped together."""
+"""State machines next to the decision module of a front (recovery, zones, limits): creation, wiring, stop."""
 
 from __future__ import annotations
 
@@ -31,12 +30,13 @@
 from lemonhall.recovery import Recovery, Waits
 
 log = structlog.get_logger("lemonhall.front")
-HEAR_S = 0.03  # a front that starts waits so long before its call for the list
-PAUSE_MS = 2000.0  # the longest advised while a front comes back, where the settings name none
+# Wait of a starting front before it requests the server list, so that it knows of peers in recovery.
+RECOVERY_WAIT_S = 0.03
+DEFAULT_MAX_PAUSE_MS = 2000.0  # longest pause advised during recovery, where the settings name none
 
 
 class Front(Protocol):
-    """The daemon, as far as these machines need it."""
+    """The part of the daemon that these state machines need."""
 
     settings: FrontSettings
     loop: Loop
@@ -59,55 +59,57 @@
     def __init__(self, front: Front) -> None:
         self.front = front
 
-    def open_return(self, anew: bool) -> None:
-        """The machine of recovery. `anew`: not in the place of a front that lives, so the list is the kept
-        one, and others are asked about the store before anything of its ledger is used."""
-        s, terms = self.front.settings, self.front.settings.terms
+    def open_recovery(self, fresh: bool) -> None:
+        """Starts recovery. A `fresh` front does not replace a running one.
+
+        It uses the stored server list, and asks peers about its store before it uses its ledger.
+        """
+        settings, terms = self.front.settings, self.front.settings.terms
         machine = Recovery(
             self.front.now_ms(),
-            s.index,
-            s.fronts,
+            settings.index,
+            settings.fronts,
             Random(SystemRandom().getrandbits(64)),
-            Waits(period=s.members.period_ms) if s.members else Waits(),
-            terms.max_pause_ms or PAUSE_MS,
+            Waits(period=settings.members.period_ms) if settings.members else Waits(),
+            terms.max_pause_ms or DEFAULT_MAX_PAUSE_MS,
             (lambda: self.front.keeper.mark if self.front.keeper else None),
             sum(t.quota_per_s for t in terms.tenants),
             self.front.membership is not None,
         )
-        desk = self.front.asks.returning = ReturnDesk(
+        driver = self.front.asks.returning = ReturnDesk(
             self.front.loop,
             self.front.now_ms,
             machine,
             self.front.membership,
             self.front.keeper,
             self.front.asks.let,
-            self.return_said,
+            self.on_recovery_note,
         )
         if self.front.membership:
             self.front.membership.on_view = self.front.on_membership_view
-        self.front.list.on_sign = lambda as_of: desk.sign(as_of, len(self.front.list.list.boxes))
+        self.front.list.on_sign = lambda as_of: driver.sign(as_of, len(self.front.list.list.boxes))
         self.front.list.wait_s = lambda: machine.list_wait_ms() / 1000
-        machine.giving.know = self.known
-        desk.on_handed = self.handed
-        if anew:
+        machine.giving.know = self.known_servers
+        driver.on_handed = self.on_state_received
+        if fresh:
             self.front.list.load_cache()
             if not self.front.list.list.boxes:
-                desk.want()
-        if not s.list_url:
-            desk.sign(0.0, len(self.front.list.list.boxes))  # nothing is waited for
-        elif not (anew and s.members):
+                driver.want()
+        if not settings.list_url:
+            driver.sign(0.0, len(self.front.list.list.boxes))  # there is no list to wait for
+        elif not (fresh and settings.members):
             self.front.list.start()
-        else:  # by then whoever comes back as well has spoken
-            self.front.loop.call_later(HEAR_S, self.call_list)
-        if anew and s.members:
-            desk.vouch(s.members.period_ms)
-        desk.start()
+        else:  # by then peers that recover as well have announced it
+            self.front.loop.call_later(RECOVERY_WAIT_S, self.start_list_client)
+        if fresh and settings.members:
+            driver.vouch(settings.members.period_ms)
+        driver.start()
 
-    def known(self) -> list[Any]:
+    def known_servers(self) -> list[Any]:
         return known(self.front.list.list, self.front.memory(), self.front.now_ms())
 
-    def handed(self, page: Any) -> None:
-        """What others knew counts as a kept list and a memory: each by its age, the loads as hearsay."""
+    def on_state_received(self, page: Any) -> None:
+        """Uses peers' state like a stored list and memory: parts by their age, loads as second-hand data."""
         if not self.front.list.take_over(list_of(page)):
             return
         memory = memory_of(page, self.front.memory(), self.front.now_ms())
@@ -115,84 +117,97 @@
             self.front.bridge.tell(memory)
         self.front.counts["handed_servers"] += len(page.entries)
         loads = len(memory.servers) if memory else 0
-        log.info("list handed on by others", servers=len(page.entries), loads=loads)
-        self.return_said(f"others knew of {len(page.entries)} servers")
+        log.info("server list received from peers", servers=len(page.entries), loads=loads)
+        self.on_recovery_note(f"others knew of {len(page.entries)} servers")
 
-    def return_said(self, words: str) -> None:
+    def on_recovery_note(self, text: str) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "return", words)
+            self.front.capture.word(self.front.now_ms(), "return", text)
 
-    def call_list(self) -> None:
-        """Of fronts that are heard to come back together each in its time."""
+    def start_list_client(self) -> None:
+        """Starts the list client; fronts that recover together are spread over time."""
         self.front.loop.call_later(self.front.list.wait_s(), self.front.list.start)
 
-    def open_halls(self) -> None:
-        """The machine of halls, with what was kept of its parts; without a store it has to ask for them."""
+    def open_zones(self) -> None:
+        """Starts the zones' state machine with its stored shares; without a store it asks peers for them."""
         kept = self.front.keeper.load_halls() if self.front.keeper else None
-        s, now = self.front.settings, self.front.now_ms()
+        settings, now = self.front.settings, self.front.now_ms()
         machine = Halls(
-            Plan.of(s.terms),
-            s.index,
-            s.fronts,
-            s.hall,
+            Plan.of(settings.terms),
+            settings.index,
+            settings.fronts,
+            settings.hall,
             int(self.front.wall() * 1000),
-            Random(s.seed),
+            Random(settings.seed),
             now,
             remembers=kept is not None,
             kept=kept or b"",
         )
-        halls = self.front.asks.halls = HallsDesk(
+        driver = self.front.asks.halls = HallsDesk(
             self.front.loop,
             self.front.now_ms,
             machine,
-            s.terms.cells,
+            settings.terms.cells,
             self.front.wall,
             self.front.membership,
             self.front.keeper,
-            self.hall_said,
+            self.on_zone_note,
         )
-        halls.on_move = self.front.asks.come_home
+        driver.on_move = self.front.asks.come_home
         if self.front.membership:
-            self.front.membership.on_halls = halls.heard
-            halls.view(self.front.membership.machine.view())
-        halls.start()
+            self.front.membership.on_halls = driver.heard
+            driver.view(self.front.membership.machine.view())
+        driver.start()
 
-    def hall_said(self, words: str) -> None:
+    def on_zone_note(self, text: str) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "halls", words)
+            self.front.capture.word(self.front.now_ms(), "halls", text)
 
     def limits_plan(self) -> LimitsPlan:
-        s = self.front.settings
-        return LimitsPlan.of(s.terms, s.members.period_ms if s.members else PERIOD_MOST_MS)
+        settings = self.front.settings
+        return LimitsPlan.of(
+            settings.terms, settings.members.period_ms if settings.members else PERIOD_MOST_MS
+        )
 
     def open_limits(self) -> None:
-        """The machine of the fleet's limits: as the process that is relieved had it, or as one that remembers
-        nothing. Where workers outlive a decider, sessions of the life before may stand."""
-        s, now = self.front.settings, clock_ms()
+        """Starts the fleet limits' state machine, with the state of the replaced process or with none.
+
+        Where workers outlive a decider, sessions of an earlier incarnation may still play.
+        """
+        settings, now = self.front.settings, clock_ms()
         random = Random(SystemRandom().getrandbits(64))
-        life, fresh = int(self.front.wall() * 1000), s.workers == 0
-        machine = Limits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
+        incarnation, fresh = int(self.front.wall() * 1000), settings.workers == 0
+        machine = Limits(
+            self.limits_plan(),
+            settings.index,
+            settings.fronts,
+            settings.hall,
+            incarnation,
+            random,
+            now,
+            fresh,
+        )
         if (
             self.front.inherited
             and self.front.inherited.message
             and (state := self.front.inherited.message.get("limits"))
         ):
             machine.take_over(now, b64decode(state))
-        desk = self.front.asks.limits = LimitsDesk(
-            self.front.loop, machine, self.front.membership, said=self.limit_said
+        driver = self.front.asks.limits = LimitsDesk(
+            self.front.loop, machine, self.front.membership, said=self.on_limit_note
         )
-        desk.on_end = self.front.asks.end_session
+        driver.on_end = self.front.asks.end_session
         if self.front.membership:
-            self.front.membership.on_limits = desk.heard
-            desk.view(self.front.membership.machine.view(), False)
-        desk.start()
+            self.front.membership.on_limits = driver.heard
+            driver.view(self.front.membership.machine.view(), False)
+        driver.start()
 
-    def limit_said(self, words: str, ask: int) -> None:
+    def on_limit_note(self, text: str, ask: int) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "limits", words, ask)
+            self.front.capture.word(self.front.now_ms(), "limits", text, ask)
 
     def stop(self) -> None:
-        """Nothing more is said or written by this process."""
+        """Stops the state machines: they send and write nothing more."""
         if self.front.asks.limits:
             self.front.asks.limits.stop()
         if self.front.asks.halls:
--- a/lemonhall/front/workers/build_id.py
+++ b/lemonhall/front/workers/build_id.py
@@ -1,4 +1,4 @@
-"""What this program's text is called: processes that share settings in pickled form must be of the same."""
+"""Identifies the program's source code: processes that share pickled settings must be of the same build."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 
 
 def freeze_garbage_collector() -> None:
-    """What was loaded is there to stay: the collector of cycles looks at it no more, at the rest less often.
-    Sessions are freed by their counts; few things here are in cycles."""
+    """Exempts everything loaded so far from garbage collection, and collects the rest less often.
+
+    Sessions are freed by reference counting; few objects here are in reference cycles.
+    """
     gc.collect()
     gc.freeze()
     gc.set_threshold(50_000, 20, 50)
@@ -20,11 +22,11 @@
 
 @cache
 def build_id() -> str:
-    """A digest of what settings and messages are made of. Of the files as they are when first asked."""
+    """A digest of the files that define settings and messages, as they are at the first call."""
     root = Path(lemonhall.__file__).parent
     digest = hashlib.blake2b(digest_size=12)
-    for part in ("config", "ipc", "front"):
-        for path in sorted((root / part).rglob("*.py")):
+    for folder in ("config", "ipc", "front"):
+        for path in sorted((root / folder).rglob("*.py")):
             digest.update(path.read_bytes())
     digest.update((root / "interface.py").read_bytes())
     return digest.hexdigest()
--- a/lemonhall/front/workers/connection.py
+++ b/lemonhall/front/workers/connection.py
@@ -1,4 +1,4 @@
-"""One end of a link over the seam, on a socket: messages in, one write a pass out."""
+"""One end of a connection between decider and worker: decodes messages, sends one write per loop pass."""
 
 from __future__ import annotations
 
@@ -13,48 +13,50 @@
 
 
 class MessageConnection(Handler):
-    """`heard(message)` for each message; `ended()` once. Whoever owns it calls `flush` after each pass."""
+    """Calls `on_message` for each message, `on_closed` once. The owner calls `flush` after each loop pass."""
 
-    def __init__(self, heard: Callable[[Message], object], ended: Callable[[], object]) -> None:
-        self.heard, self.ended = heard, ended
-        self.reader, self.outbox = MessageDecoder(), SendQueue()
+    def __init__(self, on_message: Callable[[Message], object], on_closed: Callable[[], object]) -> None:
+        self.on_message, self.on_closed = on_message, on_closed
+        self.decoder, self.send_queue = MessageDecoder(), SendQueue()
         self.stream: Stream | None = None
         self.on_connected: Callable[[], object] = lambda: None
-        self.on_bytes: Callable[[], object] = lambda: None
+        self.on_data: Callable[[], object] = lambda: None
 
     @property
     def open(self) -> bool:
         return self.stream is not None and self.stream.open and not self.stream.connecting
 
     def send(self, message: Message) -> bool:
-        """False: there is no room for it, or nobody to hear it."""
-        return self.open and self.stream is not None and self.outbox.put(message, self.stream.backlog)
+        """Returns False if the queue is full or the connection is not open."""
+        return self.open and self.stream is not None and self.send_queue.put(message, self.stream.backlog)
 
     def flush(self) -> None:
         stream = self.stream
         if stream is None or not stream.open:
             return
-        if data := self.outbox.take(stream.backlog):
+        if data := self.send_queue.take(stream.backlog):
             stream.write(data)
-        if self.outbox.over_limit(stream.backlog):
-            log.error("link given up, too much waits", bytes=stream.backlog)
+        if self.send_queue.over_limit(stream.backlog):
+            log.error("peer process reads too slowly; closing the connection", backlog_bytes=stream.backlog)
             stream.abort()
 
     def connected(self) -> None:
         self.on_connected()
 
     def data(self, view: memoryview) -> None:
-        self.on_bytes()
-        for message in self.reader.feed(view):
+        self.on_data()
+        for message in self.decoder.feed(view):
             if isinstance(message, MalformedMessage):
-                log.error("link given up, not understood", why=message.reason)
+                log.error(
+                    "malformed message from peer process; closing the connection", reason=message.reason
+                )
                 if self.stream:
                     self.stream.abort()
                 return
-            self.heard(message)
+            self.on_message(message)
 
     def drained(self) -> None:
         self.flush()
 
     def closed(self, reason: str) -> None:
-        self.ended()
+        self.on_closed()
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -1,11 +1,11 @@
-"""The parent of a front with workers: it listens, keeps one decider and N workers running, no more.
+"""Parent process of a front with workers: it opens the listeners and keeps one decider and N workers running.
 
-    parent    the viewers' listener, the status listener, the seam's; starts, restarts and ends the others
-    decider   module, list, members, ledger, hooks, status; a second one stands by, loaded, for when it ends
-    workers   viewers, media servers, relay
+    parent    listeners for viewers, status pages and workers; starts, restarts and ends the other processes
+    decider   decision module, server list, members, ledger, hooks, status pages; a standby is kept loaded
+    workers   viewers, media servers, media relay
 
-What the others do when one of them ends is theirs. The parent holds no state of a session, so that little can
-end it; if it ends all the same, its children end what plays and go.
+How the others react when one of them ends is their own concern. The parent holds no session state, so that
+little can make it fail; if it ends all the same, its children end their sessions and exit.
 """
 
 from __future__ import annotations
@@ -35,53 +35,53 @@
 
 log = structlog.get_logger("lemonhall.front")
 TICK_S = 0.5
-HUNG_S = 10.0  # a decider that is silent for so long is ended; the one that stands by takes its place
-STOP_S = 12.0  # after which children are ended that have not ended by themselves
-SWEEP_S = 0.05
-STEADY_S = 1.0  # a decider that has decided for so long is no failed start: the next comes at once
+DECIDER_TIMEOUT_S = 10.0  # a decider that is silent for this long is killed; the standby takes its place
+SHUTDOWN_TIMEOUT_S = 12.0  # after which children that have not exited are killed
+EXIT_POLL_INTERVAL_S = 0.05
+STABLE_RUN_S = 1.0  # a decider that ran this long did not fail at its start: the next one starts at once
 
 
-class Child:
-    """A process of the parent's, with a channel to it."""
+class ChildProcess:
+    """A child process with a channel to it."""
 
     def __init__(
         self,
         loop: Loop,
         command: Callable[[int], list[str]],
         fds: tuple[int, ...],
-        heard: Callable[[Child, dict[str, Any]], object],
-        ended: Callable[[Child, int], object],
+        on_message: Callable[[ChildProcess, dict[str, Any]], object],
+        on_exit: Callable[[ChildProcess, int], object],
     ) -> None:
-        """`command` is told the descriptor of the child's end. Raises `OSError` if it cannot be started."""
+        """`command` gets the descriptor of the child's end. Raises `OSError` if the start fails."""
         ours, theirs = socket.socketpair()
         with theirs:
             self.process = subprocess.Popen(command(theirs.fileno()), pass_fds=(theirs.fileno(), *fds))
-        self.loop, self.began, self.over = loop, loop.now(), False
-        self.channel = Channel(loop, ours, lambda message, _: heard(self, message), lambda: None)
+        self.loop, self.started_at, self.exited = loop, loop.now(), False
+        self.channel = Channel(loop, ours, lambda message, _: on_message(self, message), lambda: None)
 
         def reaped(status: int) -> None:
             self.process.returncode = status
-            self.over = True
+            self.exited = True
             self.channel.close()
-            ended(self, status)
+            on_exit(self, status)
 
         loop.on_child(self.process.pid, reaped)
 
-    def tell(self, message: dict[str, Any], fds: tuple[int, ...] = ()) -> None:
+    def send_message(self, message: dict[str, Any], fds: tuple[int, ...] = ()) -> None:
         if self.channel.open:
             self.channel.send(message, fds)
 
     def signal(self, number: int) -> None:
-        if not self.over:
+        if not self.exited:
             self.process.send_signal(number)
 
 
-class Slot:
-    """One of the N places of workers."""
+class WorkerSlot:
+    """One of the N positions of workers; restarts its process."""
 
     def __init__(self) -> None:
         self.restarts = Restarts()
-        self.child: Child | None = None
+        self.child: ChildProcess | None = None
         self.number = 0
         self.timer: Timer | None = None
         self.wanted = True
@@ -91,311 +91,324 @@
     def __init__(self, path: Path, settings: FrontSettings, log_format: str, module: str, loop: Loop) -> None:
         self.path, self.settings, self.log_format, self.module = path, settings, log_format, module
         self.loop = loop
-        self.family = secrets.token_hex(8)
+        self.parent_id = secrets.token_hex(8)
         self.folder = ""
         self.viewers: socket.socket | None = None
         self.status: socket.socket | None = None
         self.seam: socket.socket | None = None
         self.seam_path = ""
-        self.decider: Child | None = None
-        self.spare: Child | None = None
-        self.spare_ready = False
-        self.restarts = Restarts(STEADY_S)
-        self.waiting: Timer | None = None
-        self.slots: list[Slot] = []
-        self.leaving: dict[int, Child] = {}  # workers that take nothing new, by their number
-        self.next_number = 1
-        self.taking: set[int] = set()  # numbers of workers that have been seen to take viewers
-        self.die_at = ""  # for tests: where the first decider ends
-        self.tree = ""  # the settings that hold, as the decider has them
-        self.pulse = HeartbeatMonitor(HUNG_S, TICK_S)
-        self.serving = self.ending = self.yielding = False
+        self.decider: ChildProcess | None = None
+        self.standby: ChildProcess | None = None
+        self.standby_ready = False
+        self.restarts = Restarts(STABLE_RUN_S)
+        self.restart_timer: Timer | None = None
+        self.slots: list[WorkerSlot] = []
+        self.retiring: dict[int, ChildProcess] = {}  # workers that accept no new viewers, by their number
+        self.next_worker_number = 1
+        self.accepting: set[int] = set()  # numbers of workers that accept viewers
+        self.decider_failpoint = ""  # for tests: failpoint at which the first decider ends
+        self.settings_tree = ""  # the decider's current settings, base64 of pickled nodes
+        self.heartbeat = HeartbeatMonitor(DECIDER_TIMEOUT_S, TICK_S)
+        self.serving = self.shutting_down = self.handing_over = False
         self.exit_status = 0
         self.host = ""
-        self.deciders = 0  # that have been told to decide
+        self.decider_starts = 0  # deciders activated so far
         self.on_serving: Callable[[], object] = lambda: None
-        self.on_spare: Callable[[], object] = lambda: None  # one stands by
-        self.on_yielded: Callable[[], object] = lambda: None
-        self.on_ending: Callable[[], object] = lambda: None
+        self.on_standby_ready: Callable[[], object] = lambda: None
+        self.on_decider_stopped: Callable[[], object] = lambda: None
+        self.on_shutdown: Callable[[], object] = lambda: None
 
-    # opening
+    # start
 
-    def listen(self) -> None:
-        """Raises `OSError` if an address is taken."""
-        s = self.settings
+    def open_sockets(self) -> None:
+        """Raises `OSError` if an address is in use."""
+        settings = self.settings
 
-        def nobody(sock: socket.socket, _: Any) -> None:
+        def refuse(sock: socket.socket, _: Any) -> None:
             sock.close()
 
-        def bound(address: Address, share: bool) -> socket.socket:
-            sock = listen(self.loop, address, nobody, share=share)
-            self.loop.watch(sock, 0, nobody)
+        def bind(address: Address, share: bool) -> socket.socket:
+            sock = listen(self.loop, address, refuse, share=share)
+            self.loop.watch(sock, 0, refuse)
             return sock
 
-        self.viewers = bound(s.listen, s.share_port)
-        self.status = bound(s.status, False) if s.status else None
+        self.viewers = bind(settings.listen, settings.share_port)
+        self.status = bind(settings.status, False) if settings.status else None
         self.folder = tempfile.mkdtemp(prefix="lemonhall-")  # 0700
         self.seam_path = f"{self.folder}/seam"
-        self.seam = bound(self.seam_path, False)
-
-    def open(self) -> None:
-        at = self.viewers.getsockname() if self.viewers else ""
-        self.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
-        self.want_spare()
-        self.promote()
-        self.resize(self.settings.workers)  # they are ready by the time the decider is
+        self.seam = bind(self.seam_path, False)
+
+    def start(self) -> None:
+        address = self.viewers.getsockname() if self.viewers else ""
+        self.host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
+        self.ensure_standby()
+        self.activate_standby()
+        self.set_worker_count(self.settings.workers)  # workers start while the decider loads
         self.loop.call_later(TICK_S, self.tick)
 
     # the decider
 
-    def want_spare(self) -> None:
-        if self.spare is None and not self.ending and not self.yielding:
-            self.spare_ready = False
-            self.spare = self.start_decider()
+    def ensure_standby(self) -> None:
+        if self.standby is None and not self.shutting_down and not self.handing_over:
+            self.standby_ready = False
+            self.standby = self.start_decider()
 
-    def start_decider(self) -> Child:
+    def start_decider(self) -> ChildProcess:
         def command(control: int) -> list[str]:
-            given = json.dumps({"control": control, "family": self.family})
-            words = ["--log-format", self.log_format, "serve", str(self.path), "--decide", given]
-            words += ["--module", self.module] if self.module else []
-            words += ["--die-at", self.die_at] if self.die_at else []
-            self.die_at = ""
-            return [sys.executable, "-m", "lemonhall", *words]
-
-        return Child(self.loop, command, (), self.decider_says, self.decider_ended)
-
-    def decider_says(self, child: Child, message: dict[str, Any]) -> None:
-        self.pulse.record(child.process.pid, self.loop.now())
-        if "ready" in message and child is self.spare:
-            self.spare_ready = True
-            log.info("decider stands by", pid=child.process.pid)
-            self.on_spare()
-            self.promote()
+            arguments = json.dumps({"control": control, "family": self.parent_id})
+            command_line = ["--log-format", self.log_format, "serve", str(self.path), "--decide", arguments]
+            command_line += ["--module", self.module] if self.module else []
+            command_line += ["--die-at", self.decider_failpoint] if self.decider_failpoint else []
+            self.decider_failpoint = ""
+            return [sys.executable, "-m", "lemonhall", *command_line]
+
+        return ChildProcess(self.loop, command, (), self.on_decider_message, self.on_decider_exit)
+
+    def on_decider_message(self, child: ChildProcess, message: dict[str, Any]) -> None:
+        self.heartbeat.record(child.process.pid, self.loop.now())
+        if "ready" in message and child is self.standby:
+            self.standby_ready = True
+            log.info("standby decider ready", pid=child.process.pid)
+            self.on_standby_ready()
+            self.activate_standby()
         if "tree" in message:
-            self.tree = message["tree"]
+            self.settings_tree = message["tree"]
         if "open" in message and child is self.decider:
-            self.opened()
+            self.on_decider_active()
         if "takes" in message:
-            self.taking.add(message["takes"])
-            self.serve()
+            self.accepting.add(message["takes"])
+            self.check_serving()
         if "workers" in message and child is self.decider:
-            self.resize(message["workers"])
+            self.set_worker_count(message["workers"])
         if "hung" in message:
-            self.end_worker(message["hung"])
+            self.kill_worker(message["hung"])
         if "replace" in message:
-            self.replace(message["replace"])
-
-    def promote(self) -> None:
-        """The one that stands by decides, if nobody else does."""
-        busy = self.decider is not None or self.waiting is not None or self.ending or self.yielding
-        if busy or not self.spare_ready or self.seam is None or self.viewers is None:
+            self.replace_worker(message["replace"])
+
+    def activate_standby(self) -> None:
+        """Lets the standby decide if there is no active decider."""
+        busy = (
+            self.decider is not None
+            or self.restart_timer is not None
+            or self.shutting_down
+            or self.handing_over
+        )
+        if busy or not self.standby_ready or self.seam is None or self.viewers is None:
             return
-        child, self.spare, self.spare_ready = self.spare, None, False
+        child, self.standby, self.standby_ready = self.standby, None, False
         assert child
         self.decider = child
-        child.began = self.loop.now()
-        self.deciders += 1
-        self.pulse.record(child.process.pid, self.loop.now())
+        child.started_at = self.loop.now()
+        self.decider_starts += 1
+        self.heartbeat.record(child.process.pid, self.loop.now())
         sockets = {"seam": self.seam, "viewers": self.viewers}
         if self.status:
             sockets["status"] = self.status
         fds = tuple(sock.fileno() for sock in sockets.values())
-        child.tell({"go": True, "tree": self.tree, "sockets": list(sockets)}, fds)
+        child.send_message({"go": True, "tree": self.settings_tree, "sockets": list(sockets)}, fds)
 
-    def opened(self) -> None:
-        log.info("decider serves", pid=self.decider.process.pid if self.decider else 0, nth=self.deciders)
-        self.want_spare()
+    def on_decider_active(self) -> None:
+        log.info(
+            "decider active", pid=self.decider.process.pid if self.decider else 0, starts=self.decider_starts
+        )
+        self.ensure_standby()
 
-    def serve(self) -> None:
-        """Said once, when every worker takes viewers."""
-        if not self.serving and all(slot.number in self.taking for slot in self.slots):
+    def check_serving(self) -> None:
+        """Calls `on_serving` once, as soon as every worker accepts viewers."""
+        if not self.serving and all(slot.number in self.accepting for slot in self.slots):
             self.serving = True
             self.on_serving()
 
-    def decider_ended(self, child: Child, status: int) -> None:
-        self.pulse.forget(child.process.pid)
-        if child is self.spare:
-            self.spare = None
-            self.spare_ready = False
-            if self.ending:
+    def on_decider_exit(self, child: ChildProcess, status: int) -> None:
+        self.heartbeat.forget(child.process.pid)
+        if child is self.standby:
+            self.standby = None
+            self.standby_ready = False
+            if self.shutting_down:
                 return
             if self.decider is None:
-                self.give_up_or_wait(child, status)
+                self.schedule_restart(child, status)
             else:
-                self.loop.call_later(1.0, self.want_spare)
+                self.loop.call_later(1.0, self.ensure_standby)
             return
         self.decider = None
-        if self.yielding:
-            self.on_yielded()
-        elif self.ending or status == 0:
+        if self.handing_over:
+            self.on_decider_stopped()
+        elif self.shutting_down or status == 0:
             self.exit_status = status if status > 0 else self.exit_status
-            self.begin_end()
+            self.begin_shutdown()
         else:
-            self.give_up_or_wait(child, status)
+            self.schedule_restart(child, status)
 
-    def give_up_or_wait(self, child: Child, status: int) -> None:
-        wait_s = self.restarts.after(self.loop.now() - child.began)
+    def schedule_restart(self, child: ChildProcess, status: int) -> None:
+        wait_s = self.restarts.next_delay(self.loop.now() - child.started_at)
         if wait_s is None or (status == 2 and not self.serving):
-            # bad input, which no new start would mend
-            log.error("given up", crashes=self.restarts.crashes, status=status)
+            # Exit status 2 means invalid input, which a restart would not fix.
+            log.error(
+                "decider failed too often or has invalid input; shutting down",
+                crashes=self.restarts.crashes,
+                status=status,
+            )
             self.exit_status = 2 if status == 2 else 1
-            self.begin_end()
+            self.begin_shutdown()
             return
-        log.error("decider ended", status=status, again_in_s=wait_s)
+        log.error("decider exited; restarting", status=status, restart_in_s=wait_s)
         if wait_s:
-            self.waiting = self.loop.call_later(wait_s, self.go_on)
+            self.restart_timer = self.loop.call_later(wait_s, self.restart_decider)
         else:
-            self.go_on()
+            self.restart_decider()
 
-    def go_on(self) -> None:
-        self.waiting = None
-        self.want_spare()
-        self.promote()
+    def restart_decider(self) -> None:
+        self.restart_timer = None
+        self.ensure_standby()
+        self.activate_standby()
 
-    # change of guard
+    # handover
 
-    def give_way(self) -> None:
-        """The decider goes, without a word to anybody; `on_yielded` follows."""
-        self.yielding = True
+    def stop_decider(self) -> None:
+        """Ends the decider without notice to other fronts; `on_decider_stopped` follows."""
+        self.handing_over = True
         if self.decider:
-            self.decider.tell({"leave": True})
+            self.decider.send_message({"leave": True})
         else:
-            self.loop.call_soon(self.on_yielded)
-
-    def take_back(self) -> None:
-        """Nobody has taken over: the one that stands by decides."""
-        self.yielding = False
-        self.want_spare()
-        self.promote()
-
-    def relieved(self) -> None:
-        """Another parent is the front. Workers stay until what they have has ended; nothing is kept here."""
-        self.ending = True
-        self.folder = ""  # the other's by now
-        if self.spare:
-            self.spare.signal(signal.SIGKILL)
+            self.loop.call_soon(self.on_decider_stopped)
+
+    def resume_deciding(self) -> None:
+        """The handover failed: the standby decides."""
+        self.handing_over = False
+        self.ensure_standby()
+        self.activate_standby()
+
+    def finish_handover(self) -> None:
+        """Another parent serves. Workers stay until their sessions end, then this process exits."""
+        self.shutting_down = True
+        self.folder = ""  # it belongs to the successor
+        if self.standby:
+            self.standby.signal(signal.SIGKILL)
         for slot in self.slots:
-            self.retire(slot)
+            self.retire_worker(slot)
         self.slots = []
-        self.sweep()
+        self.wait_for_exit()
 
     # workers
 
-    def resize(self, count: int) -> None:
-        """So many workers from now on; those over it take nothing new and end when theirs has ended."""
-        if self.ending or self.yielding:
+    def set_worker_count(self, count: int) -> None:
+        """Starts or retires workers; a retired one accepts no viewers and exits after its last session."""
+        if self.shutting_down or self.handing_over:
             return
         while len(self.slots) < count:
-            slot = Slot()
+            slot = WorkerSlot()
             self.slots.append(slot)
             self.start_worker(slot)
         while len(self.slots) > count:
-            self.retire(self.slots.pop())
+            self.retire_worker(self.slots.pop())
 
-    def retire(self, slot: Slot) -> None:
+    def retire_worker(self, slot: WorkerSlot) -> None:
         slot.wanted = False
         if slot.timer:
             slot.timer.cancel()
         if slot.child:
-            self.leaving[slot.number] = slot.child
-            slot.child.tell({"retire": True})
+            self.retiring[slot.number] = slot.child
+            slot.child.send_message({"retire": True})
 
-    def start_worker(self, slot: Slot) -> None:
+    def start_worker(self, slot: WorkerSlot) -> None:
         assert self.viewers
         slot.timer = None
-        slot.number = self.next_number
-        self.next_number += 1
+        slot.number = self.next_worker_number
+        self.next_worker_number += 1
         viewers = self.viewers.fileno()
 
         def command(control: int) -> list[str]:
-            given = {"number": slot.number, "family": self.family, "seam": self.seam_path}
-            given |= {"viewers": viewers, "control": control, "log_format": self.log_format}
-            return [sys.executable, "-m", "lemonhall.front.workers.worker_process", json.dumps(given)]
+            arguments = {"number": slot.number, "family": self.parent_id, "seam": self.seam_path}
+            arguments |= {"viewers": viewers, "control": control, "log_format": self.log_format}
+            return [sys.executable, "-m", "lemonhall.front.workers.worker_process", json.dumps(arguments)]
 
         number = slot.number
 
-        def ended(child: Child, status: int) -> None:
-            self.worker_ended(slot, number, child, status)
+        def on_exit(child: ChildProcess, status: int) -> None:
+            self.on_worker_exit(slot, number, child, status)
 
-        slot.child = Child(self.loop, command, (viewers,), lambda child, message: None, ended)
+        slot.child = ChildProcess(self.loop, command, (viewers,), lambda child, message: None, on_exit)
 
-    def worker_ended(self, slot: Slot, number: int, child: Child, status: int) -> None:
-        self.leaving.pop(number, None)
+    def on_worker_exit(self, slot: WorkerSlot, number: int, child: ChildProcess, status: int) -> None:
+        self.retiring.pop(number, None)
         if slot.child is child:
             slot.child = None
-        if self.ending or not slot.wanted or slot.child is not None:
+        if self.shutting_down or not slot.wanted or slot.child is not None:
             return
-        wait_s = slot.restarts.after(self.loop.now() - child.began)
-        if wait_s is None:  # it may be mended by hand meanwhile; the others go on
+        wait_s = slot.restarts.next_delay(self.loop.now() - child.started_at)
+        if wait_s is None:  # the cause may be fixed meanwhile; the other workers go on
             slot.restarts, wait_s = Restarts(), 30.0
-        log.error("worker ended", worker=number, status=status, again_in_s=wait_s)
+        log.error("worker exited; restarting", worker=number, status=status, restart_in_s=wait_s)
         slot.timer = self.loop.call_later(wait_s, self.start_worker, slot)
 
-    def slot_of(self, number: int) -> Slot | None:
-        return next((s for s in self.slots if s.number == number and s.child), None)
+    def slot_of(self, number: int) -> WorkerSlot | None:
+        return next(
+            (settings for settings in self.slots if settings.number == number and settings.child), None
+        )
 
-    def end_worker(self, number: int) -> None:
-        """It hangs: what it has is lost already."""
-        child = self.leaving.get(number)
+    def kill_worker(self, number: int) -> None:
+        """Kills a hung worker; its sessions are lost already."""
+        child = self.retiring.get(number)
         if child is None and (slot := self.slot_of(number)):
             child = slot.child
         if child:
             child.signal(signal.SIGKILL)
 
-    def replace(self, number: int) -> None:
-        """A worker of another program than the decider's: it goes when what it has has ended."""
+    def replace_worker(self, number: int) -> None:
+        """Replaces a worker of another build than the decider's; the old one exits after its last session."""
         slot = self.slot_of(number)
-        if slot is None or self.ending:
+        if slot is None or self.shutting_down:
             return
         at = self.slots.index(slot)
-        self.retire(slot)
-        self.slots[at] = Slot()
+        self.retire_worker(slot)
+        self.slots[at] = WorkerSlot()
         self.start_worker(self.slots[at])
 
-    # time, signals, the end
+    # timers, signals, shutdown
 
     def tick(self) -> None:
         now = self.loop.now()
         if self.decider:
-            self.decider.tell({"alive": now})
-        for pid in self.pulse.tick(now):
+            self.decider.send_message({"alive": now})
+        for pid in self.heartbeat.tick(now):
             if self.decider and self.decider.process.pid == pid:
-                log.error("decider hangs", pid=pid)
+                log.error("decider does not respond; killing it", pid=pid)
                 self.decider.signal(signal.SIGKILL)
         self.loop.call_later(TICK_S, self.tick)
 
-    def signalled(self, number: int) -> None:
-        """To the decider, which sees to its workers; without one, to the workers themselves."""
-        self.ending |= number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
+    def on_signal(self, number: int) -> None:
+        """Passes a signal to the decider, which directs its workers; without one, shuts the workers down."""
+        self.shutting_down |= number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
         if self.decider:
             self.decider.signal(number)
-        elif self.ending:
-            self.begin_end()
-
-    def begin_end(self) -> None:
-        """No decider any more: workers end what they have, then this process goes."""
-        self.ending = True
-        self.on_ending()
-        if self.waiting:
-            self.waiting.cancel()
-        if self.spare:
-            self.spare.signal(signal.SIGKILL)
-        for child in self.workers():
+        elif self.shutting_down:
+            self.begin_shutdown()
+
+    def begin_shutdown(self) -> None:
+        """Without a decider: workers end their sessions, then this process exits."""
+        self.shutting_down = True
+        self.on_shutdown()
+        if self.restart_timer:
+            self.restart_timer.cancel()
+        if self.standby:
+            self.standby.signal(signal.SIGKILL)
+        for child in self.worker_processes():
             child.signal(signal.SIGTERM)
-        self.loop.call_later(STOP_S, self.end_all)
-        self.sweep()
+        self.loop.call_later(SHUTDOWN_TIMEOUT_S, self.kill_all)
+        self.wait_for_exit()
 
-    def workers(self) -> list[Child]:
-        here = [slot.child for slot in self.slots if slot.child]
-        return [*here, *self.leaving.values()]
+    def worker_processes(self) -> list[ChildProcess]:
+        current = [slot.child for slot in self.slots if slot.child]
+        return [*current, *self.retiring.values()]
 
-    def end_all(self) -> None:
-        for child in [*self.workers(), *(c for c in (self.decider, self.spare) if c)]:
+    def kill_all(self) -> None:
+        for child in [*self.worker_processes(), *(child for child in (self.decider, self.standby) if child)]:
             child.signal(signal.SIGKILL)
 
-    def sweep(self) -> None:
-        if self.workers() or self.decider or self.spare:
-            self.loop.call_later(SWEEP_S, self.sweep)
+    def wait_for_exit(self) -> None:
+        if self.worker_processes() or self.decider or self.standby:
+            self.loop.call_later(EXIT_POLL_INTERVAL_S, self.wait_for_exit)
             return
         self.close()
         self.loop.stop()
@@ -408,42 +421,43 @@
             shutil.rmtree(self.folder, ignore_errors=True)
 
     def run(self) -> int:
-        """Until the front has ended. Returns the exit status."""
+        """Runs until the front has ended. Returns the exit status."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
-            self.loop.on_signal(number, lambda n=number: self.signalled(n))
+            self.loop.on_signal(number, lambda n=number: self.on_signal(n))
         self.loop.run()
         self.loop.close()
         return self.exit_status
 
 
 def wait_for_activation(control: socket.socket) -> tuple[bytes, dict[str, socket.socket]]:
-    """Stands by, loaded, until the parent says so: the settings that hold (empty: read them), its sockets.
+    """Waits as the loaded standby until the parent activates this decider.
 
+    Returns the current settings, pickled (empty: read them from the file), and the parent's sockets by name.
     Raises `SystemExit` when the parent ends.
     """
     control.setblocking(True)
     loop = Loop()
-    told: list[dict[str, Any]] = []
+    messages: list[dict[str, Any]] = []
     sockets: list[int] = []
-    over: list[bool] = []
+    closed: list[bool] = []
 
-    def heard(message: dict[str, Any], fds: list[int]) -> None:
-        told.append(message)
+    def on_message(message: dict[str, Any], fds: list[int]) -> None:
+        messages.append(message)
         sockets.extend(fds)
 
-    channel = Channel(loop, control, heard, lambda: over.append(True))
+    channel = Channel(loop, control, on_message, lambda: closed.append(True))
     channel.send({"ready": True})
-    loop.run(until=lambda: bool(over) or any("go" in m for m in told))
-    if over:
+    loop.run(until=lambda: bool(closed) or any("go" in m for m in messages))
+    if closed:
         raise SystemExit(0)
     loop.watch(control, 0, channel.on_ready)
     loop.close()
-    go = next(m for m in told if "go" in m)
+    go = next(m for m in messages if "go" in m)
     named = {name: socket.socket(fileno=fd) for name, fd in zip(go["sockets"], sockets, strict=True)}
     return base64.b64decode(go["tree"]), named
 
 
 def ignore_terminal_interrupts() -> None:
-    """^C goes to a whole group of processes; only the parent acts on it."""
+    """An interrupt from the terminal reaches the whole process group; only the parent handles it."""
     with contextlib.suppress(ValueError):
         signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/lemonhall/front/workers/parent_handover.py
+++ b/lemonhall/front/workers/parent_handover.py
@@ -1,10 +1,10 @@
-"""Change of guard where a front has workers: one parent takes over from another.
+"""Handover of a front with worker processes: one parent takes over from another.
 
-Only the parent's sockets and the decider's place change hands, as portion 0 of `guarding.relief`; a baton
-says whose they are. The old decider goes first, and the new one, which stands by, comes in its place: to the
-workers that is a decider that ended and another that came, which they are made for. Workers stay where they
-are, under the old parent, with what plays there; they take nothing new and go when theirs has ended. No
-connection moves.
+Only the parent's sockets and the role of the decider are handed over, as batch 0 of `handover.state_machine`;
+an ownership token decides who has them. The old decider ends first, and the new parent's standby takes its
+place. To the workers this looks like a decider that ended and another one that started, which they handle
+anyway. Workers stay under the old parent and keep the sessions that they have; they accept no new viewers and
+exit after their last session. No connection is moved.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 import structlog
 
-from lemonhall.front.handover.endpoint import HandoverEndpoint, about
-from lemonhall.front.handover.state_machine import Do, Effect, HandoverTarget
+from lemonhall.front.handover.endpoint import HandoverEndpoint, handover_properties
+from lemonhall.front.handover.state_machine import Action, Effect, HandoverTarget
 from lemonhall.front.process.channel import Channel, OwnershipToken
 from lemonhall.front.workers.parent import Parent
 from lemonhall.loop import Timer
 
 log = structlog.get_logger("lemonhall.front")
-PATIENCE_S = 5.0
+TARGET_TIMEOUT_S = 5.0  # after which a successor that does not answer loses the handover
 FAILPOINTS = ("asked", "yielded", "sent", "unpacked", "owned", "told", "given", "over")
 
 
 class ParentHandoverSource(HandoverEndpoint):
-    """At the parent that is relieved; listens at the guard's path. Raises `OSError` if it cannot."""
+    """At the parent that is replaced: listens at `path`. Raises `OSError` if the path cannot be bound."""
 
     hello = "asked"
 
@@ -35,65 +35,75 @@
         self, parent: Parent, path: str, failpoint: Callable[[str], object] = lambda name: None
     ) -> None:
         self.parent = parent
-        self.baton: OwnershipToken | None = None
-        self.patience: Timer | None = None
+        self.token: OwnershipToken | None = None
+        self.timeout_timer: Timer | None = None
         super().__init__(parent.loop, path, lambda: parent.settings, failpoint)
-        parent.on_yielded = self.yielded
-        parent.on_ending = self.close
-
-    def busy(self) -> bool:
-        return self.parent.ending or not self.parent.serving
-
-    def act(self, effect: Effect) -> None:
-        if effect.do is Do.HAND:
-            self.parent.give_way()  # `yielded` follows
-        elif effect.do is Do.TRY:
-            if self.patience:
-                self.patience.cancel()
-            baton, self.baton = self.baton, None
-            # without one nothing has been sent yet: it is still ours
-            self.carry_out(self.giver.tried(0, baton is None or baton.take()))
-        elif effect.do in (Do.RESUME, Do.SERVE):
-            log.warning("serving again, nobody has taken over")
-            if effect.do is Do.SERVE:
+        parent.on_decider_stopped = self.on_decider_stopped
+        parent.on_shutdown = self.close
+
+    def is_busy(self) -> bool:
+        return self.parent.shutting_down or not self.parent.serving
+
+    def perform(self, effect: Effect) -> None:
+        if effect.action is Action.SEND:
+            self.parent.stop_decider()  # `on_decider_stopped` follows
+        elif effect.action is Action.CLAIM_TOKEN:
+            if self.timeout_timer:
+                self.timeout_timer.cancel()
+            token, self.token = self.token, None
+            # Without a token nothing has been sent yet, so this process still owns the front.
+            self.perform_all(self.source.on_token_claimed(0, token is None or token.claim()))
+        elif effect.action in (Action.RESUME, Action.SERVE):
+            log.warning("serving again: the successor has not taken over")
+            if effect.action is Action.SERVE:
                 self.close_listener()
-                self.listen()
-            self.parent.take_back()
-        elif effect.do is Do.FORGET:
+                self.open_listener()
+            self.parent.resume_deciding()
+        elif effect.action is Action.RELEASE:
             self.failpoint("given")
-        elif effect.do is Do.NEXT:
-            self.carry_out(self.giver.nothing_left())
-        elif effect.do is Do.LAST and self.channel:
+        elif effect.action is Action.PREPARE_NEXT:
+            self.perform_all(self.source.on_nothing_left())
+        elif effect.action is Action.ASK_CONFIRMATION and self.channel:
             self.channel.send({"last": True})
-        elif effect.do is Do.OVER:
+        elif effect.action is Action.FINISH:
             self.failpoint("over")
-            log.info("relieved", workers=len(self.parent.workers()))
+            log.info(
+                "successor serves as the front; workers keep their sessions",
+                workers=len(self.parent.worker_processes()),
+            )
             self.close()
-            self.parent.relieved()
+            self.parent.finish_handover()
 
-    def yielded(self) -> None:
-        """The decider has gone: the place is free."""
+    def on_decider_stopped(self) -> None:
+        """The decider has ended; hands the sockets over, or resumes if the successor has left meanwhile."""
         self.failpoint("yielded")
-        if self.channel is None or self.giver.out != 0:
-            if not self.giver.relieved:
-                self.parent.take_back()
+        if self.channel is None or self.source.pending_batch != 0:
+            if not self.source.handed_over:
+                self.parent.resume_deciding()
             return
-        p = self.parent
-        sockets = [(n, s) for n, s in (("viewers", p.viewers), ("status", p.status), ("seam", p.seam)) if s]
-        self.baton = OwnershipToken()
-        fds = [self.baton.fd, *(s.fileno() for _, s in sockets)]
-        told = {"sockets": [n for n, _ in sockets], "seam_path": p.seam_path, "folder": p.folder}
-        self.channel.send({"portion": 0, **told, "next_number": p.next_number}, fds)
-        self.patience = self.loop.call_later(PATIENCE_S, self.lose_patience)
+        parent = self.parent
+        sockets = [
+            (n, s)
+            for n, s in (("viewers", parent.viewers), ("status", parent.status), ("seam", parent.seam))
+            if s
+        ]
+        self.token = OwnershipToken()
+        fds = [self.token.fd, *(s.fileno() for _, s in sockets)]
+        state = {"sockets": [n for n, _ in sockets], "seam_path": parent.seam_path, "folder": parent.folder}
+        self.channel.send({"portion": 0, **state, "next_number": parent.next_worker_number}, fds)
+        self.timeout_timer = self.loop.call_later(TARGET_TIMEOUT_S, self.on_timeout)
         self.failpoint("sent")
 
-    def lose_patience(self) -> None:
-        log.warning("successor is silent")
-        self.carry_out(self.giver.answered(0))
+    def on_timeout(self) -> None:
+        log.warning("successor did not answer in time; reclaiming the front")
+        self.perform_all(self.source.on_claim_reported(0))
 
 
 class ParentHandoverTarget:
-    """At the parent that comes. `opened(anew)` is called at its turn, `refused(why)` if it is not wanted."""
+    """At the successor. Calls `opened(fresh)` when it may serve, `refused(reason)` if it cannot take over.
+
+    `fresh` is set if the old parent ended before it handed over any socket.
+    """
 
     def __init__(
         self,
@@ -103,56 +113,56 @@
         refused: Callable[[str], object],
         failpoint: Callable[[str], object] = lambda name: None,
     ) -> None:
-        """Raises `OSError` if nobody is there to be relieved."""
+        """Raises `OSError` if no front listens at `path`."""
         self.parent, self.opened, self.refused, self.failpoint = parent, opened, refused, failpoint
-        self.taker = HandoverTarget()
-        self.baton: OwnershipToken | None = None
+        self.target = HandoverTarget()
+        self.token: OwnershipToken | None = None
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             sock.connect(path)
         except OSError:
             sock.close()
             raise
-        self.channel = Channel(parent.loop, sock, self.heard, self.ended)
-        self.channel.send({"hello": about(parent.settings)})
+        self.channel = Channel(parent.loop, sock, self.on_message, self.on_channel_closed)
+        self.channel.send({"hello": handover_properties(parent.settings)})
 
-    def heard(self, message: dict[str, Any], fds: list[int]) -> None:
+    def on_message(self, message: dict[str, Any], fds: list[int]) -> None:
         if "refused" in message:
-            self.taker.ended = True
+            self.target.ended = True
             self.refused(f"refused by the front that serves, for: {', '.join(message['refused'])}")
         elif "last" in message:
-            self.carry_out(self.taker.last())
+            self.perform_all(self.target.on_confirmation_requested())
         else:
-            self.baton = OwnershipToken(fds.pop(0))
-            p = self.parent
+            self.token = OwnershipToken(fds.pop(0))
+            parent = self.parent
             for name in message["sockets"]:
-                setattr(p, name, socket.socket(fileno=fds.pop(0)))
-            p.seam_path, p.folder, p.next_number = (
+                setattr(parent, name, socket.socket(fileno=fds.pop(0)))
+            parent.seam_path, parent.folder, parent.next_worker_number = (
                 message["seam_path"],
                 message["folder"],
                 message["next_number"],
             )
             self.failpoint("unpacked")
-            self.carry_out(self.taker.handed(0, True))
+            self.perform_all(self.target.on_batch_received(0, True))
 
-    def ended(self) -> None:
-        self.carry_out(self.taker.gone())
+    def on_channel_closed(self) -> None:
+        self.perform_all(self.target.on_channel_closed())
 
-    def carry_out(self, effects: list[Effect]) -> None:
+    def perform_all(self, effects: list[Effect]) -> None:
         for effect in effects:
-            self.act(effect)
+            self.perform(effect)
 
-    def act(self, effect: Effect) -> None:
-        if effect.do is Do.TRY and self.baton:
-            self.carry_out(self.taker.tried(0, self.baton.take()))
-        elif effect.do is Do.SERVE:
+    def perform(self, effect: Effect) -> None:
+        if effect.action is Action.CLAIM_TOKEN and self.token:
+            self.perform_all(self.target.on_token_claimed(0, self.token.claim()))
+        elif effect.action is Action.SERVE:
             self.opened(self.parent.seam is None)
-        elif effect.do is Do.TOOK:
+        elif effect.action is Action.REPORT_CLAIM:
             self.failpoint("owned")
             self.channel.send({"tried": 0})
             self.failpoint("told")
-        elif effect.do is Do.HERE:
+        elif effect.action is Action.CONFIRM:
             self.channel.send({"here": True})
-        elif effect.do is Do.END:
-            self.parent.folder = ""  # they are the other's
+        elif effect.action is Action.ABORT:
+            self.parent.folder = ""  # it belongs to the old parent
             self.refused("the front that serves goes on: this one could not take over")
--- a/lemonhall/front/workers/shared_listener.py
+++ b/lemonhall/front/workers/shared_listener.py
@@ -1,4 +1,4 @@
-"""Where a worker takes its viewers: at the one listener that all workers share."""
+"""Accepts viewer connections at the listener that all workers share."""
 
 from __future__ import annotations
 
@@ -9,62 +9,62 @@
 
 from lemonhall.loop import Loop
 
-A_TURN = 4  # connections taken in one pass, so that the others have their part of a rush
-CLOSED = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
+MAX_ACCEPTS_PER_PASS = 4  # so that the other workers get their share of a burst
+IGNORED_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED)
 
 
 class SharedListener:
-    """`take(socket, peer)`; `may()` is asked before each."""
+    """Calls `on_accept(socket, peer)` for each connection; `may_accept()` is checked before each."""
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
-        take: Callable[[socket.socket, Any], object],
-        may: Callable[[], bool],
+        on_accept: Callable[[socket.socket, Any], object],
+        may_accept: Callable[[], bool],
     ) -> None:
-        self.loop, self.sock, self.take, self.may = loop, sock, take, may
-        self.wanted = self.watching = False
+        self.loop, self.sock, self.on_accept, self.may_accept = loop, sock, on_accept, may_accept
+        self.opened = self.watching = False
         sock.setblocking(False)
 
-    def look(self) -> None:
-        """Opens or shuts, by what `may` says now."""
-        open_now = self.wanted and self.may()
-        if open_now and not self.watching:
+    def update(self) -> None:
+        """Starts or stops watching the listener, as `may_accept` says now."""
+        watch_now = self.opened and self.may_accept()
+        if watch_now and not self.watching:
             self.loop.watch_alone(self.sock, self.on_ready)
-        elif not open_now:
+        elif not watch_now:
             self.loop.watch(self.sock, 0, self.on_ready)
-        self.watching = open_now
+        self.watching = watch_now
 
     def on_ready(self, _: int) -> None:
-        for turn in range(A_TURN):
-            if not self.may():
-                self.look()
+        for count in range(MAX_ACCEPTS_PER_PASS):
+            if not self.may_accept():
+                self.update()
                 return
             try:
-                taken, peer = self.sock.accept()
-            except BlockingIOError:  # another worker was faster, or these were all
-                if turn:
-                    self.step_back()
+                accepted, peer = self.sock.accept()
+            except BlockingIOError:  # another worker was faster, or no connection is left
+                if count:
+                    self.requeue()
                 return
             except OSError as error:
-                if error.errno not in CLOSED:
+                if error.errno not in IGNORED_ERRORS:
                     raise
                 return
-            self.take(taken, peer)
-        self.step_back()
+            self.on_accept(accepted, peer)
+        self.requeue()
 
-    def step_back(self) -> None:
-        """Whoever has taken some goes to the end of those that wait: the kernel wakes them in their order."""
+    def requeue(self) -> None:
+        """Moves this worker to the end of those that wait: the kernel wakes them in order of registration."""
         if self.watching:
             self.loop.watch_alone(self.sock, self.on_ready)
 
     def open(self) -> None:
-        self.wanted = True
-        self.look()
+        self.opened = True
+        self.update()
 
     def close(self) -> None:
-        """For good, in this process: others go on at the listener."""
+        """Closes the listener in this process for good; other processes keep theirs."""
         if self.sock.fileno() >= 0:
             self.loop.watch(self.sock, 0, self.on_ready)
             self.sock.close()
--- a/lemonhall/front/workers/worker_connections.py
+++ b/lemonhall/front/workers/worker_connections.py
@@ -1,4 +1,4 @@
-"""The decider's links to its workers."""
+"""The decider's connections to its workers."""
 
 from __future__ import annotations
 
@@ -34,153 +34,158 @@
 
 log = structlog.get_logger("lemonhall.front")
 TICK_S = 0.25
-HUNG_S = 6.0  # a worker that is silent for so long is held for hung, and ended
-HELLO_S = 5.0
+WORKER_TIMEOUT_S = 6.0  # a worker that is silent for this long counts as hung and is killed
+HELLO_TIMEOUT_S = 5.0
 
 
 class WorkerConnection:
-    """To one worker. `number` is of the link; `worker` the worker's own."""
+    """Connection to one worker. `number` identifies the connection; `hello.worker` is the worker's number."""
 
-    def __init__(self, lines: WorkerConnections, sock: socket.socket, number: int) -> None:
-        self.lines, self.number = lines, number
-        self.link = MessageConnection(self.heard, self.ended)
-        self.link.on_bytes = lambda: lines.pulse.record(number, lines.loop.now())
-        self.link.stream = Stream(lines.loop, sock, self.link, high=1 << 20)
+    def __init__(self, connections: WorkerConnections, sock: socket.socket, number: int) -> None:
+        self.connections, self.number = connections, number
+        self.transport = MessageConnection(self.on_message, self.on_closed)
+        self.transport.on_data = lambda: connections.heartbeat.record(number, connections.loop.now())
+        self.transport.stream = Stream(connections.loop, sock, self.transport, high=1 << 20)
         self.hello: Hello | None = None
-        self.mine = False  # it takes new viewers: of this parent, and of the same program
+        self.takes_viewers = False  # the worker belongs to this parent and is of the same build
         self.viewers = self.sessions = 0
-        lines.loop.call_later(HELLO_S, self.late)
+        connections.loop.call_later(HELLO_TIMEOUT_S, self.on_hello_timeout)
 
-    def late(self) -> None:
-        if self.hello is None and self.link.stream:
-            self.link.stream.abort()
+    def on_hello_timeout(self) -> None:
+        if self.hello is None and self.transport.stream:
+            self.transport.stream.abort()
 
     def send(self, message: Message) -> bool:
-        return self.link.send(message)
+        return self.transport.send(message)
 
-    def heard(self, message: Message) -> None:
-        lines = self.lines
+    def on_message(self, message: Message) -> None:
+        connections = self.connections
         if self.hello is None:
             if isinstance(message, Hello):
                 self.hello = message
-                lines.greet(self, message)
-        elif lines.daemon.asks.heard(self, message) or isinstance(message, Pong):
+                connections.on_hello(self, message)
+        elif connections.daemon.asks.heard(self, message) or isinstance(message, Pong):
             pass
         elif isinstance(message, WorkerCounters):
             self.viewers, self.sessions = message.viewers, message.sessions
             for name, value in message.counts:
-                lines.daemon.counts[name] += int(value)
+                connections.daemon.counts[name] += int(value)
 
-    def ended(self) -> None:
-        self.lines.lost(self)
+    def on_closed(self) -> None:
+        self.connections.on_connection_closed(self)
 
 
 class WorkerConnections:
-    """`seam`: the socket at which workers come; it listens already. `tell_parent`: of what it must know."""
+    """`listener`: listening socket for workers. `send_to_parent` sends a message to the parent process."""
 
     def __init__(
         self,
         daemon: Daemon,
-        seam: socket.socket,
-        family: str,
-        tell_parent: Callable[[dict[str, Any]], object],
+        listener: socket.socket,
+        parent_id: str,
+        send_to_parent: Callable[[dict[str, Any]], object],
     ) -> None:
-        self.daemon, self.loop, self.seam, self.family = daemon, daemon.loop, seam, family
-        self.tell_parent = tell_parent
-        self.lines: dict[int, WorkerConnection] = {}
-        self.links = 0
-        self.pulse = HeartbeatMonitor(HUNG_S, TICK_S)
+        self.daemon, self.loop, self.listener, self.parent_id = daemon, daemon.loop, listener, parent_id
+        self.send_to_parent = send_to_parent
+        self.by_number: dict[int, WorkerConnection] = {}
+        self.last_number = 0
+        self.heartbeat = HeartbeatMonitor(WORKER_TIMEOUT_S, TICK_S)
         daemon.loop.after_pass.append(self.flush)
-        daemon.list.list.on_news = self.on_list
+        daemon.list.list.on_news = self.on_server_list
 
-    # the daemon's side
+    # called by the daemon
 
-    def opened(self) -> None:
-        accept_on(self.loop, self.seam, self.accept)
+    def start(self) -> None:
+        accept_on(self.loop, self.listener, self.on_connection)
         self.tick()
 
-    def settle(self, settings: FrontSettings) -> None:
-        self.tell_parent({"workers": settings.workers})
-        for line in self.lines.values():
-            if line.mine:
-                self.configure(line, settings)
+    def apply_settings(self, settings: FrontSettings) -> None:
+        self.send_to_parent({"workers": settings.workers})
+        for connection in self.by_number.values():
+            if connection.takes_viewers:
+                self.send_configuration(connection, settings)
 
-    def send_all(self, message: Message) -> None:
-        for line in list(self.lines.values()):
-            line.send(message)
+    def broadcast(self, message: Message) -> None:
+        for connection in list(self.by_number.values()):
+            connection.send(message)
 
-    def left(self) -> int:
-        """Workers that are still there."""
-        return len(self.lines)
+    def worker_count(self) -> int:
+        """Workers that are still connected."""
+        return len(self.by_number)
 
     def gauges(self) -> tuple[int, int]:
-        lines = self.lines.values()
-        return sum(line.viewers for line in lines), sum(line.sessions for line in lines)
+        connections = self.by_number.values()
+        return sum(connection.viewers for connection in connections), sum(
+            connection.sessions for connection in connections
+        )
 
     def close(self) -> None:
-        """This process goes: what its workers have stays theirs, and is not written of any more."""
-        self.loop.watch(self.seam, 0, self.accept)
-        for line in list(self.lines.values()):
-            line.link.ended = lambda: None
-            if line.link.stream:
-                line.link.stream.close()
-
-    # links
-
-    def accept(self, sock: socket.socket, _: Any) -> None:
-        self.links += 1
-        line = self.lines[self.links] = WorkerConnection(self, sock, self.links)
-        self.pulse.record(line.number, self.loop.now())
-
-    def greet(self, line: WorkerConnection, hello: Hello) -> None:
-        """`Welcome` comes last: a worker that hears it knows all that it needs."""
-        d = self.daemon
+        """This process ends: workers keep their sessions; ends of connections are not handled any more."""
+        self.loop.watch(self.listener, 0, self.on_connection)
+        for connection in list(self.by_number.values()):
+            connection.transport.on_closed = lambda: None
+            if connection.transport.stream:
+                connection.transport.stream.close()
+
+    # connections
+
+    def on_connection(self, sock: socket.socket, _: Any) -> None:
+        self.last_number += 1
+        connection = self.by_number[self.last_number] = WorkerConnection(self, sock, self.last_number)
+        self.heartbeat.record(connection.number, self.loop.now())
+
+    def on_hello(self, connection: WorkerConnection, hello: Hello) -> None:
+        """Answers `Hello`. `Welcome` is sent last: a worker that receives it has everything it needs."""
+        daemon = self.daemon
         version = negotiate_version(VERSION, MIN_VERSION, hello.version, hello.min_version)
-        same = version > 0 and hello.build_id == build_id()
-        line.mine = same and hello.parent_id == self.family
-        known = {"worker": hello.worker, "pid": hello.pid, "takes": line.mine}
-        log.info("worker", **known)
-        if line.mine:
-            self.configure(line, d.settings)
-            self.tell_parent({"takes": hello.worker})
-            line.send(ServerListUpdate(d.list.list.snapshot().SerializeToString()))
-            if d.keeper:
-                line.send(StoreStatus(d.keeper.ledger.pruned_s, bool(d.keeper.failing)))
-        elif hello.parent_id == self.family:
-            self.tell_parent({"replace": hello.worker})
-        line.send(d.welcome(version, line.mine))
-        if d.stopping or d.draining:
-            line.send(RetireWorker(d.stopping))
-
-    def configure(self, line: WorkerConnection, settings: FrontSettings) -> None:
-        line.send(Configuration(max(1, settings.workers), pickle.dumps(settings)))
-
-    def lost(self, line: WorkerConnection) -> None:
-        self.lines.pop(line.number, None)
-        self.pulse.forget(line.number)
-        if line.hello:
-            log.info("worker gone", worker=line.hello.worker, sessions=line.sessions)
-        self.daemon.asks.lose(line)
-
-    def on_list(self, update: Update) -> None:
+        same_build = version > 0 and hello.build_id == build_id()
+        connection.takes_viewers = same_build and hello.parent_id == self.parent_id
+        details = {"worker": hello.worker, "pid": hello.pid, "takes": connection.takes_viewers}
+        log.info("worker", **details)
+        if connection.takes_viewers:
+            self.send_configuration(connection, daemon.settings)
+            self.send_to_parent({"takes": hello.worker})
+            connection.send(ServerListUpdate(daemon.list.list.snapshot().SerializeToString()))
+            if daemon.keeper:
+                connection.send(StoreStatus(daemon.keeper.ledger.pruned_s, bool(daemon.keeper.failing)))
+        elif hello.parent_id == self.parent_id:
+            self.send_to_parent({"replace": hello.worker})
+        connection.send(daemon.welcome(version, connection.takes_viewers))
+        if daemon.stopping or daemon.draining:
+            connection.send(RetireWorker(daemon.stopping))
+
+    def send_configuration(self, connection: WorkerConnection, settings: FrontSettings) -> None:
+        connection.send(Configuration(max(1, settings.workers), pickle.dumps(settings)))
+
+    def on_connection_closed(self, connection: WorkerConnection) -> None:
+        self.by_number.pop(connection.number, None)
+        self.heartbeat.forget(connection.number)
+        if connection.hello:
+            log.info("worker disconnected", worker=connection.hello.worker, sessions=connection.sessions)
+        self.daemon.asks.lose(connection)
+
+    def on_server_list(self, update: Update) -> None:
         data = update.SerializeToString()
-        for line in self.lines.values():
-            if line.mine:
-                line.send(ServerListUpdate(data))
+        for connection in self.by_number.values():
+            if connection.takes_viewers:
+                connection.send(ServerListUpdate(data))
 
     def flush(self) -> None:
-        for line in list(self.lines.values()):
-            line.link.flush()
+        for connection in list(self.by_number.values()):
+            connection.transport.flush()
 
     def tick(self) -> None:
         now = self.loop.now()
-        mine = [line for line in self.lines.values() if line.mine]
-        mean = sum(line.viewers for line in mine) / max(1, len(mine))
-        for line in self.lines.values():
-            line.send(Ping(now, mean, line.viewers))
-        for number in self.pulse.tick(now):
-            hello = self.lines[number].hello
-            log.error("worker hangs", worker=hello.worker if hello else None)
+        accepting = [connection for connection in self.by_number.values() if connection.takes_viewers]
+        mean = sum(connection.viewers for connection in accepting) / max(1, len(accepting))
+        for connection in self.by_number.values():
+            connection.send(Ping(now, mean, connection.viewers))
+        for number in self.heartbeat.tick(now):
+            hello = self.by_number[number].hello
+            log.error(
+                "worker does not respond; asking the parent to kill it",
+                worker=hello.worker if hello else None,
+            )
             if hello:
-                self.tell_parent({"hung": hello.worker})
+                self.send_to_parent({"hung": hello.worker})
         self.loop.call_later(TICK_S, self.tick)
