--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -1,7 +1,7 @@
-"""A worker as a process: `python -m lemonhall.front.workers.worker_process WORDS`, started by the parent.
+"""A worker process: `python -m lemonhall.front.workers.worker_process ARGUMENTS`, started by the parent.
 
-It reads no settings of its own: its decider tells it all it needs. When the decider is gone it goes on, and
-comes again to the same place until the next one is there.
+It reads no settings file: its decider sends everything it needs. When the decider has ended, the worker goes
+on and reconnects to the same socket until the next decider is there.
 """
 
 from __future__ import annotations
@@ -44,35 +44,40 @@
 from lemonhall.loop import Loop, Stream
 
 log = structlog.get_logger("lemonhall.front")
-AGAIN_S = (0.01, 0.02, 0.05, 0.1, 0.25)  # between tries to reach a decider
-COUNT_S = 0.25
+RECONNECT_DELAYS_S = (0.01, 0.02, 0.05, 0.1, 0.25)  # between attempts to connect to a decider
+COUNTER_INTERVAL_S = 0.25
 
 
 class WorkerProcess:
-    """`seam`: the path at which the decider is; `listener`: the viewers', which all workers share."""
+    """`socket_path`: where the decider listens; `listener`: for viewers, shared by all workers."""
 
     def __init__(
-        self, number: int, family: str, seam: str, listener: socket.socket, control: Channel
+        self, worker_number: int, parent_id: str, socket_path: str, listener: socket.socket, control: Channel
     ) -> None:
-        self.number, self.family, self.seam, self.control = number, family, seam, control
+        self.worker_number, self.parent_id, self.socket_path, self.control = (
+            worker_number,
+            parent_id,
+            socket_path,
+            control,
+        )
         self.loop = control.loop
         self.start, self.start_wall_ms = self.loop.now(), time.time() * 1000
-        self.listed = BoxList()
+        self.server_list = BoxList()
         self.worker: Worker | None = None
-        self.link: MessageConnection | None = None
-        self.told: Counter[str] = Counter()
-        self.tries = 0
-        self.own, self.mean, self.mean_at = 0, 0.0, float("-inf")
+        self.connection: MessageConnection | None = None
+        self.reported_counts: Counter[str] = Counter()
+        self.connect_attempts = 0
+        self.own_viewers, self.mean_viewers, self.mean_received_at = 0, 0.0, float("-inf")
         self.retired = False
-        self.alone = False  # no decider speaks with this one: what plays comes to its end
-        self.ending = False
-        at = listener.getsockname()
-        self.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
-        self.door = SharedListener(self.loop, listener, self.take, self.may_accept)
+        self.incompatible = False  # the decider has another message version: sessions play to their end
+        self.exiting = False
+        address = listener.getsockname()
+        self.host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
+        self.listener = SharedListener(self.loop, listener, self.accept_viewer, self.may_accept)
         self.loop.after_pass.append(self.flush)
         self.loop.on_error = self.on_error
         self.connect()
-        self.loop.call_later(COUNT_S, self.count)
+        self.loop.call_later(COUNTER_INTERVAL_S, self.report_counters)
 
     def now_ms(self) -> float:
         return self.start_wall_ms + (self.loop.now() - self.start) * 1000
@@ -85,133 +90,147 @@
     # viewers
 
     def may_accept(self) -> bool:
-        told_s_ago = self.loop.now() - self.mean_at
-        return self.worker is not None and may_accept(self.own, self.mean, told_s_ago)
+        mean_age_s = self.loop.now() - self.mean_received_at
+        return self.worker is not None and may_accept(self.own_viewers, self.mean_viewers, mean_age_s)
 
-    def take(self, sock: socket.socket, peer: Any) -> None:
+    def accept_viewer(self, sock: socket.socket, peer: Any) -> None:
         assert self.worker
         self.worker.accept(sock, peer)
 
     # the decider
 
     def connect(self) -> None:
-        if self.ending or self.alone:
+        if self.exiting or self.incompatible:
             return
-        link = self.link = MessageConnection(self.heard, self.cut)
-        link.on_connected = self.greet
-        link.stream = Stream.connect(self.loop, self.seam, link, 2.0, high=1 << 20)
+        connection = self.connection = MessageConnection(self.on_message, self.on_disconnected)
+        connection.on_connected = self.send_hello
+        connection.stream = Stream.connect(self.loop, self.socket_path, connection, 2.0, high=1 << 20)
 
-    def greet(self) -> None:
-        assert self.link
-        self.link.send(Hello(VERSION, MIN_VERSION, self.number, os.getpid(), self.family, build_id()))
+    def send_hello(self) -> None:
+        assert self.connection
+        self.connection.send(
+            Hello(VERSION, MIN_VERSION, self.worker_number, os.getpid(), self.parent_id, build_id())
+        )
 
-    def cut(self) -> None:
+    def on_disconnected(self) -> None:
         if self.worker:
             self.worker.cut()
-        wait = AGAIN_S[min(self.tries, len(AGAIN_S) - 1)]
-        self.tries += 1
-        self.loop.call_later(wait, self.connect)
+        delay_s = RECONNECT_DELAYS_S[min(self.connect_attempts, len(RECONNECT_DELAYS_S) - 1)]
+        self.connect_attempts += 1
+        self.loop.call_later(delay_s, self.connect)
 
-    def heard(self, message: Message) -> None:
+    def on_message(self, message: Message) -> None:
         if isinstance(message, Ping):
-            self.own, self.mean, self.mean_at = message.worker_viewers, message.mean_viewers, self.loop.now()
-            self.door.look() if not self.retired else None
-            assert self.link
-            self.link.send(Pong(message.sent_at))
+            self.own_viewers, self.mean_viewers, self.mean_received_at = (
+                message.worker_viewers,
+                message.mean_viewers,
+                self.loop.now(),
+            )
+            self.listener.update() if not self.retired else None
+            assert self.connection
+            self.connection.send(Pong(message.sent_at))
         elif isinstance(message, Configuration):
-            self.configured(message)
+            self.apply_configuration(message)
         elif isinstance(message, ServerListUpdate):
-            self.listed.apply(Update.FromString(message.update))
+            self.server_list.apply(Update.FromString(message.update))
         elif isinstance(message, Welcome):
-            self.welcomed(message)
+            self.on_welcome(message)
         elif isinstance(message, RetireWorker):
             self.retire(message.end_sessions)
         elif self.worker:
             self.worker.heard(message)
 
-    def configured(self, message: Configuration) -> None:
+    def apply_configuration(self, message: Configuration) -> None:
         settings = pickle.loads(message.settings)
         if self.worker is None:
             random = Random(SystemRandom().getrandbits(64))
             wall = time.time
-            self.worker = Worker(self.loop, settings, self.number, self.listed, random, self.now_ms, wall)
-            self.worker.host, self.worker.on_empty = self.host, self.finish
+            self.worker = Worker(
+                self.loop, settings, self.worker_number, self.server_list, random, self.now_ms, wall
+            )
+            self.worker.host, self.worker.on_empty = self.host, self.exit
             if settings.limits.memory:
                 self.worker.watch_memory()
         self.worker.settle(settings, message.workers)
 
-    def welcomed(self, message: Welcome) -> None:
-        self.tries = 0
+    def on_welcome(self, message: Welcome) -> None:
+        self.connect_attempts = 0
         if message.version == 0:
-            log.warning("the decider speaks another version: what plays comes to its end")
-            self.alone = True
+            log.warning("decider has another message version; retiring, sessions play to their end")
+            self.incompatible = True
             self.retire(False)
             return
-        if self.worker is None:  # of another parent before it ever had settings
-            self.finish()
+        if self.worker is None:  # of another parent, and without settings yet
+            self.exit()
             return
-        assert self.link
-        self.worker.linked(self.link, message)
+        assert self.connection
+        self.worker.linked(self.connection, message)
         if not message.takes_viewers:
             self.retire(False)
         elif not self.retired:
-            self.door.open()
+            self.listener.open()
 
-    def count(self) -> None:
-        self.loop.call_later(COUNT_S, self.count)
+    def report_counters(self) -> None:
+        self.loop.call_later(COUNTER_INTERVAL_S, self.report_counters)
         worker = self.worker
         if worker is None or not worker.link:
             return
-        news = tuple((n, float(v - self.told[n])) for n, v in worker.counts.items() if v != self.told[n])
-        if worker.say(WorkerCounters(len(worker.viewers), len(worker.by_id), news)):
-            self.told = Counter(worker.counts)
+        increments = tuple(
+            (n, float(v - self.reported_counts[n]))
+            for n, v in worker.counts.items()
+            if v != self.reported_counts[n]
+        )
+        if worker.say(WorkerCounters(len(worker.viewers), len(worker.by_id), increments)):
+            self.reported_counts = Counter(worker.counts)
 
     def flush(self) -> None:
-        if self.link:
-            self.link.flush()
+        if self.connection:
+            self.connection.flush()
 
-    # the end
+    # shutdown
 
     def retire(self, end: bool) -> None:
-        """Takes no viewers any more. Ends when what it has has ended, or at once, in order."""
+        """Accepts no more viewers. Exits after the last session, or ends all sessions at once (`end`)."""
         if not self.retired:
-            log.info("worker retires", worker=self.number, at_once=end)
+            log.info("worker retires", worker=self.worker_number, at_once=end)
         self.retired = True
-        self.door.close()
+        self.listener.close()
         if self.worker is None:
-            self.finish()
+            self.exit()
         elif end:
             self.worker.stop()
         else:
             self.worker.drain()
 
-    def finish(self) -> None:
-        """Nothing is left."""
-        if self.ending:
+    def exit(self) -> None:
+        """Closes the connection and stops the loop; no session is left."""
+        if self.exiting:
             return
-        self.ending = True
+        self.exiting = True
         self.flush()
-        if self.link and self.link.stream:
-            self.link.stream.close()
+        if self.connection and self.connection.stream:
+            self.connection.stream.close()
         self.loop.call_later(0.05, self.loop.stop)
 
-    def ordered(self, message: dict[str, Any], fds: list[int]) -> None:
-        """The parent's word."""
+    def on_parent_message(self, message: dict[str, Any], fds: list[int]) -> None:
+        """Handles a message of the parent."""
         if "retire" in message:
             self.retire(False)
 
 
-def main(words: list[str]) -> None:
-    given = json.loads(words[0])
-    configure(given["log_format"])
+def main(command_line: list[str]) -> None:
+    arguments = json.loads(command_line[0])
+    configure(arguments["log_format"])
     loop = Loop()
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # of a terminal: the parent hears it as well
-    listener = socket.socket(fileno=given["viewers"])
-    control = Channel(loop, socket.socket(fileno=given["control"]), lambda message, fds: None, lambda: None)
-    carrier = WorkerProcess(given["number"], given["family"], given["seam"], listener, control)
-    control.heard = carrier.ordered
-    control.ended = lambda: carrier.retire(True)  # the parent is gone
-    loop.on_signal(signal.SIGTERM, lambda: carrier.retire(True))
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # from a terminal: the parent handles it
+    listener = socket.socket(fileno=arguments["viewers"])
+    control = Channel(
+        loop, socket.socket(fileno=arguments["control"]), lambda message, fds: None, lambda: None
+    )
+    process = WorkerProcess(arguments["number"], arguments["family"], arguments["seam"], listener, control)
+    control.on_message = process.on_parent_message
+    control.on_closed = lambda: process.retire(True)  # the parent has ended
+    loop.on_signal(signal.SIGTERM, lambda: process.retire(True))
     freeze_garbage_collector()
     loop.run()
 
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -82,7 +82,7 @@
         assert keeper and daemon.membership
         keeper.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
         daemon.membership.close()
-        daemon.decider_queue.heard = lambda message: None
+        daemon.decider_queue.on_message = lambda message: None
         for sock in daemon.listeners:
             self.loop.watch(sock, 0, lambda _: None)
             sock.close()
--- a/tests/front/test_handover.py
+++ b/tests/front/test_handover.py
@@ -1,4 +1,4 @@
-"""Changes of guard on real sockets: media without a gap, one answer each, either dying at each step."""
+"""Handover on real sockets: no gap in the media, one answer per request, either process dying at any step."""
 
 from __future__ import annotations
 
@@ -14,131 +14,142 @@
 from tests.front.harness import TERMS
 from tests.front.process_harness import ProcessHarness
 
-OLD = ("hello", "hand-front", "front-sent", "front-given", "hand", "sent", "given", "over")
-NEW = ("front-unpacked", "front-owned", "front-told", "unpacked", "owned", "told")
-GOES_DOWN_WITH_IT = {"hand-front", "front-sent", "front-given", "hand", "hello"} | {"owned", "told"}
+SOURCE_FAILPOINTS = ("hello", "hand-front", "front-sent", "front-given", "hand", "sent", "given", "over")
+TARGET_FAILPOINTS = ("front-unpacked", "front-owned", "front-told", "unpacked", "owned", "told")
+SESSIONS_LOST_AT = {"hand-front", "front-sent", "front-given", "hand", "hello"} | {"owned", "told"}
 
 
 @pytest.fixture
-def site(tmp_path: Path) -> Iterator[ProcessHarness]:
-    made = ProcessHarness(tmp_path)
-    yield made
-    made.close()
+def harness(tmp_path: Path) -> Iterator[ProcessHarness]:
+    harness = ProcessHarness(tmp_path)
+    yield harness
+    harness.close()
 
 
-def test_sessions_go_over_without_a_gap_and_go_on_as_before(site: ProcessHarness) -> None:
-    site.write_settings("front.kdl", TERMS, store="")
-    old = Daemon(read_settings(site.folder / "front.kdl"), loop=site.loop)
-    at = old.open()
-    site.play_sessions(at, 40)
+def test_sessions_are_handed_over_without_a_gap_and_play_on(harness: ProcessHarness) -> None:
+    harness.write_settings("front.kdl", TERMS, store="")
+    old = Daemon(read_settings(harness.folder / "front.kdl"), loop=harness.loop)
+    address = old.open()
+    harness.play_sessions(address, 40)
     faults: list[Exception] = []
-    new = Daemon(read_settings(site.folder / "front.kdl"), loop=site.loop)
-    site.loop.on_error = faults.append
+    new = Daemon(read_settings(harness.folder / "front.kdl"), loop=harness.loop)
+    harness.loop.on_error = faults.append
     stops: list[bool] = []
-    honest, site.loop.stop = site.loop.stop, lambda: stops.append(True)  # type: ignore[method-assign]
+    loop_stop, harness.loop.stop = harness.loop.stop, lambda: stops.append(True)  # type: ignore[method-assign]
     refused: list[str] = []
     assert old.handover
-    successor = FrontHandoverTarget(new, str(old.handover.path), new.open, refused.append)
-    site.run_until(lambda: stops)
-    site.loop.stop = honest  # type: ignore[method-assign]
+    target = FrontHandoverTarget(new, str(old.handover.path), new.open, refused.append)
+    harness.run_until(lambda: stops)
+    harness.loop.stop = loop_stop  # type: ignore[method-assign]
     assert not refused and not faults
-    assert successor.took == 40 and not old.worker.viewers and not old.worker.by_id and not old.asks.open
-    assert len(new.worker.by_id) == 40 and len(site.open_clients()) == 40
-    site.assert_no_gap(site.open_clients())
+    assert (
+        target.viewers_taken == 40 and not old.worker.viewers and not old.worker.by_id and not old.asks.open
+    )
+    assert len(new.worker.by_id) == 40 and len(harness.open_clients()) == 40
+    harness.assert_no_gap(harness.open_clients())
     assert old.bridge.decider.sessions == {}  # type: ignore[attr-defined]
     assert len(new.bridge.decider.sessions) == 40  # type: ignore[attr-defined]
-    client, session = site.clients[0]
+    client, session = harness.clients[0]
     cseq = client.send("TEARDOWN", "/browse/0", ("Session", session))
-    site.run_until(lambda: client.answers_to(cseq) == [200])
-    site.run_until(lambda: sum(b.count("TEARDOWN") for b in site.scripted_servers) == 1)
-    assert site.start_session(at, "/browse/new")[1] == 200
+    harness.run_until(lambda: client.answers_to(cseq) == [200])
+    harness.run_until(lambda: sum(b.count("TEARDOWN") for b in harness.scripted_servers) == 1)
+    assert harness.start_session(address, "/browse/new")[1] == 200
     assert new.counts["played"] == 1 and not faults
     for daemon in (new,):
         for sock in daemon.listeners:
-            site.loop.watch(sock, 0, lambda _: None)
+            harness.loop.watch(sock, 0, lambda _: None)
             sock.close()
         assert daemon.handover
         daemon.handover.close()
 
 
-def test_a_successor_takes_listeners_sessions_and_ledger(site: ProcessHarness) -> None:
-    old = site.start_front()
-    at = site.serving_address(old)
-    site.play_sessions(at, 10)
-    _, status, claim = site.start_session(at, "/claims/a")
+def test_a_successor_takes_over_listeners_sessions_and_ledger(harness: ProcessHarness) -> None:
+    old = harness.start_front()
+    address = harness.serving_address(old)
+    harness.play_sessions(address, 10)
+    _, status, claim = harness.start_session(address, "/claims/a")
     assert status == 200 and claim
-    new = site.start_front("--replace")
-    assert site.serving_address(new) == at
-    assert site.exit_status(old) == 0
-    assert len(site.open_clients()) == 11
-    site.assert_no_gap(site.open_clients())
-    assert site.start_session(at, "/browse/after")[1] == 200
-    set_ups = sum(b.count("SETUP") for b in site.scripted_servers)
-    assert site.start_session(at, "/claims/a", claim)[1] == 502  # it plays: never again
-    assert sum(b.count("SETUP") for b in site.scripted_servers) == set_ups
-    third = site.start_front("--replace")  # and the next one
-    assert site.serving_address(third) == at
-    assert site.exit_status(new) == 0
-    assert len(site.open_clients()) == 12
-    site.assert_no_gap(site.open_clients())
-
-
-@pytest.mark.parametrize("who,point", [("old", p) for p in OLD] + [("new", p) for p in NEW])
-def test_whoever_dies_at_whatever_step_the_other_goes_on(site: ProcessHarness, who: str, point: str) -> None:
-    dying = ("--die-at", point)
-    old = site.start_front(*(dying if who == "old" else ()))
-    at = site.serving_address(old)
-    site.play_sessions(at, 5)
-    new = site.start_front("--replace", *(dying if who == "new" else ()))
-    dead, left = (old, new) if who == "old" else (new, old)
-    assert site.exit_status(dead) == 9
-    if who == "old":
-        at = site.serving_address(new)  # at its own port if it was never handed the listener
-    while site.start_session(at, "/browse/new")[1] != 200:  # until it has its list
-        site.run_until(lambda: True)
-    assert left.poll() is None
-    alive = site.open_clients()
-    # those go down that were the dead one's: not handed over yet, or handed over for good
-    assert len(alive) == (1 if point in GOES_DOWN_WITH_IT else 6), point
-    site.assert_no_gap(alive)
-
-
-def test_every_point_is_tried() -> None:
-    assert {*OLD, *NEW} == set(FAILPOINTS)
-
-
-def test_a_successor_with_other_terms_is_refused_by_name_and_the_front_goes_on(site: ProcessHarness) -> None:
-    old = site.start_front()
-    at = site.serving_address(old)
-    site.play_sessions(at, 2)
-    site.write_settings("other.kdl", TERMS.replace("places=50", "places=60"))
-    new = site.start_front("--replace", settings="other.kdl")
-    assert site.exit_status(new) == 2
-    assert "places by kind" in (site.folder / "log-1").read_text()
-    assert site.start_session(at, "/browse/new")[1] == 200 and old.poll() is None
-    site.assert_no_gap(site.open_clients())
-
-
-def test_a_successor_whose_settings_are_wrong_never_speaks_to_the_front(site: ProcessHarness) -> None:
-    old = site.start_front()
-    at = site.serving_address(old)
-    site.write_settings("other.kdl", TERMS.replace("places=50", 'places="many"'))
-    assert site.exit_status(site.start_front("--replace", settings="other.kdl")) == 2
-    assert site.start_session(at, "/browse/new")[1] == 200
-
-
-def test_with_nobody_to_relieve_it_starts_as_the_first(site: ProcessHarness) -> None:
-    child = site.start_front("--replace")
-    assert site.start_session(site.serving_address(child), "/browse/a")[1] == 200
-    assert "starting as the first" in (site.folder / "log-0").read_text()
-
-
-def test_a_successor_may_come_with_a_supervisor_of_its_own(site: ProcessHarness) -> None:
-    old = site.start_front()
-    at = site.serving_address(old)
-    site.play_sessions(at, 2)
-    new = site.start_front("--replace", "--supervise")
-    assert site.serving_address(new) == at and site.exit_status(old) == 0
-    site.assert_no_gap(site.open_clients())
+    new = harness.start_front("--replace")
+    assert harness.serving_address(new) == address
+    assert harness.exit_status(old) == 0
+    assert len(harness.open_clients()) == 11
+    harness.assert_no_gap(harness.open_clients())
+    assert harness.start_session(address, "/browse/after")[1] == 200
+    set_ups = sum(b.count("SETUP") for b in harness.scripted_servers)
+    assert (
+        harness.start_session(address, "/claims/a", claim)[1] == 502
+    )  # its claim is playing and must not run again
+    assert sum(b.count("SETUP") for b in harness.scripted_servers) == set_ups
+    third = harness.start_front("--replace")  # a second handover
+    assert harness.serving_address(third) == address
+    assert harness.exit_status(new) == 0
+    assert len(harness.open_clients()) == 12
+    harness.assert_no_gap(harness.open_clients())
+
+
+@pytest.mark.parametrize(
+    "dying_process,failpoint",
+    [("old", p) for p in SOURCE_FAILPOINTS] + [("new", p) for p in TARGET_FAILPOINTS],
+)
+def test_the_other_process_goes_on_if_one_dies_at_any_failpoint(
+    harness: ProcessHarness, dying_process: str, failpoint: str
+) -> None:
+    arguments = ("--die-at", failpoint)
+    old = harness.start_front(*(arguments if dying_process == "old" else ()))
+    address = harness.serving_address(old)
+    harness.play_sessions(address, 5)
+    new = harness.start_front("--replace", *(arguments if dying_process == "new" else ()))
+    killed, survivor = (old, new) if dying_process == "old" else (new, old)
+    assert harness.exit_status(killed) == 9
+    if dying_process == "old":
+        address = harness.serving_address(new)  # its own address if the listener was not handed over
+    while harness.start_session(address, "/browse/new")[1] != 200:  # until it has a server list
+        harness.run_until(lambda: True)
+    assert survivor.poll() is None
+    open_clients = harness.open_clients()
+    # Sessions of the process that died are lost: not handed over yet, or owned by the successor.
+    assert len(open_clients) == (1 if failpoint in SESSIONS_LOST_AT else 6), failpoint
+    harness.assert_no_gap(open_clients)
+
+
+def test_each_failpoint_is_covered() -> None:
+    assert {*SOURCE_FAILPOINTS, *TARGET_FAILPOINTS} == set(FAILPOINTS)
+
+
+def test_a_successor_with_other_terms_is_refused_with_their_names_and_the_front_goes_on(
+    harness: ProcessHarness,
+) -> None:
+    old = harness.start_front()
+    address = harness.serving_address(old)
+    harness.play_sessions(address, 2)
+    harness.write_settings("other.kdl", TERMS.replace("places=50", "places=60"))
+    new = harness.start_front("--replace", settings="other.kdl")
+    assert harness.exit_status(new) == 2
+    assert "places by kind" in (harness.folder / "log-1").read_text()
+    assert harness.start_session(address, "/browse/new")[1] == 200 and old.poll() is None
+    harness.assert_no_gap(harness.open_clients())
+
+
+def test_a_successor_with_invalid_settings_does_not_contact_the_front(harness: ProcessHarness) -> None:
+    old = harness.start_front()
+    address = harness.serving_address(old)
+    harness.write_settings("other.kdl", TERMS.replace("places=50", 'places="many"'))
+    assert harness.exit_status(harness.start_front("--replace", settings="other.kdl")) == 2
+    assert harness.start_session(address, "/browse/new")[1] == 200
+
+
+def test_without_a_running_front_the_successor_starts_as_the_first(harness: ProcessHarness) -> None:
+    process = harness.start_front("--replace")
+    assert harness.start_session(harness.serving_address(process), "/browse/a")[1] == 200
+    assert "starting as the first" in (harness.folder / "log-0").read_text()
+
+
+def test_a_successor_may_run_under_its_own_supervisor(harness: ProcessHarness) -> None:
+    old = harness.start_front()
+    address = harness.serving_address(old)
+    harness.play_sessions(address, 2)
+    new = harness.start_front("--replace", "--supervise")
+    assert harness.serving_address(new) == address and harness.exit_status(old) == 0
+    harness.assert_no_gap(harness.open_clients())
     new.send_signal(signal.SIGTERM)
-    assert site.exit_status(new) == 0
+    assert harness.exit_status(new) == 0
--- a/tests/front/test_handover_states.py
+++ b/tests/front/test_handover_states.py
@@ -1,4 +1,7 @@
-"""Every order of steps of a change of guard, either process dying at each: who owns what, and who serves."""
+"""Model check of a handover: every order of steps, with either process dying at each of them.
+
+Checked: no batch is used by both processes, none is lost unless its owner died, and one process serves.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 import pytest
 
-from lemonhall.front.handover.state_machine import Do, Effect, HandoverSource, HandoverTarget
+from lemonhall.front.handover.state_machine import Action, Effect, HandoverSource, HandoverTarget
 
 
 class Process:
@@ -16,229 +19,244 @@
         self.machine, self.owns, self.serves = machine, owns, serves
         self.alive = True
         self.frozen: set[int] = set()
-        self.todo: list[Effect] = []
+        self.pending: list[Effect] = []
         self.drains = False
         self.inbox: list[tuple[str, int]] = []
-        self.heard_end = False
+        self.saw_peer_end = False
 
 
-class World:
-    """Portions 1 to `portions` are connections; 0 is the front itself. `batons`: those with their byte."""
+class HandoverModel:
+    """Batches 1 to `batches` are connections; 0 is the front. `tokens`: those whose byte is not claimed yet."""
 
     def __init__(
-        self, portions: int, giver: HandoverSource | None = None, taker: HandoverTarget | None = None
+        self, batches: int, source: HandoverSource | None = None, target: HandoverTarget | None = None
     ) -> None:
-        things = set(range(portions + 1))
-        self.old = Process(giver or HandoverSource(), set(things), True)
-        self.new = Process(taker or HandoverTarget(), set(), False)
-        self.portions = portions
-        self.batons: set[int] = set()
-        self.dead: set[int] = set()  # owned by a process that died
+        numbers = set(range(batches + 1))
+        self.old = Process(source or HandoverSource(), set(numbers), True)
+        self.new = Process(target or HandoverTarget(), set(), False)
+        self.batches = batches
+        self.tokens: set[int] = set()
+        self.lost: set[int] = set()  # owned by a process that died
         self.deaths = 1
-        self.slow = 1  # times that the giver may lose patience
-        self.left = False  # one ended in order: relieved, called off, or of no use
-        self.bad = 1  # portions that the successor cannot use
-        self.old.todo = self.old.machine.asked(True)
+        self.timeouts = 1  # how often the source may run into its timeout
+        self.ended_in_order = False  # a process ended after the handover, or because it cannot take over
+        self.unusable = 1  # how many batches the target cannot use
+        self.old.pending = self.old.machine.on_hello(True)
 
     def key(self) -> str:
-        def of(p: Process) -> Any:
-            m = sorted((k, str(v)) for k, v in vars(p.machine).items())
-            todo = [(e.do.name, e.portion) for e in p.todo]
-            flags = (p.serves, p.alive, p.heard_end, p.drains)
-            return (m, sorted(p.owns), sorted(p.frozen), todo, p.inbox, flags)
-
-        rest = (sorted(self.batons), sorted(self.dead), self.deaths, self.slow, self.bad, self.left)
-        return repr((of(self.old), of(self.new), rest))
-
-    def steps(self) -> Iterator[World]:
+        def describe(p: Process) -> Any:
+            fields = sorted((k, str(v)) for k, v in vars(p.machine).items())
+            pending = [(e.action.name, e.batch) for e in p.pending]
+            flags = (p.serves, p.alive, p.saw_peer_end, p.drains)
+            return (fields, sorted(p.owns), sorted(p.frozen), pending, p.inbox, flags)
+
+        rest = (
+            sorted(self.tokens),
+            sorted(self.lost),
+            self.deaths,
+            self.timeouts,
+            self.unusable,
+            self.ended_in_order,
+        )
+        return repr((describe(self.old), describe(self.new), rest))
+
+    def steps(self) -> Iterator[HandoverModel]:
         for name in ("old", "new"):
             process: Process = getattr(self, name)
             if not process.alive:
                 continue
             if self.deaths:
-                yield self.after(World.die, name)
-            if process.todo:
-                yield self.after(World.act, name)
-                continue  # one process does one thing at a time
+                yield self.after(HandoverModel.die, name)
+            if process.pending:
+                yield self.after(HandoverModel.perform, name)
+                continue  # a process does one thing at a time
             if process.inbox:
-                yield self.after(World.hear, name, True)
-                if self.bad and process is self.new and process.inbox[0][0] == "hand":
-                    yield self.after(World.hear, name, False)
+                yield self.after(HandoverModel.receive, name, True)
+                if self.unusable and process is self.new and process.inbox[0][0] == "batch":
+                    yield self.after(HandoverModel.receive, name, False)
             other = self.new if name == "old" else self.old
-            if not other.alive and not process.inbox and not process.heard_end:
-                yield self.after(World.end_heard, name)
-        if self.slow and self.old.alive and not self.old.todo and self.old.machine.out is not None:
-            yield self.after(World.lose_patience)
-
-    def after(self, act: Any, *args: Any) -> World:
-        made = copy.deepcopy(self)
-        act(made, *args)
-        return made
+            if not other.alive and not process.inbox and not process.saw_peer_end:
+                yield self.after(HandoverModel.see_peer_end, name)
+        if (
+            self.timeouts
+            and self.old.alive
+            and not self.old.pending
+            and self.old.machine.pending_batch is not None
+        ):
+            yield self.after(HandoverModel.time_out)
+
+    def after(self, step: Any, *args: Any) -> HandoverModel:
+        successor = copy.deepcopy(self)
+        step(successor, *args)
+        return successor
 
     def die(self, name: str) -> None:
         process: Process = getattr(self, name)
         process.alive = process.serves = False
         self.deaths -= 1
-        self.dead |= process.owns
-        process.owns, process.todo = set(), []
+        self.lost |= process.owns
+        process.owns, process.pending = set(), []
 
-    def end_heard(self, name: str) -> None:
+    def see_peer_end(self, name: str) -> None:
         process: Process = getattr(self, name)
-        process.heard_end = True
-        process.todo += process.machine.gone()
+        process.saw_peer_end = True
+        process.pending += process.machine.on_channel_closed()
 
-    def lose_patience(self) -> None:
-        self.slow -= 1
-        self.old.todo += self.old.machine.answered(self.old.machine.out)
+    def time_out(self) -> None:
+        self.timeouts -= 1
+        self.old.pending += self.old.machine.on_claim_reported(self.old.machine.pending_batch)
 
-    def hear(self, name: str, fine: bool) -> None:
+    def receive(self, name: str, usable: bool) -> None:
         process: Process = getattr(self, name)
-        what, portion = process.inbox.pop(0)
-        if what == "last":
-            process.todo += process.machine.last()
-        elif what == "here":
-            process.todo += process.machine.confirmed()
-        elif what == "hand":
-            self.bad -= not fine
-            process.todo += process.machine.handed(portion, fine)
+        kind, batch = process.inbox.pop(0)
+        if kind == "last":
+            process.pending += process.machine.on_confirmation_requested()
+        elif kind == "here":
+            process.pending += process.machine.on_confirmed()
+        elif kind == "batch":
+            self.unusable -= not usable
+            process.pending += process.machine.on_batch_received(batch, usable)
         else:
-            process.todo += process.machine.answered(portion)
+            process.pending += process.machine.on_claim_reported(batch)
 
-    def act(self, name: str) -> None:
+    def perform(self, name: str) -> None:
         process: Process = getattr(self, name)
         other = self.new if name == "old" else self.old
-        effect = process.todo.pop(0)
-        n, do = effect.portion, effect.do
-        if do is Do.HAND:
-            process.frozen.add(n)
-            self.batons.add(n)
-            other.inbox.append(("hand", n))
-        elif do is Do.TRY:
-            won = n in self.batons
-            self.batons.discard(n)
+        effect = process.pending.pop(0)
+        batch, action = effect.batch, effect.action
+        if action is Action.SEND:
+            process.frozen.add(batch)
+            self.tokens.add(batch)
+            other.inbox.append(("batch", batch))
+        elif action is Action.CLAIM_TOKEN:
+            won = batch in self.tokens
+            self.tokens.discard(batch)
             if won:
-                process.owns.add(n)
+                process.owns.add(batch)
             elif process is self.old:
-                process.owns.discard(n)
-            process.todo += process.machine.tried(n, won)
+                process.owns.discard(batch)
+            process.pending += process.machine.on_token_claimed(batch, won)
             if won and process is self.new:
-                self.old.owns.discard(n)  # frozen there: it does not touch it any more
-        elif do is Do.RESUME:
-            process.frozen.discard(n)
-            if n == 0:
+                self.old.owns.discard(batch)  # it is frozen there and not touched any more
+        elif action is Action.RESUME:
+            process.frozen.discard(batch)
+            if batch == 0:
                 process.owns.add(0)
                 process.serves = True
-        elif do is Do.FORGET:
-            process.frozen.discard(n)
-            process.serves &= n != 0
-        elif do is Do.NEXT:
-            left = sorted(n for n in process.owns if n and n not in process.frozen)
-            process.todo += process.machine.portion() if left else process.machine.nothing_left()
-        elif do is Do.OWN:
-            process.owns.add(n)
-        elif do is Do.SERVE:
+        elif action is Action.RELEASE:
+            process.frozen.discard(batch)
+            process.serves &= batch != 0
+        elif action is Action.PREPARE_NEXT:
+            remaining = sorted(n for n in process.owns if n and n not in process.frozen)
+            process.pending += (
+                process.machine.on_batch_ready() if remaining else process.machine.on_nothing_left()
+            )
+        elif action is Action.START:
+            process.owns.add(batch)
+        elif action is Action.SERVE:
             process.serves = True
             process.owns.add(0)
-        elif do is Do.OVER:
-            process.alive, self.left = False, True
-        elif do in (Do.LAST, Do.HERE):
-            other.inbox.append(("last" if do is Do.LAST else "here", 0))
-        elif do is Do.DRAIN:
+        elif action is Action.FINISH:
+            process.alive, self.ended_in_order = False, True
+        elif action in (Action.ASK_CONFIRMATION, Action.CONFIRM):
+            other.inbox.append(("last" if action is Action.ASK_CONFIRMATION else "here", 0))
+        elif action is Action.DRAIN:
             process.drains = True
-        elif do is Do.TOOK:
-            other.inbox.append(("took", n))
-        elif do is Do.END:
-            process.alive, self.left = False, True
+        elif action is Action.REPORT_CLAIM:
+            other.inbox.append(("claimed", batch))
+        elif action is Action.ABORT:
+            process.alive, self.ended_in_order = False, True
 
-    def wrong(self) -> str:
+    def violation(self) -> str:
         both = self.old.owns & self.new.owns if self.old.alive and self.new.alive else set()
-        working = both - self.old.frozen
-        if working:
-            return f"both own {working}"
+        in_use = both - self.old.frozen
+        if in_use:
+            return f"both own {in_use}"
         return ""
 
-    def wrong_at_rest(self) -> str:
-        """Nothing more can happen of itself."""
+    def violation_at_rest(self) -> str:
+        """Checked when no step is possible except faults."""
         if not self.old.alive and not self.new.alive:
-            return "" if self.left else "nobody is left, though one at most died"
+            return "" if self.ended_in_order else "no process is left, though at most one died"
         if not self.old.serves and not self.new.serves:
-            return "nobody serves"
+            return "no process serves"
         owned = (self.old.owns if self.old.alive else set()) | (self.new.owns if self.new.alive else set())
-        missing = set(range(1, self.portions + 1)) - owned - self.dead
+        missing = set(range(1, self.batches + 1)) - owned - self.lost
         if missing:
-            return f"nobody owns {missing}"
+            return f"no process owns {missing}"
         stuck = self.old.frozen & self.old.owns if self.old.alive else set()
-        return f"frozen for ever {stuck}" if stuck else ""
+        return f"frozen for good {stuck}" if stuck else ""
 
 
-def explore(first: World) -> tuple[int, list[str]]:
-    seen, wrong, todo = set[str](), list[str](), [first]
-    while todo:
-        now = todo.pop()
-        key = now.key()
+def explore(first: HandoverModel) -> tuple[int, list[str]]:
+    """Visits all reachable states. Returns their number and the violations found."""
+    seen, violations, stack = set[str](), list[str](), [first]
+    while stack:
+        state = stack.pop()
+        key = state.key()
         if key in seen:
             continue
         seen.add(key)
-        steps = list(now.steps())
-        resting = all(s.deaths < now.deaths or s.slow < now.slow for s in steps)  # only mishaps are left
-        if why := now.wrong() or (now.wrong_at_rest() if resting else ""):
-            wrong.append(why)
-            if len(wrong) > 5:
+        steps = list(state.steps())
+        at_rest = all(
+            s.deaths < state.deaths or s.timeouts < state.timeouts for s in steps
+        )  # only faults are possible
+        if violation := state.violation() or (state.violation_at_rest() if at_rest else ""):
+            violations.append(violation)
+            if len(violations) > 5:
                 break
-        todo += steps
-    return len(seen), wrong
+        stack += steps
+    return len(seen), violations
 
 
-def test_somebody_serves_and_nothing_is_owned_twice_or_lost_whoever_dies_when() -> None:
-    states, wrong = explore(World(2))
-    assert not wrong, wrong
+def test_one_process_serves_and_no_batch_is_shared_or_lost_whichever_process_dies() -> None:
+    states, violations = explore(HandoverModel(2))
+    assert not violations, violations
     assert states > 300
 
 
-class ForgetsTheBaton(HandoverSource):
-    """Takes a portion back when it loses patience, without asking who has it."""
+class ReclaimsWithoutToken(HandoverSource):
+    """Takes a batch back after the timeout without claiming its token."""
 
-    def answered(self, portion: int) -> list[Effect]:
-        if portion == self.out:
-            self.out = None
-            return [Effect(Do.RESUME, portion)]
+    def on_claim_reported(self, batch: int) -> list[Effect]:
+        if batch == self.pending_batch:
+            self.pending_batch = None
+            return [Effect(Action.RESUME, batch)]
         return []
 
 
-class GivesUpTheFront(HandoverSource):
+class NeverServesAgain(HandoverSource):
     """Does not become the front again when its successor dies."""
 
-    def alone(self) -> list[Effect]:
+    def resume_serving(self) -> list[Effect]:
         return []
 
 
-class KeepsNoCopy(HandoverSource):
-    """Takes its successor's death for the end of the portion that was out."""
+class ForgetsPendingBatch(HandoverSource):
+    """Gives up the batch in progress when its successor dies."""
 
-    def gone(self) -> list[Effect]:
-        self.lost = True
-        self.out = None
-        return self.alone()
+    def on_channel_closed(self) -> list[Effect]:
+        self.channel_closed = True
+        self.pending_batch = None
+        return self.resume_serving()
 
 
-class TakesWithoutBaton(HandoverTarget):
-    """Owns what has come, whether or not the old front has taken it back."""
+class OwnsWithoutToken(HandoverTarget):
+    """Owns every batch it receives, also one that the old front has taken back."""
 
-    def handed(self, portion: int, fine: bool) -> list[Effect]:
-        return self.tried(portion, True) if fine else super().handed(portion, fine)
+    def on_batch_received(self, batch: int, usable: bool) -> list[Effect]:
+        return self.on_token_claimed(batch, True) if usable else super().on_batch_received(batch, usable)
 
 
 @pytest.mark.parametrize(
-    "giver,taker",
+    "source,target",
     [
-        (GivesUpTheFront, HandoverTarget),
-        (KeepsNoCopy, HandoverTarget),
-        (HandoverSource, TakesWithoutBaton),
-        (ForgetsTheBaton, HandoverTarget),
+        (NeverServesAgain, HandoverTarget),
+        (ForgetsPendingBatch, HandoverTarget),
+        (HandoverSource, OwnsWithoutToken),
+        (ReclaimsWithoutToken, HandoverTarget),
     ],
 )
-def test_each_defence_is_missed_when_it_is_taken_away(
-    giver: type[HandoverSource], taker: type[HandoverTarget]
-) -> None:
-    first = World(2, giver(), taker())
+def test_each_safeguard_is_necessary(source: type[HandoverSource], target: type[HandoverTarget]) -> None:
+    first = HandoverModel(2, source(), target())
     assert explore(first)[1]
--- a/tests/front/test_supervisor.py
+++ b/tests/front/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The parent of a front: starts again after a crash, passes signals on, gives up in the end."""
+"""Supervisor of a front: restarts after a crash, forwards signals, gives up after too many crashes."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 import sys
 from pathlib import Path
 
-from lemonhall.front.process.supervisor import CRASHES_MOST, STEADY_S, Restarts, Supervisor
+from lemonhall.front.process.supervisor import MAX_CRASHES, STABLE_RUN_S, Restarts, Supervisor
 from lemonhall.loop import Loop
 
 
-def test_waits_grow_and_end() -> None:
+def test_delays_grow_until_the_supervisor_gives_up() -> None:
     restarts = Restarts()
-    waits = [restarts.after(1.0) for _ in range(CRASHES_MOST + 1)]
-    assert waits[0] == 0.0 and waits[-1] is None
-    steps = [w for w in waits[1:-1] if w is not None]
-    assert steps == sorted(steps) and len(steps) == CRASHES_MOST - 1
-    assert restarts.after(STEADY_S) == 0.0  # a long run forgives
+    delays = [restarts.next_delay(1.0) for _ in range(MAX_CRASHES + 1)]
+    assert delays[0] == 0.0 and delays[-1] is None
+    steps = [w for w in delays[1:-1] if w is not None]
+    assert steps == sorted(steps) and len(steps) == MAX_CRASHES - 1
+    assert restarts.next_delay(STABLE_RUN_S) == 0.0  # a long run resets the count
 
 
 def supervisor(tmp_path: Path, code: str) -> Supervisor:
@@ -26,7 +26,7 @@
     return Supervisor([sys.executable, str(script)], Loop())
 
 
-def test_starts_again_until_the_front_ends_well(tmp_path: Path) -> None:
+def test_restarts_until_the_front_exits_with_success(tmp_path: Path) -> None:
     count = tmp_path / "count"
     code = f"""
 import os, pathlib, signal
@@ -36,23 +36,23 @@
 if n == 0: os.kill(os.getpid(), signal.SIGKILL)
 if n == 1: raise SystemExit(3)
 """
-    kept = supervisor(tmp_path, code)
-    assert kept.run() == 0
-    assert kept.starts == 3 and count.read_text() == "3"
+    supervised = supervisor(tmp_path, code)
+    assert supervised.run() == 0
+    assert supervised.starts == 3 and count.read_text() == "3"
 
 
-def test_bad_input_is_not_tried_again(tmp_path: Path) -> None:
-    kept = supervisor(tmp_path, "raise SystemExit(2)")
-    assert (kept.run(), kept.starts) == (2, 1)
+def test_invalid_input_is_not_retried(tmp_path: Path) -> None:
+    supervised = supervisor(tmp_path, "raise SystemExit(2)")
+    assert (supervised.run(), supervised.starts) == (2, 1)
 
 
-def test_a_front_that_cannot_stay_up_is_given_up(tmp_path: Path) -> None:
-    kept = supervisor(tmp_path, "raise SystemExit(3)")
-    kept.restarts.crashes = CRASHES_MOST - 1
-    assert (kept.run(), kept.starts) == (1, 2)
+def test_a_front_that_keeps_crashing_is_given_up(tmp_path: Path) -> None:
+    supervised = supervisor(tmp_path, "raise SystemExit(3)")
+    supervised.restarts.crashes = MAX_CRASHES - 1
+    assert (supervised.run(), supervised.starts) == (1, 2)
 
 
-def test_signals_go_to_the_front(tmp_path: Path) -> None:
+def test_signals_are_forwarded_to_the_front(tmp_path: Path) -> None:
     ready = tmp_path / "ready"
     code = f"""
 import pathlib, signal, sys
@@ -60,14 +60,14 @@
 pathlib.Path({str(ready)!r}).write_text("x")
 signal.pause()
 """
-    kept = supervisor(tmp_path, code)
+    supervised = supervisor(tmp_path, code)
 
-    def poke() -> None:
+    def terminate_when_ready() -> None:
         if ready.exists():
             os.kill(os.getpid(), signal.SIGTERM)
         else:
-            kept.loop.call_later(0.01, poke)
+            supervised.loop.call_later(0.01, terminate_when_ready)
 
-    kept.on_start = lambda pid: poke()
-    assert kept.run() == 0
-    assert kept.starts == 1 and kept.ending
+    supervised.on_start = lambda pid: terminate_when_ready()
+    assert supervised.run() == 0
+    assert supervised.starts == 1 and supervised.shutting_down
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -46,7 +46,7 @@
 
     def ready() -> bool:
         lines = (site.folder / "log-0").read_text()
-        return lines.count('"decider stands by"') > lines.count('"decider serves"')
+        return lines.count('"standby decider ready"') > lines.count('"decider active"')
 
     site.run_until(ready)
 
@@ -438,7 +438,7 @@
     make_front: Callable[..., FrontHarness], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     w = make_front()
-    monkeypatch.setattr("lemonhall.front.process.local_queue.MOST", 0)
+    monkeypatch.setattr("lemonhall.front.process.local_queue.MAX_QUEUED", 0)
     client, _, cseq = w.send_play("/browse/a")
     w.run_until(lambda: client.answers_to(cseq))
     assert client.answers_to(cseq) == [503] and client.answers[-1].headers.get("Retry-After") == "2"
