--- a/lemonhall/front/process/reader_client.py
+++ b/lemonhall/front/process/reader_client.py
@@ -64,7 +64,7 @@
     def set_timeout(self, within_s: float) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(within_s, self.kill)
+        self.timer = self.loop.call_later(within_s, self.kill_process)
 
     def data(self, view: memoryview) -> None:
         self.buffer += view
@@ -90,7 +90,7 @@
             self.send_job()
         on_result(result)  # may submit another job
 
-    def kill(self) -> None:
+    def kill_process(self) -> None:
         if self.child and self.child.returncode is None:
             self.child.kill()
         if self.stream:
@@ -98,4 +98,4 @@
 
     def stop(self) -> None:
         self.stopped = True
-        self.kill()
+        self.kill_process()
--- a/lemonhall/front/process/supervisor.py
+++ b/lemonhall/front/process/supervisor.py
@@ -57,7 +57,7 @@
     def run(self) -> int:
         """Runs until the front exits with 0 or 2, has to end, or fails too often. Returns the exit status."""
         for number in FORWARDED_SIGNALS:
-            self.loop.on_signal(number, lambda n=number: self.on_signal(n))
+            self.loop.on_signal(number, lambda n=number: self.forward_signal(n))
         self.start()
         self.loop.run()
         self.loop.close()
@@ -70,7 +70,7 @@
         self.loop.on_child(self.child.pid, self.on_exit)
         self.on_start(self.child.pid)
 
-    def on_signal(self, number: int) -> None:
+    def forward_signal(self, number: int) -> None:
         self.shutting_down |= number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
         if self.child:
             os.kill(self.child.pid, number)
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -377,7 +377,7 @@
                 self.decider.signal(signal.SIGKILL)
         self.loop.call_later(TICK_S, self.tick)
 
-    def on_signal(self, number: int) -> None:
+    def forward_signal(self, number: int) -> None:
         """Passes a signal to the decider, which directs its workers; without one, shuts the workers down."""
         self.shutting_down |= number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1)
         if self.decider:
@@ -423,7 +423,7 @@
     def run(self) -> int:
         """Runs until the front has ended. Returns the exit status."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
-            self.loop.on_signal(number, lambda n=number: self.on_signal(n))
+            self.loop.on_signal(number, lambda n=number: self.forward_signal(n))
         self.loop.run()
         self.loop.close()
         return self.exit_status
--- a/lemonhall/front/workers/shared_listener.py
+++ b/lemonhall/front/workers/shared_listener.py
@@ -27,7 +27,7 @@
         self.opened = self.watching = False
         sock.setblocking(False)
 
-    def update(self) -> None:
+    def refresh(self) -> None:
         """Starts or stops watching the listener, as `may_accept` says now."""
         watch_now = self.opened and self.may_accept()
         if watch_now and not self.watching:
@@ -39,7 +39,7 @@
     def on_ready(self, _: int) -> None:
         for count in range(MAX_ACCEPTS_PER_PASS):
             if not self.may_accept():
-                self.update()
+                self.refresh()
                 return
             try:
                 accepted, peer = self.sock.accept()
@@ -61,7 +61,7 @@
 
     def open(self) -> None:
         self.opened = True
-        self.update()
+        self.refresh()
 
     def close(self) -> None:
         """Closes the listener in this process for good; other processes keep theirs."""
--- a/lemonhall/front/workers/worker_connections.py
+++ b/lemonhall/front/workers/worker_connections.py
@@ -95,7 +95,7 @@
 
     # called by the daemon
 
-    def start(self) -> None:
+    def start_accepting(self) -> None:
         accept_on(self.loop, self.listener, self.on_connection)
         self.tick()
 
--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -126,7 +126,7 @@
                 message.mean_viewers,
                 self.loop.now(),
             )
-            self.listener.update() if not self.retired else None
+            self.listener.refresh() if not self.retired else None
             assert self.connection
             self.connection.send(Pong(message.sent_at))
         elif isinstance(message, Configuration):
--- a/tests/front/test_handover_states.py
+++ b/tests/front/test_handover_states.py
@@ -26,7 +26,7 @@
 
 
 class HandoverModel:
-    """Batches 1 to `batches` are connections; 0 is the front. `tokens`: those whose byte is not claimed yet."""
+    """Batches 1 to `batches` are connections; 0 is the front. `tokens`: batches whose token is free."""
 
     def __init__(
         self, batches: int, source: HandoverSource | None = None, target: HandoverTarget | None = None
@@ -198,9 +198,8 @@
             continue
         seen.add(key)
         steps = list(state.steps())
-        at_rest = all(
-            s.deaths < state.deaths or s.timeouts < state.timeouts for s in steps
-        )  # only faults are possible
+        # Only faults are possible.
+        at_rest = all(s.deaths < state.deaths or s.timeouts < state.timeouts for s in steps)
         if violation := state.violation() or (state.violation_at_rest() if at_rest else ""):
             violations.append(violation)
             if len(violations) > 5:
