--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's neighbours: the box list, its cache, peers, the status pages; and the process as a whole."""
+"""The daemon: server list and its cache, peers, status pages, and the process as a whole."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
 Build = Callable[..., FrontHarness]
 
 
-class ListServer:
-    """Answers a GET with whatever bytes it is given, in chunks."""
+class ListService:
+    """Answers a GET request with the bytes that a test passes to `push`, in chunks."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop, self.streams = loop, list[Stream]()
@@ -45,136 +45,136 @@
     def accept(self, sock: socket.socket, _: object) -> None:
         server = self
 
-        class Conn(Handler):
+        class RequestHandler(Handler):
             def data(self, view: memoryview) -> None:
                 server.heads.append(bytes(view))
                 stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 server.streams.append(stream)
 
-        stream = Stream(self.loop, sock, Conn())
+        stream = Stream(self.loop, sock, RequestHandler())
 
     def push(self, data: bytes) -> None:
         for stream in self.streams:
             stream.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
 
-def update(version: int, full: bool, *boxes: tuple[int, int]) -> Update:
-    lines = [Box(id=n, address=f"127.0.0.1:{1000 + n}", state=State.Name(s)) for n, s in boxes]
-    return Update(version=version, full=full, boxes=lines)
+def make_update(version: int, full: bool, *boxes: tuple[int, int]) -> Update:
+    entries = [Box(id=n, address=f"127.0.0.1:{1000 + n}", state=State.Name(s)) for n, s in boxes]
+    return Update(version=version, full=full, boxes=entries)
 
 
-class Listening:
+class ListClientHarness:
     def __init__(self, tmp_path: Path) -> None:
-        self.loop, self.told = Loop(), list[i.Event]()
-        self.server = ListServer(self.loop)
+        self.loop, self.received_events = Loop(), list[i.Event]()
+        self.server = ListService(self.loop)
         self.cache = tmp_path / "list.cache"
-        self.client = self.new()
+        self.client = self.new_client()
 
-    def new(self) -> ListClient:
-        return ListClient(self.loop, self.server.url, str(self.cache), "f0", self.told.append)
+    def new_client(self) -> ListClient:
+        return ListClient(self.loop, self.server.url, str(self.cache), "f0", self.received_events.append)
 
-    def until(self, condition: Callable[[], object]) -> None:
-        over: list[bool] = []
-        timer = self.loop.call_later(5.0, over.append, True)
-        self.loop.run(until=lambda: bool(over) or bool(condition()))
+    def run_until(self, condition: Callable[[], object]) -> None:
+        expired: list[bool] = []
+        timer = self.loop.call_later(5.0, expired.append, True)
+        self.loop.run(until=lambda: bool(expired) or bool(condition()))
         timer.cancel()
         assert condition()
 
 
-def test_lists_are_pushed_cached_and_read_again_after_a_restart(tmp_path: Path) -> None:
-    t = Listening(tmp_path)
-    t.client.start()
-    t.until(lambda: t.server.streams)
-    assert b"User-Agent: lemonhall/f0" in t.server.heads[0]
-    data = delimit(update(5, True, (1, 1), (2, 1))) + delimit(update(6, False, (2, 2), (3, 1)))
-    for at in range(0, len(data), 7):
-        t.server.push(data[at : at + 7])
-    t.server.push(delimit(update(6, False, (1, 0))))  # old news
-    t.server.push(delimit(update(7, False, (1, 0))))
-    t.until(lambda: len(t.told) == 3)
-    kinds = [e.kind for e in t.told if isinstance(e, i.ServerList)]
+def test_lists_are_received_cached_and_restored_after_a_restart(tmp_path: Path) -> None:
+    harness = ListClientHarness(tmp_path)
+    harness.client.start()
+    harness.run_until(lambda: harness.server.streams)
+    assert b"User-Agent: lemonhall/f0" in harness.server.heads[0]
+    data = delimit(make_update(5, True, (1, 1), (2, 1))) + delimit(make_update(6, False, (2, 2), (3, 1)))
+    for offset in range(0, len(data), 7):
+        harness.server.push(data[offset : offset + 7])
+    harness.server.push(delimit(make_update(6, False, (1, 0))))  # already known
+    harness.server.push(delimit(make_update(7, False, (1, 0))))
+    harness.run_until(lambda: len(harness.received_events) == 3)
+    kinds = [e.kind for e in harness.received_events if isinstance(e, i.ServerList)]
     assert kinds == [i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.CHANGES]
-    states = {s.id: s.state for s in t.client.list.servers()}
+    states = {s.id: s.state for s in harness.client.list.servers()}
     assert states == {2: ServerState.DRAINING, 3: ServerState.READY}
-    assert t.client.list.addresses[1] == ("127.0.0.1", 1001)  # attempts may still end there
-    t.until(t.cache.exists)
-    t.told.clear()
-    again = t.new()
-    again.load_cache()
-    (event,) = t.told
+    assert harness.client.list.addresses[1] == ("127.0.0.1", 1001)  # attempts may still be in progress there
+    harness.run_until(harness.cache.exists)
+    harness.received_events.clear()
+    restarted = harness.new_client()
+    restarted.load_cache()
+    (event,) = harness.received_events
     assert isinstance(event, i.ServerList) and event.kind == i.ListKind.CACHED
     assert {s.id for s in event.servers} == {2, 3}
 
 
-def test_a_list_older_than_the_front_leaves_it_unsure_until_it_catches_up() -> None:
-    known = BoxList(born_ms=1000.0)
-    full = update(5, True, (1, 1), (2, 1))
+def test_a_list_older_than_the_front_counts_as_cached_until_it_is_up_to_date() -> None:
+    server_list = BoxList(born_ms=1000.0)
+    full = make_update(5, True, (1, 1), (2, 1))
     full.as_of_ms = 400.0
-    change = update(6, False, (2, 2))
+    change = make_update(6, False, (2, 2))
     change.as_of_ms = 900.0
-    for each in (full, change):
-        event = known.apply(each)
+    for update in (full, change):
+        event = server_list.apply(update)
         assert event and event.kind == i.ListKind.CACHED
-        assert {s.id for s in event.servers} == {1, 2}  # told whole: nothing is dropped by it
-    assert known.apply(update(6, False, (1, 0))) is None
-    event = known.apply(Update(version=6, as_of_ms=1001.0))  # nothing has changed, but it is up to date
+        assert {s.id for s in event.servers} == {1, 2}  # reported as a whole: removes no server
+    assert server_list.apply(make_update(6, False, (1, 0))) is None
+    event = server_list.apply(Update(version=6, as_of_ms=1001.0))  # no change, but up to date
     assert event and event.kind == i.ListKind.CHANGES and event.servers == ()
-    assert known.servers()[1].state == ServerState.DRAINING
+    assert server_list.servers()[1].state == ServerState.DRAINING
 
 
-def test_a_damaged_cache_is_left_and_the_front_starts_without(tmp_path: Path) -> None:
-    t = Listening(tmp_path)
-    t.cache.write_bytes(b"LHBL1\nrubbish that is no list")
-    t.client.load_cache()
-    assert t.told == [] and t.cache.exists()
+def test_a_corrupt_cache_is_ignored_and_kept(tmp_path: Path) -> None:
+    harness = ListClientHarness(tmp_path)
+    harness.cache.write_bytes(b"LHBL1\nrubbish that is no list")
+    harness.client.load_cache()
+    assert harness.received_events == [] and harness.cache.exists()
 
 
-def test_a_lost_list_is_told_and_asked_for_again(tmp_path: Path) -> None:
-    t = Listening(tmp_path)
-    t.client.start()
-    t.until(lambda: t.server.streams)
-    t.server.streams[0].abort()
-    t.until(lambda: t.told)
-    (event,) = t.told
+def test_a_lost_list_connection_is_reported_and_reopened(tmp_path: Path) -> None:
+    harness = ListClientHarness(tmp_path)
+    harness.client.start()
+    harness.run_until(lambda: harness.server.streams)
+    harness.server.streams[0].abort()
+    harness.run_until(lambda: harness.received_events)
+    (event,) = harness.received_events
     assert isinstance(event, i.ServerList) and event.kind == i.ListKind.FAILED
-    t.client.subscribe(i.Subscribe(True))
-    t.until(lambda: len(t.server.streams) == 2)
-    t.server.streams = t.server.streams[1:]
-    t.server.push(b"\xff\xff\xff\xff\xff")  # no list: the connection is given up, not the front
-    t.until(lambda: len(t.told) == 2)
-    t.client.stop()
-
-
-def test_peers_hear_one_another_and_nobody_else() -> None:
-    loop, heard = Loop(), list[Any]()
-    one = Peers(loop, ("127.0.0.1", 0), 1, {}, heard.append)
-    two = Peers(loop, ("127.0.0.1", 0), 2, {1: one.sock.getsockname()}, heard.append)
-    one.peers = {2: two.sock.getsockname()}
-    stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    stranger.sendto(encode(2, b"false"), one.sock.getsockname())
-    two.send(i.TellPeers(b"x" * 256))
-    two.send(i.TellPeers(b"not for you", to=7))
-    over: list[bool] = []
-    loop.call_later(5, over.append, True)
-    loop.run(until=lambda: bool(over) or (len(heard) == 1 and one.strange == 1))
-    assert heard == [i.PeerMessage(2, b"x" * 256)] and one.strange == 1
+    harness.client.subscribe(i.Subscribe(True))
+    harness.run_until(lambda: len(harness.server.streams) == 2)
+    harness.server.streams = harness.server.streams[1:]
+    harness.server.push(b"\xff\xff\xff\xff\xff")  # not a list: only the connection is closed
+    harness.run_until(lambda: len(harness.received_events) == 2)
+    harness.client.stop()
+
+
+def test_peers_accept_messages_from_known_addresses_only() -> None:
+    loop, received = Loop(), list[Any]()
+    first = Peers(loop, ("127.0.0.1", 0), 1, {}, received.append)
+    second = Peers(loop, ("127.0.0.1", 0), 2, {1: first.sock.getsockname()}, received.append)
+    first.peers = {2: second.sock.getsockname()}
+    unknown_peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    unknown_peer.sendto(encode(2, b"false"), first.sock.getsockname())
+    second.send(i.TellPeers(b"x" * 256))
+    second.send(i.TellPeers(b"not for you", to=7))
+    expired: list[bool] = []
+    loop.call_later(5, expired.append, True)
+    loop.run(until=lambda: bool(expired) or (len(received) == 1 and first.strange == 1))
+    assert received == [i.PeerMessage(2, b"x" * 256)] and first.strange == 1
     with pytest.raises(ValueError, match="257 bytes"):
-        two.send(i.TellPeers(b"x" * 257))
-    for peers in (one, two):
+        second.send(i.TellPeers(b"x" * 257))
+    for peers in (first, second):
         peers.close()
-    stranger.close()
+    unknown_peer.close()
 
 
-def test_peer_messages_and_probes_of_the_module_are_carried_out(make_front: Build) -> None:
-    w = make_front()
-    w.module.injected += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
-    w.daemon.bridge.call()
-    w.run_until(lambda: len(w.module.events_of(i.ProbeEnded)) == 2)
-    assert {e.server: e.outcome for e in w.module.events_of(i.ProbeEnded)} == {1: 200, 77: 502}
-    assert w.daemon.bridge.undone == 0
+def test_peer_messages_and_probes_of_the_module_are_performed(make_front: Build) -> None:
+    harness = make_front()
+    harness.module.injected += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
+    harness.daemon.bridge.call()
+    harness.run_until(lambda: len(harness.module.events_of(i.ProbeEnded)) == 2)
+    assert {e.server: e.outcome for e in harness.module.events_of(i.ProbeEnded)} == {1: 200, 77: 502}
+    assert harness.daemon.bridge.undone == 0
 
 
-def test_descriptions_are_asked_for_once_and_only_of_servers_that_may_take_work() -> None:
+def test_descriptions_are_requested_only_from_servers_that_accept_sessions() -> None:
     from random import Random
 
     def server(n: int, state: int = 1, ready_at: float = 0.0) -> i.Server:
@@ -187,30 +187,30 @@
     assert choose([cold, server(4)], 10_000.0, 5000.0, {4}, Random(1)) == 3
 
 
-def test_a_description_is_shared_by_all_who_ask_and_a_failed_one_tried_elsewhere(make_front: Build) -> None:
-    w = make_front()
+def test_a_description_is_shared_by_all_requests_and_retried_at_another_server(make_front: Build) -> None:
+    harness = make_front()
     failed = []
 
-    def fail_first(conn: Any, request: Any) -> None:
-        failed.append(conn.scripted_server)
-        conn.scripted_server.script.clear()
-        for box in w.scripted_servers:
-            box.script.clear()
-        conn.stream.write(make_response(500, request.cseq).encode())
+    def fail_first(connection: Any, request: Any) -> None:
+        failed.append(connection.scripted_server)
+        connection.scripted_server.script.clear()
+        for server in harness.scripted_servers:
+            server.script.clear()
+        connection.stream.write(make_response(500, request.cseq).encode())
 
-    for box in w.scripted_servers:
-        box.script["DESCRIBE"] = fail_first
-    clients = [w.connect_client() for _ in range(5)]
+    for server in harness.scripted_servers:
+        server.script["DESCRIBE"] = fail_first
+    clients = [harness.connect_client() for _ in range(5)]
     for client in clients:
         client.send("DESCRIBE", "/browse/a")
-    w.run_until(lambda: all(c.answers for c in clients))
+    harness.run_until(lambda: all(c.answers for c in clients))
     assert {c.answers[0].status for c in clients} == {200}
-    assert sum(b.count("DESCRIBE") for b in w.scripted_servers) == 2 and len(failed) == 1
+    assert sum(b.count("DESCRIBE") for b in harness.scripted_servers) == 2 and len(failed) == 1
     assert b"trackID=0" in clients[0].answers[0].body
-    for box in w.scripted_servers:
-        box.script["DESCRIBE"] = lambda conn, request: conn.reply(request, 404)
+    for server in harness.scripted_servers:
+        server.script["DESCRIBE"] = lambda connection, request: connection.reply(request, 404)
     cseq = clients[0].send("DESCRIBE", "/browse/missing")
-    w.run_until(lambda: clients[0].answers_to(cseq) == [404])
+    harness.run_until(lambda: clients[0].answers_to(cseq) == [404])
 
 
 def get(address: tuple[str, int], path: str) -> tuple[int, str]:
@@ -224,14 +224,14 @@
 
 
 class Process:
-    """`lemonhall serve` as operators start it."""
+    """`lemonhall serve`, as operators start it."""
 
-    def __init__(self, folder: Path, front: str, *words: str, file_bytes: int = 0) -> None:
-        """`file_bytes`: no file of the process grows beyond that (setrlimit(2), RLIMIT_FSIZE)."""
+    def __init__(self, folder: Path, front: str, *arguments: str, file_bytes: int = 0) -> None:
+        """`file_bytes`: limit on the size of the process's files (setrlimit(2), RLIMIT_FSIZE)."""
         path = folder / "front.kdl"
         path.write_text(TERMS + front)
         self.popen = subprocess.Popen(
-            [sys.executable, "-m", "lemonhall", "--log-format", "json", "serve", str(path), *words],
+            [sys.executable, "-m", "lemonhall", "--log-format", "json", "serve", str(path), *arguments],
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             text=True,
@@ -245,7 +245,7 @@
         return host, int(port)
 
 
-def test_the_process_serves_tells_of_itself_and_stops_on_a_signal(tmp_path: Path) -> None:
+def test_the_process_serves_shows_its_status_and_stops_on_a_signal(tmp_path: Path) -> None:
     status = free_port()
     front = f'front "f0" hall="hall-a" listen="127.0.0.1:0" status="127.0.0.1:{status}" {{\n}}\n'
     process = Process(tmp_path, front)
@@ -265,41 +265,41 @@
     assert [e for e in events if e != "phase"][0] == "serving" and "stopping" in events
 
 
-def test_a_disk_that_is_full_at_the_start_costs_paid_sessions_alone(tmp_path: Path) -> None:
-    """Where a store was begun; where none could be, the start ends and names the folder."""
+def test_a_full_disk_at_the_start_affects_paid_sessions_only(tmp_path: Path) -> None:
+    """If a store exists. If none can be created, the start fails and names the folder."""
     front = f'front "f0" hall="hall-a" listen="127.0.0.1:0" {{\n store "{tmp_path / "kept"}"\n}}\n'
-    said = "store cannot be written, no paid sessions"
+    expected = "store cannot be written, no paid sessions"
     for full in (False, True):
         process = Process(tmp_path, front, file_bytes=4096 if full else 0)
         process.serving()
         assert process.popen.stderr
-        late = Timer(20, process.popen.kill)
-        late.start()
+        kill_timer = Timer(20, process.popen.kill)
+        kill_timer.start()
         if full:
-            assert any(said in line for line in process.popen.stderr)
-        late.cancel()
+            assert any(expected in line for line in process.popen.stderr)
+        kill_timer.cancel()
         process.popen.terminate()
         _, errors = process.popen.communicate(timeout=20)
-        assert process.popen.returncode == 0 and (full or said not in errors)
+        assert process.popen.returncode == 0 and (full or expected not in errors)
     process = Process(tmp_path, front.replace("kept", "new"), file_bytes=4096)
     _, errors = process.popen.communicate(timeout=20)
     assert process.popen.returncode == 2 and str(tmp_path / "new") in errors
 
 
 @pytest.mark.parametrize(
-    ("front", "said"),
+    ("front", "expected"),
     [
         ('front "f0" hall="hall-z" listen="127.0.0.1:0" {\n}\n', '"hall-z" is no hall'),
         ('front "f0" hall="hall-a" listen="192.0.2.1:9" {\n}\n', "cannot listen"),
     ],
 )
-def test_settings_that_cannot_be_served_exit_2(tmp_path: Path, front: str, said: str) -> None:
+def test_settings_that_cannot_be_served_exit_2(tmp_path: Path, front: str, expected: str) -> None:
     process = Process(tmp_path, front)
     _, errors = process.popen.communicate(timeout=20)
-    assert process.popen.returncode == 2 and said in errors
+    assert process.popen.returncode == 2 and expected in errors
 
 
-def test_another_module_must_be_one(tmp_path: Path) -> None:
+def test_a_module_without_a_front_class_is_rejected(tmp_path: Path) -> None:
     other = tmp_path / "other.py"
     other.write_text("x = 1\n")
     front = 'front "f0" hall="hall-a" listen="127.0.0.1:0" {\n}\n'
@@ -308,18 +308,18 @@
     assert process.popen.returncode == 2 and "defines no Front" in errors
 
 
-def test_a_front_writes_what_was_asked_for_the_model(make_front: Build, tmp_path: Path) -> None:
+def test_a_front_records_its_requests_for_the_model(make_front: Build, tmp_path: Path) -> None:
     from lemonhall.config.day import read_day
     from lemonhall.front.keeping.record import Recorder
     from lemonhall.model.record import wishes_of
 
-    w = make_front()
-    recorder = w.daemon.asks.recorder = Recorder(tmp_path / "asked.parquet", w.settings, 0.0)
-    client, session = w.play_session("/browse/title-7")
-    w.run_for(0.1)
+    harness = make_front()
+    recorder = harness.daemon.asks.recorder = Recorder(tmp_path / "asked.parquet", harness.settings, 0.0)
+    client, session = harness.play_session("/browse/title-7")
+    harness.run_for(0.1)
     cseq = client.send("TEARDOWN", "/browse/title-7", ("Session", session))
-    w.run_until(lambda: client.answers_to(cseq))
-    w.play_session("/claims/title-3", client=w.connect_client())
+    harness.run_until(lambda: client.answers_to(cseq))
+    harness.play_session("/claims/title-3", client=harness.connect_client())
     recorder.stop()
     day = tmp_path / "day.kdl"
     rest = (
@@ -327,21 +327,24 @@
         'fleet { box "a" kind="box" hall="hall-a" rack=0; }\ntraffic { }\n'
     )
     day.write_text(TERMS + rest)
-    asked = wishes_of(read_day(day), tmp_path / "asked-0.parquet")
-    assert [(w.cls, w.path, w.title) for w in asked] == [(1, "/browse/", 7), (0, "/claims/", 3)]
-    assert 50 < asked[0].length_ms < 5000 and asked[1].length_ms == asked[0].length_ms
-
-
-def test_viewers_of_a_front_that_drains_are_shown_another_and_play_on(make_front: Build) -> None:
-    w = make_front()
-    client, session = w.play_session("/browse/a")
-    w.daemon.settings = replace(w.daemon.settings, drain_to="192.0.2.7:554")
-    w.daemon.drain()
-    w.run_until(lambda: any(isinstance(h, Request) for h in client.received))
-    asked = next(h for h in client.received if isinstance(h, Request))
-    assert asked.method == "REDIRECT" and asked.session == session
-    assert asked.headers.get("Location") == "rtsp://192.0.2.7:554/browse/a"
-    client.stream.write(f"RTSP/1.0 200 OK\r\nCSeq: {asked.cseq}\r\nSession: {session}\r\n\r\n".encode())
-    had = len(client.media)
-    w.playing_server().connections[-1].media()
-    w.run_until(lambda: len(client.media) > had)
+    recorded = wishes_of(read_day(day), tmp_path / "asked-0.parquet")
+    assert [(wish.cls, wish.path, wish.title) for wish in recorded] == [
+        (1, "/browse/", 7),
+        (0, "/claims/", 3),
+    ]
+    assert 50 < recorded[0].length_ms < 5000 and recorded[1].length_ms == recorded[0].length_ms
+
+
+def test_viewers_of_a_draining_front_are_redirected_and_play_on(make_front: Build) -> None:
+    harness = make_front()
+    client, session = harness.play_session("/browse/a")
+    harness.daemon.settings = replace(harness.daemon.settings, drain_to="192.0.2.7:554")
+    harness.daemon.drain()
+    harness.run_until(lambda: any(isinstance(h, Request) for h in client.received))
+    redirect = next(h for h in client.received if isinstance(h, Request))
+    assert redirect.method == "REDIRECT" and redirect.session == session
+    assert redirect.headers.get("Location") == "rtsp://192.0.2.7:554/browse/a"
+    client.stream.write(f"RTSP/1.0 200 OK\r\nCSeq: {redirect.cseq}\r\nSession: {session}\r\n\r\n".encode())
+    before = len(client.media)
+    harness.playing_server().connections[-1].media()
+    harness.run_until(lambda: len(client.media) > before)
