--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -71,7 +71,7 @@
     """Fetches /metrics from the status address."""
 
     def __init__(self, harness: ProcessHarness, port: str) -> None:
-        self.text, self.closed = b"", False
+        self.text, self.finished = b"", False
         self.stream = Stream.connect(harness.loop, ("127.0.0.1", int(port.rpartition(":")[2])), self, 5.0)
 
     def connected(self) -> None:
@@ -81,17 +81,17 @@
         self.text += view
 
     def closed(self, reason: str) -> None:
-        self.closed = True
+        self.finished = True
 
 
 def fetch_metrics(harness: ProcessHarness, port: str) -> str:
     request = PageRequest(harness, port)
-    while not request.closed:
+    while not request.finished:
         harness.loop.run_once()
     return request.text.decode()
 
 
-def send_play(
+def request_play(
     harness: ProcessHarness, address: tuple[str, int], path: str, claim: str = ""
 ) -> tuple[Client, int]:
     """Sends SETUP and PLAY. Returns the viewer and the CSeq of PLAY."""
@@ -155,10 +155,10 @@
     front = harness.start_front("--die-at", point)
     address = harness.serving_address(front)
     wait_for_standby(harness)
-    client, cseq = send_play(harness, address, "/claims/a")
+    client, cseq = request_play(harness, address, "/claims/a")
     harness.run_until(lambda: client.answers_to(cseq))
     assert client.answers_to(cseq) == [200] and set_up_count(harness) == 1
-    again = send_play(harness, address, "/claims/a", client.answers[0].headers.get("X-Claim"))
+    again = request_play(harness, address, "/claims/a", client.answers[0].headers.get("X-Claim"))
     harness.run_until(lambda: again[0].answers_to(again[1]))
     assert again[0].answers_to(again[1]) == [502] and set_up_count(harness) == 1
     client.stream.abort()
@@ -187,7 +187,7 @@
     address = harness.serving_address(front)
     pending = hold_set_ups(harness)
     wait_for_standby(harness)
-    client, cseq = send_play(harness, address, "/claims/a")
+    client, cseq = request_play(harness, address, "/claims/a")
     harness.run_until(lambda: pending)
     os.kill(decider_pid(front.pid), signal.SIGKILL)
     answer_set_up(*pending[0], status)
@@ -202,7 +202,7 @@
     address = harness.serving_address(front)
     pending = hold_set_ups(harness)
     wait_for_standby(harness)
-    client, cseq = send_play(harness, address, "/claims/a")
+    client, cseq = request_play(harness, address, "/claims/a")
     harness.run_until(lambda: pending)
     os.kill(decider_pid(front.pid), signal.SIGKILL)
     for server in harness.scripted_servers:
@@ -220,7 +220,7 @@
     harness.play_sessions(address, 4)
     pid = decider_pid(front.pid)
     os.kill(pid, signal.SIGSTOP)
-    waiting = [send_play(harness, address, f"/{kind}/w") for kind in ("browse", "claims", "browse")]
+    waiting = [request_play(harness, address, f"/{kind}/w") for kind in ("browse", "claims", "browse")]
     harness.run_until(lambda: all(c.answers_to(n) for c, n in waiting))
     assert {s for c, n in waiting for s in c.answers_to(n)} <= {503, 504}
     assert [len(c.answers_to(n)) for c, n in waiting] == [1, 1, 1]
@@ -241,7 +241,7 @@
     harness.play_sessions(address, 16)
     killed, surviving = worker_pids(front.pid)
     pending = hold_set_ups(harness)
-    client, cseq = send_play(harness, address, "/claims/a")
+    client, cseq = request_play(harness, address, "/claims/a")
     harness.run_until(lambda: pending)
     os.kill(killed, signal.SIGKILL)
     harness.run_until(lambda: len(harness.open_clients()) < 16 and len(worker_pids(front.pid)) == 2)
@@ -259,7 +259,7 @@
         harness.run_until(lambda: client.answers_to(cseq))
         assert len(client.answers_to(cseq)) == 1
         client.stream.abort()
-    again = send_play(harness, address, "/claims/a", token)
+    again = request_play(harness, address, "/claims/a", token)
     harness.run_until(lambda: again[0].answers_to(again[1]))
     assert again[0].answers_to(again[1]) == [502]  # it may have run
     again[0].stream.abort()
@@ -274,7 +274,7 @@
     stopped = worker_pids(front.pid)[0]
     os.kill(stopped, signal.SIGSTOP)
     # Accepted by the worker that is running.
-    clients = [send_play(harness, address, f"/browse/s{n}") for n in range(4)]
+    clients = [request_play(harness, address, f"/browse/s{n}") for n in range(4)]
     harness.run_until(lambda: all(c.answers_to(n) == [200] for c, n in clients))
     harness.run_until(lambda: stopped not in worker_pids(front.pid) and len(worker_pids(front.pid)) == 2)
     assert harness.start_session(address, "/browse/after")[1] == 200
@@ -287,7 +287,7 @@
     front = harness.start_front()
     address = harness.serving_address(front)
     pending = hold_set_ups(harness)
-    client, cseq = send_play(harness, address, "/claims/a")
+    client, cseq = request_play(harness, address, "/claims/a")
     harness.run_until(lambda: pending)
     (pid,) = worker_pids(front.pid)
     os.kill(pid, signal.SIGSTOP)
@@ -298,7 +298,7 @@
     harness.run_until(lambda: client.answers_to(cseq))
     answer_set_up(*pending[0])
     assert len(client.answers_to(cseq)) == 1 and client.answers_to(cseq)[0] != 200
-    again = send_play(harness, address, "/claims/a", client.answers[0].headers.get("X-Claim"))
+    again = request_play(harness, address, "/claims/a", client.answers[0].headers.get("X-Claim"))
     harness.run_until(lambda: again[0].answers_to(again[1]))
     assert again[0].answers_to(again[1]) == [502] and set_up_count(harness) == 1
     client.stream.abort()
