--- a/lemonhall/front/__init__.py
+++ b/lemonhall/front/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: viewers' and servers' connections, sessions, the list, peers, round the decision module."""
+"""The session front: connections of viewers and servers, sessions, and what surrounds the decision module."""
--- a/lemonhall/front/handover/__init__.py
+++ b/lemonhall/front/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Change of guard: a successor takes a front over, with all that plays there."""
+"""Handover of a running front to a successor process, with its sessions."""
--- a/lemonhall/front/handover/endpoint.py
+++ b/lemonhall/front/handover/endpoint.py
@@ -67,7 +67,7 @@
 
     def open_listener(self) -> None:
         """Binds the path. A file that exists there was left by an earlier process: a front that still served
-        would have answered, and this process would not have come so far."""
+        would have answered, and this process would not have reached this point."""
         self.path.unlink(missing_ok=True)
         self.listener = listen(self.loop, str(self.path), self.on_connection)
         self.path.chmod(0o600)
--- a/lemonhall/front/process/__init__.py
+++ b/lemonhall/front/process/__init__.py
@@ -1,1 +1,1 @@
-"""The front as processes: wiring, start and stop, supervision, the status pages."""
+"""The front as a process: wiring, start and stop, supervision, status pages."""
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -82,7 +82,10 @@
 
 @dataclass
 class InheritedSockets:
-    """Sockets opened before this process: by the front that it replaces, or by its parent."""
+    """Sockets opened before this process, by the front that it replaces or by its parent.
+
+    From a front that is replaced come also the lock of its store and the message with its state.
+    """
 
     viewers: socket.socket | None = None
     status: socket.socket | None = None
@@ -152,9 +155,8 @@
         pools, listed = self.asks.pools, self.list.list
         pools.version, pools.servers = lambda: listed.version, listed.by_address
         self.path, self.settings_tree = "", b""
-        self.on_settings_changed: Callable[[bytes], object] = lambda tree: (
-            None
-        )  # called with new settings that were accepted
+        # Called with settings that were accepted in a reload.
+        self.on_settings_changed: Callable[[bytes], object] = lambda tree: None
         self.stopping = self.draining = False
         self.peers: Peers | None = None
         self.membership: Membership | None = None
@@ -331,11 +333,11 @@
     def open_handover(self) -> None:
         """Overridden where the front can be handed over to a successor."""
 
-    def welcome(self, version: int = VERSION, mine: bool = True) -> Welcome:
+    def welcome(self, version: int = VERSION, takes_viewers: bool = True) -> Welcome:
         """The first message to a worker."""
         ledger = self.keeper.ledger if self.keeper else None
         store, pruned_s = (ledger.store, ledger.pruned_s) if ledger else (0, 0)
-        return Welcome(version, self.settings.index, store, pruned_s, mine)
+        return Welcome(version, self.settings.index, store, pruned_s, takes_viewers)
 
     def broadcast(self, message: Message) -> None:
         if self.workers:
--- a/lemonhall/front/process/subsystems.py
+++ b/lemonhall/front/process/subsystems.py
@@ -130,7 +130,7 @@
 
     def open_zones(self) -> None:
         """Starts the zones' state machine with its stored shares; without a store it asks peers for them."""
-        kept = self.front.keeper.load_halls() if self.front.keeper else None
+        stored = self.front.keeper.load_halls() if self.front.keeper else None
         settings, now = self.front.settings, self.front.now_ms()
         machine = Halls(
             Plan.of(settings.terms),
@@ -140,8 +140,8 @@
             int(self.front.wall() * 1000),
             Random(settings.seed),
             now,
-            remembers=kept is not None,
-            kept=kept or b"",
+            remembers=stored is not None,
+            kept=stored or b"",
         )
         driver = self.front.asks.halls = HallsDesk(
             self.front.loop,
@@ -202,9 +202,9 @@
             driver.view(self.front.membership.machine.view(), False)
         driver.start()
 
-    def on_limit_note(self, text: str, ask: int) -> None:
+    def on_limit_note(self, text: str, request_id: int) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "limits", text, ask)
+            self.front.capture.word(self.front.now_ms(), "limits", text, request_id)
 
     def stop(self) -> None:
         """Stops the state machines: they send and write nothing more."""
--- a/lemonhall/front/workers/__init__.py
+++ b/lemonhall/front/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers in processes of their own: the parent that keeps them and the decider, and their links."""
+"""Worker processes of a front: parent, worker, and the decider's connections to its workers."""
--- a/lemonhall/ipc/accept_policy.py
+++ b/lemonhall/ipc/accept_policy.py
@@ -16,6 +16,6 @@
 
     `own_viewers` and `mean_viewers` are counts of the same moment, so that a worker is not considered too
     full because it has accepted many viewers since. A mean older than `stale_s` does not apply: viewers must
-    not be kept out because the decider is gone.
+    not be refused because the decider has ended.
     """
     return mean_age_s > stale_s or own_viewers <= mean_viewers * (1 + MEAN_TOLERANCE) + MEAN_SLACK_VIEWERS
--- a/lemonhall/ipc/request_state.py
+++ b/lemonhall/ipc/request_state.py
@@ -4,12 +4,12 @@
 outlives its decider and may lose its connection to a decider that is still running. Therefore each step is
 bound to the connection over which it was allowed:
 
-    unreported  no decider has the request: none is connected, or the one that had it is gone
+    unreported  no decider has the request: none is connected, or the one that had it has ended
     reported    the decider has the request; no attempt is in progress
     connecting  an attempt is connecting; its request may not be sent yet
     sent        its request may be sent: from here on it may have run
     playing     the viewer has been answered and media flow
-    closed      the viewer has been answered, or nobody waits for an answer
+    closed      the viewer has been answered, or waits no longer
 
 When the connection is lost, an attempt that is *connecting* is dropped: nothing of it has been sent, and the
 next decider is told so. One that is *sent* continues by itself: either it starts to play, or its end is
--- a/tests/front/conftest.py
+++ b/tests/front/conftest.py
@@ -16,38 +16,38 @@
 
 @pytest.fixture
 def make_front(tmp_path: Path) -> Iterator[Callable[..., FrontHarness]]:
-    made: list[FrontHarness] = []
+    fronts: list[FrontHarness] = []
 
     def build(**options: Any) -> FrontHarness:
-        made.append(FrontHarness(tmp_path, **options))
-        return made[-1]
+        fronts.append(FrontHarness(tmp_path, **options))
+        return fronts[-1]
 
     yield build
-    for each in made:
-        each.close()
+    for front in fronts:
+        front.close()
 
 
 @pytest.fixture
 def reloaded(
     make_front: Build, tmp_path: Path
 ) -> Callable[[str], tuple[FrontHarness, Callable[[str], bool]]]:
-    """A world, and what loads other terms into it: whether they were taken."""
+    """A front, and a function that reloads it with other terms and returns whether they were accepted."""
 
     def build(terms: str) -> tuple[FrontHarness, Callable[[str], bool]]:
-        w = make_front(terms=terms)
+        front = make_front(terms=terms)
         path = tmp_path / "front.kdl"
-        w.daemon.remember_settings(str(path), pickle.dumps(read_tree(path, SETTINGS)[1]))
+        front.daemon.remember_settings(str(path), pickle.dumps(read_tree(path, SETTINGS)[1]))
 
-        def load(other: str) -> bool:
-            text = path.read_text().replace(terms, other)
+        def load(new_terms: str) -> bool:
+            text = path.read_text().replace(terms, new_terms)
             path.write_text(text)
-            ended: list[bool] = []
-            w.daemon.hooks.on_load = ended.append
-            w.daemon.reload()
-            w.run_until(lambda: ended, 30)
-            path.write_text(text.replace(other, terms))
-            return ended[0]
-
-        return w, load
+            results: list[bool] = []
+            front.daemon.hooks.on_load = results.append
+            front.daemon.reload()
+            front.run_until(lambda: results, 30)
+            path.write_text(text.replace(new_terms, terms))
+            return results[0]
+
+        return front, load
 
     return build
