--- a/lemonhall/front/handover/state_machine.py
+++ b/lemonhall/front/handover/state_machine.py
@@ -42,6 +42,8 @@
 
 
 class HandoverSource:
+    """The front that is replaced. Each method handles an event and returns the effects to perform."""
+
     def __init__(self) -> None:
         self.pending_batch: int | None = None  # batch sent, owner not known yet
         self.channel_closed = False  # the successor has ended
@@ -107,6 +109,8 @@
 
 
 class HandoverTarget:
+    """The successor. Each method handles an event and returns the effects to perform."""
+
     def __init__(self) -> None:
         self.serving = False
         self.ended = False
--- a/lemonhall/front/process/status_pages.py
+++ b/lemonhall/front/process/status_pages.py
@@ -47,6 +47,8 @@
 
 
 class StatusPages:
+    """Handlers of the status pages, and a Prometheus collector of the front's counters."""
+
     def __init__(self, front: Front) -> None:
         self.front = front
         self.registry = prom.CollectorRegistry()
--- a/lemonhall/front/process/status_server.py
+++ b/lemonhall/front/process/status_server.py
@@ -17,6 +17,8 @@
 
 
 class StatusConnection(Handler):
+    """One HTTP connection; it is closed after one response, or after `CONNECTION_TIMEOUT_S`."""
+
     def __init__(
         self, loop: Loop, sock: socket.socket, pages: dict[str, Page], commands: dict[str, Command]
     ) -> None:
--- a/lemonhall/front/process/subsystems.py
+++ b/lemonhall/front/process/subsystems.py
@@ -56,6 +56,8 @@
 
 
 class Subsystems:
+    """Creates the state machines of a front, connects them to their drivers, and stops them."""
+
     def __init__(self, front: Front) -> None:
         self.front = front
 
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -88,6 +88,8 @@
 
 
 class Parent:
+    """Keeps the standby, the active decider and the workers running. `path`: of the settings file."""
+
     def __init__(self, path: Path, settings: FrontSettings, log_format: str, module: str, loop: Loop) -> None:
         self.path, self.settings, self.log_format, self.module = path, settings, log_format, module
         self.loop = loop
--- a/lemonhall/ipc/messages.py
+++ b/lemonhall/ipc/messages.py
@@ -32,6 +32,8 @@
 
 
 class Message:
+    """Base of all messages; their fields are encoded in the order of their declaration."""
+
     __slots__ = ()
     KIND: ClassVar[int] = 0
     FIELD_CODES: ClassVar[str] = ""
--- a/lemonhall/ipc/send_queue.py
+++ b/lemonhall/ipc/send_queue.py
@@ -23,6 +23,8 @@
 
 
 class SendQueue:
+    """Encoded messages of one direction of one connection, until they are written."""
+
     def __init__(self, high_bytes: int = HIGH_BYTES, limit_bytes: int = LIMIT_BYTES) -> None:
         self.high_bytes, self.limit_bytes = high_bytes, limit_bytes
         self.encoded: list[bytes] = []
--- a/tests/front/test_handover.py
+++ b/tests/front/test_handover.py
@@ -76,9 +76,8 @@
     harness.assert_no_gap(harness.open_clients())
     assert harness.start_session(address, "/browse/after")[1] == 200
     set_ups = sum(b.count("SETUP") for b in harness.scripted_servers)
-    assert (
-        harness.start_session(address, "/claims/a", claim)[1] == 502
-    )  # its claim is playing and must not run again
+    # The claim is playing and must not run again.
+    assert harness.start_session(address, "/claims/a", claim)[1] == 502
     assert sum(b.count("SETUP") for b in harness.scripted_servers) == set_ups
     third = harness.start_front("--replace")  # a second handover
     assert harness.serving_address(third) == address
