--- a/lemonhall/capture/snapshot.py
+++ b/lemonhall/capture/snapshot.py
@@ -30,6 +30,45 @@
 }
 
 
+# Snapshots of earlier versions hold earlier names of classes, handlers and attributes. They are translated
+# while a snapshot is read; new snapshots hold present names only. An earlier name must not get a new meaning.
+RENAMED_CLASSES: dict[tuple[str, str], str] = {
+    (interface.__name__, "Because"): "ReasonCode",
+    (interface.__name__, "Learned"): "LearnedServerState",
+    (interface.__name__, "Memory"): "LearnedState",
+    (interface.__name__, "Advised"): "AdviceChanged",
+    (interface.__name__, "Fleet"): "FleetChanged",
+    (interface.__name__, "TellPeers"): "SendToPeers",
+    (interface.__name__, "Remark"): "LogMessage",
+}
+RENAMED_HANDLERS: dict[str, str] = {}
+RENAMED_ATTRIBUTES: dict[type, dict[str, str]] = {
+    interface.Settings: {
+        "links_kb": "all_links_kb",
+        "weights_tell_size": "weights_are_sizes",
+        "told_late_ms": "report_delay_ms",
+        "may_tell_peers": "may_message_peers",
+        "warm_within_ms": "warm_up_ms",
+        "cross_cost": "cross_zone_cost",
+    },
+    interface.NewSession: {"again": "repeated"},
+    interface.Reason: {"because": "code"},
+    interface.LearnedServerState: {
+        "evidence": "failure_score",
+        "barred_until": "ejected_until",
+        "others_kb": "other_fronts_kb",
+        "heard_at": "updated_at",
+    },
+    interface.LearnedState: {
+        "at": "recorded_at",
+        "length_ms": "mean_session_ms",
+        "ends": "sessions_ended",
+        "set_up_ms": "mean_set_up_ms",
+        "set_up_spread": "set_up_deviation_ms",
+    },
+}
+
+
 class BadSnapshot(ValueError):
     """Bytes that are no snapshot of the module, or of another version of it."""
 
@@ -38,7 +77,28 @@
     """One of the module's own handlers of events."""
     if not isinstance(owner, decide.Front) or not name.startswith("on_"):
         raise BadSnapshot(f"no handler of the module: {name}")
-    return getattr(owner, name)
+    return getattr(owner, RENAMED_HANDLERS.get(name, name))
+
+
+def rename_attributes(root: Any) -> None:
+    """Gives the attributes of all objects reachable from `root` their present names."""
+    seen, pending = set[int](), [root]
+    while pending:
+        value = pending.pop()
+        if id(value) in seen:
+            continue
+        seen.add(id(value))
+        if isinstance(value, dict):
+            pending += [*value.keys(), *value.values()]
+        elif isinstance(value, list | tuple | set | frozenset | deque):
+            pending += value
+        elif type(value).__module__ in (decide.__name__, interface.__name__) and not isinstance(value, Enum):
+            attributes = vars(value)
+            if renamed := RENAMED_ATTRIBUTES.get(type(value)):
+                present = {renamed.get(name, name): each for name, each in attributes.items()}
+                attributes.clear()
+                attributes.update(present)
+            pending += attributes.values()
 
 
 class Writer(pickle.Pickler):
@@ -54,6 +114,7 @@
             return PLAIN[module, name]
         if (module, name) == (__name__, "bound"):
             return bound
+        name = RENAMED_CLASSES.get((module, name), name)
         if module in (decide.__name__, interface.__name__) and "." not in name:
             found = getattr(decide if module == decide.__name__ else interface, name, None)
             if isinstance(found, type) and (found.__module__ == module or issubclass(found, Enum)):
@@ -72,6 +133,7 @@
     """Raises `BadSnapshot`."""
     try:
         made = Reader(io.BytesIO(data)).load()
+        rename_attributes(made)
     except BadSnapshot:
         raise
     except Exception as error:  # whatever damaged bytes make pickle raise
--- a/lemonhall/capture/story.py
+++ b/lemonhall/capture/story.py
@@ -9,32 +9,45 @@
 
 from lemonhall import interface as i
 from lemonhall.capture.replay import Step, Told
-from lemonhall.interface import Because, Outcome
+from lemonhall.interface import Outcome, ReasonCode
 
 Words = Callable[[float], str]
-REASONS: dict[Because, str] = {
-    Because.DRAINS: "drains",
-    Because.TRIED: "was tried already",
-    Because.UNPROVEN: "failed lately, and this session is paid (evidence {v:.1f})",
-    Because.BARRED: "is left alone for {v:.0f} ms more",
-    Because.COLD: "is cold, and it is not this front's turn",
-    Because.FULL: "is known full (room {v:.0f} kB/s)",
-    Because.ASIDE: "is set aside by what was wished",
-    Because.LOOKED: "may be asked (room {v:.0f} kB/s)",
-    Because.NO_PART: "has no room for {v:.0f} kB/s in reserve or pool",
-    Because.RESERVE: "is taken, in its reserve, at {v:.0f} kB/s",
-    Because.POOL: "is taken, in the pool, at {v:.0f} kB/s",
-    Because.SUB_RATED: "is taken at {v:.0f} kB/s: others there were sub-rated for it",
-    Because.SEATS: "all {v:.0f} seats of the title are held",
-    Because.GIVEN_UP: "no server is left to ask (attempts {v:.0f})",
-    Because.CUT: "a lower rung: its link or uplink gives {v:.0%} of what was asked",
-    Because.LIFTED: "a higher rung: {v:.0f} kB/s were free",
-    Because.SETTLED: "the rung that the set-up's report left room for ({v:.0f} kB/s)",
+REASONS: dict[ReasonCode, str] = {
+    ReasonCode.DRAINING: "drains",
+    ReasonCode.ALREADY_TRIED: "was tried already",
+    ReasonCode.RECENT_FAILURE: "failed lately, and this session is paid (evidence {v:.1f})",
+    ReasonCode.EJECTED: "is left alone for {v:.0f} ms more",
+    ReasonCode.COLD_START: "is cold, and it is not this front's turn",
+    ReasonCode.FULL: "is known full (room {v:.0f} kB/s)",
+    ReasonCode.DEPRIORITIZED: "is set aside by what was wished",
+    ReasonCode.CANDIDATE: "may be asked (room {v:.0f} kB/s)",
+    ReasonCode.NO_ROOM: "has no room for {v:.0f} kB/s in reserve or pool",
+    ReasonCode.RESERVE: "is taken, in its reserve, at {v:.0f} kB/s",
+    ReasonCode.POOL: "is taken, in the pool, at {v:.0f} kB/s",
+    ReasonCode.SUB_RATED: "is taken at {v:.0f} kB/s: others there were sub-rated for it",
+    ReasonCode.NO_SEAT: "all {v:.0f} seats of the title are held",
+    ReasonCode.GIVEN_UP: "no server is left to ask (attempts {v:.0f})",
+    ReasonCode.RUNG_LOWERED: "a lower rung: its link or uplink gives {v:.0%} of what was asked",
+    ReasonCode.RUNG_RAISED: "a higher rung: {v:.0f} kB/s were free",
+    ReasonCode.RUNG_ADJUSTED: "the rung that the set-up's report left room for ({v:.0f} kB/s)",
 }
 
+# Events and actions that a capture's listing shows under another name than their class has.
+PRINTED_NAMES: dict[type, str] = {
+    i.AdviceChanged: "Advised",
+    i.FleetChanged: "Fleet",
+    i.LearnedState: "Memory",
+    i.SendToPeers: "TellPeers",
+    i.LogMessage: "Remark",
+}
+
+
+def printed_name(shown: Any) -> str:
+    return PRINTED_NAMES.get(type(shown), type(shown).__name__)
+
 
 def reason_words(reason: i.Reason) -> str:
-    words = REASONS[reason.because].format(v=reason.value)
+    words = REASONS[reason.code].format(v=reason.value)
     if not reason.server:
         return words
     known = f"heard {reason.age_ms / 1000:.1f} s before" if reason.age_ms < 1e9 else "never heard of"
@@ -44,7 +57,7 @@
 def event_words(event: Any) -> str:
     """ "" for what speaks of no session."""
     if isinstance(event, i.NewSession):
-        more = " again" if event.again else ""
+        more = " again" if event.repeated else ""
         more += ", moved" if event.moved else ""
         more += ", may have run before" if event.maybe_ran else ""
         wished = "" if event.advice == i.NO_ADVICE else f"; wished: {advice_words(event.advice)}"
@@ -52,7 +65,7 @@
         return f"asked for{more}: {asked}{wished}"
     if isinstance(event, i.HandedOver):
         return f"handed over, playing at server {event.server}"
-    if isinstance(event, i.Advised):
+    if isinstance(event, i.AdviceChanged):
         return f"wished from now on: {advice_words(event.advice)}"
     if isinstance(event, i.Playing):
         return f"plays at server {event.server} after {event.took_ms:.0f} ms"
--- a/lemonhall/cli/capture.py
+++ b/lemonhall/cli/capture.py
@@ -13,7 +13,15 @@
 from lemonhall import decide
 from lemonhall.capture import CannotReplay, Capture, Replay, Step, Told, differences, read_capture
 from lemonhall.capture.ring import rewritten
-from lemonhall.capture.story import Front, action_words, event_words, ident_of, story, timelines
+from lemonhall.capture.story import (
+    Front,
+    action_words,
+    event_words,
+    ident_of,
+    printed_name,
+    story,
+    timelines,
+)
 from lemonhall.config.settings import read_settings
 from lemonhall.front.keeping.capturing import write_new
 from lemonhall.front.process.daemon import load_module
@@ -95,11 +103,9 @@
             if isinstance(step, Step):
                 click.echo(f"call {step.number} at {step.now:.3f}")
                 for event in step.events:
-                    click.echo(f"  {ident_of(event) or ''} {event_words(event) or type(event).__name__}")
+                    click.echo(f"  {ident_of(event) or ''} {event_words(event) or printed_name(event)}")
                 for action in step.recorded:
-                    click.echo(
-                        f"  > {ident_of(action) or ''} {action_words(action) or type(action).__name__}"
-                    )
+                    click.echo(f"  > {ident_of(action) or ''} {action_words(action) or printed_name(action)}")
     if as_json:
         click.echo(
             json.dumps(
--- a/lemonhall/decide.py
+++ b/lemonhall/decide.py
@@ -245,13 +245,13 @@
                     self.plans[n, over, top] = Plan(cls, cls.worth * part, top, settings)
         self.acts: dict[type, Callable[[Any], None]] = {
             i.NewSession: self.on_new,
-            i.Advised: self.on_advised,
-            i.Fleet: self.on_fleet,
+            i.AdviceChanged: self.on_advised,
+            i.FleetChanged: self.on_fleet,
             i.Note: self.on_note,
             i.Playing: self.on_playing,
             i.AttemptEnded: self.on_ended,
             i.HandedOver: self.on_handed_over,
-            i.Memory: self.on_memory,
+            i.LearnedState: self.on_memory,
             i.ViewerGone: self.on_viewer_gone,
             i.TimerDue: self.on_tick,
         }
@@ -284,7 +284,7 @@
                 act(event)
         return self.out
 
-    def tell(self, s: Session, box: Box | None, because: i.Because, value: float = 0.0) -> None:
+    def tell(self, s: Session, box: Box | None, because: i.ReasonCode, value: float = 0.0) -> None:
         if self.why is not None:
             age = self.now - box.link.heard_at if box else 0.0
             self.why.append(i.Reason(s.told.id, box.told.id if box else 0, because, value, age))
@@ -326,7 +326,7 @@
         return table[told.kind] if told.kind < len(table) else max(1, min(table))
 
     def new_box(self, told: i.Server, mean_places: float) -> Box:
-        size = told.weight if self.settings.weights_tell_size else self.places(told) / mean_places
+        size = told.weight if self.settings.weights_are_sizes else self.places(told) / mean_places
         most = min(TARGET, FULL_BELOW * self.settings.full_from or TARGET)
         link_kb = max(1.0, self.settings.link_kb_per_weight * size)
         link = Pipe(link_kb, len(self.levels), self.usual[0], most)
@@ -342,10 +342,10 @@
         over = (s.maybe_ran and s.paid) or (told.advice.refuse and not told.moved)
         (self.give_up if over else self.place)(s)
 
-    def memory(self) -> i.Memory:
+    def memory(self) -> i.LearnedState:
         """What this front has learned and would not like to learn again."""
         servers = tuple(
-            i.Learned(
+            i.LearnedServerState(
                 b.told.id,
                 b.told.ready_at,
                 b.evidence,
@@ -356,25 +356,27 @@
             )
             for b in self.order
         )
-        return i.Memory(self.now, self.length_ms, self.ends, self.set_up_ms, self.set_up_spread, servers)
+        return i.LearnedState(
+            self.now, self.length_ms, self.ends, self.set_up_ms, self.set_up_spread, servers
+        )
 
-    def on_memory(self, event: i.Memory) -> None:
+    def on_memory(self, event: i.LearnedState) -> None:
         """Reports fade by their own times; of a server that has started anew since, nothing holds."""
-        kept = max(0.0, 1 - (self.now - event.at) / RATE_WINDOW_MS)
-        self.length_ms, self.ends = event.length_ms, event.ends
-        self.set_up_ms, self.set_up_spread = event.set_up_ms, event.set_up_spread
+        kept = max(0.0, 1 - (self.now - event.recorded_at) / RATE_WINDOW_MS)
+        self.length_ms, self.ends = event.mean_session_ms, event.sessions_ended
+        self.set_up_ms, self.set_up_spread = event.mean_set_up_ms, event.set_up_deviation_ms
         for old in event.servers:
             box = self.boxes.get(old.server)
             if box and box.told.ready_at == old.ready_at:
                 box.evidence, box.barred_until, box.failed_at = (
-                    kept * old.evidence,
-                    old.barred_until,
+                    kept * old.failure_score,
+                    old.ejected_until,
                     old.failed_at,
                 )
-                if old.heard_at > box.link.heard_at:
-                    box.link.others, box.link.heard_at = old.others_kb, old.heard_at
+                if old.updated_at > box.link.heard_at:
+                    box.link.others, box.link.heard_at = old.other_fronts_kb, old.updated_at
 
-    def on_advised(self, event: i.Advised) -> None:
+    def on_advised(self, event: i.AdviceChanged) -> None:
         """Other advice from now on; a session that plays over its cap comes down, never under its floor."""
         s = self.sessions.get(event.id)
         if s is None:
@@ -389,7 +391,7 @@
             if event.advice.move and s.playing and not s.paid:
                 self.out.append(i.Move(s.told.id))
 
-    def on_fleet(self, event: i.Fleet) -> None:
+    def on_fleet(self, event: i.FleetChanged) -> None:
         """Shares of quotas, cold pace and uplinks are of so many fronts from now on."""
         if event.fronts >= 1:
             index = min(max(0, event.index), event.fronts - 1)
@@ -458,7 +460,7 @@
     def place(self, s: Session) -> None:
         """The ordinary path: two random holders, less loaded first; reserve, pool, sub-rating, refusal."""
         if s.cls.seats and self.seats[s.told.cls, s.told.title] >= s.cls.seats:
-            self.tell(s, None, i.Because.SEATS, s.cls.seats)
+            self.tell(s, None, i.ReasonCode.NO_SEAT, s.cls.seats)
             self.give_up(s)
             return
         # Where more requests may act on one report than fit, each does so with that probability.
@@ -472,13 +474,13 @@
                 kb = s.plan.kb[rung]
                 ask = kb + doubt if rung > s.plan.floor else max(kb, kb * luck * rivals)
                 if part := self.part(box, s.premium, ask):
-                    self.tell(s, box, i.Because[part.upper()], kb)
+                    self.tell(s, box, i.ReasonCode[part.upper()], kb)
                     self.send(s, box, rung, part)
                     return
-            self.tell(s, box, i.Because.NO_PART, s.plan.kb[s.plan.floor])
+            self.tell(s, box, i.ReasonCode.NO_ROOM, s.plan.kb[s.plan.floor])
         for box in pair:
             if s.premium and self.sub_rate(box, s):
-                self.tell(s, box, i.Because.SUB_RATED, s.plan.kb[s.plan.floor])
+                self.tell(s, box, i.ReasonCode.SUB_RATED, s.plan.kb[s.plan.floor])
                 self.send(s, box, s.plan.floor, "pool")
                 return
         self.give_up(s)
@@ -530,7 +532,7 @@
         Where advice sets some aside, two of the others come first, and two of these behind them.
         """
         cells, holders = self.settings.cells, self.order
-        cross, zone = self.settings.cross_cost, self.settings.zone
+        cross, zone = self.settings.cross_zone_cost, self.settings.zone
 
         def net(box: Box) -> float:
             return self.part_free(box) - cross * (box.told.zone != zone)
@@ -541,26 +543,32 @@
         if s.advice.bars:
             holders = [b for b in holders if b.told.zone not in s.advice.bars]
             if not holders:
-                self.tell(s, None, i.Because.OUTSIDE, len(self.order))
+                self.tell(s, None, i.ReasonCode.ZONES_BARRED, len(self.order))
         good: list[Box] = []
         aside: list[Box] = []  # by advice
         spare: list[Box] = []  # known full, or for a paid session not known to serve
         for box in islice(self.looks(s, holders), LOOKS):
             if box.told.state != ServerState.READY or box.told.id in s.tried:
                 drains = box.told.state != ServerState.READY
-                self.tell(s, box, i.Because.DRAINS if drains else i.Because.TRIED)
+                self.tell(s, box, i.ReasonCode.DRAINING if drains else i.ReasonCode.ALREADY_TRIED)
                 continue
             if s.paid and box.evidence > EVIDENCE_PROVEN:
-                self.tell(s, box, i.Because.UNPROVEN, box.evidence)
+                self.tell(s, box, i.ReasonCode.RECENT_FAILURE, box.evidence)
                 continue
             if self.now < box.barred_until:
-                self.tell(s, box, i.Because.BARRED, box.barred_until - self.now)
+                self.tell(s, box, i.ReasonCode.EJECTED, box.barred_until - self.now)
             elif not self.warm_enough(box):
-                self.tell(s, box, i.Because.COLD)
+                self.tell(s, box, i.ReasonCode.COLD_START)
             else:
                 full = self.room(box) < s.plan.kb[s.plan.floor]
                 later = s.advice is not i.NO_ADVICE and self.set_aside(s.advice, box.told)
-                group = i.Because.FULL if full else i.Because.ASIDE if later else i.Because.LOOKED
+                group = (
+                    i.ReasonCode.FULL
+                    if full
+                    else i.ReasonCode.DEPRIORITIZED
+                    if later
+                    else i.ReasonCode.CANDIDATE
+                )
                 self.tell(s, box, group, self.room(box))
                 (spare if full else aside if later else good).append(box)
                 if len(good) >= 2 and (not cross or sum(b.told.zone == zone for b in good) >= 2):
@@ -619,11 +627,11 @@
         box.evidence /= 2
         box.backoff = BACKOFF_MS
         if box.failed_at > float("-inf"):  # it may have started anew between the failure and now
-            box.cold_until, box.failed_at = self.now + self.settings.warm_within_ms, float("-inf")
+            box.cold_until, box.failed_at = self.now + self.settings.warm_up_ms, float("-inf")
 
     def warm_enough(self, box: Box) -> bool:
         """Cold servers: a turn (from the told start) is for as many fronts as would ask about once in it."""
-        warm = max(1.0, self.settings.warm_within_ms)
+        warm = max(1.0, self.settings.warm_up_ms)
         start, fronts = box.told.ready_at, self.settings.fronts
         told = start > 0 and self.now < start + warm and box.failed_at == float("-inf")
         unsure = not self.list_fresh and self.now - (self.born or 0.0) < warm
@@ -701,7 +709,7 @@
         return again + 1 <= self.settings.retry_free + self.settings.retry_share * taken
 
     def give_up(self, s: Session) -> None:  # the final answer, at once
-        self.tell(s, None, i.Because.GIVEN_UP, s.attempts)
+        self.tell(s, None, i.ReasonCode.GIVEN_UP, s.attempts)
         most = self.settings.max_pause_ms if self.settings.pause_advice else 0.0
         pause = min(most, s.advice.pause_ms or most)
         self.out.append(i.Fail(s.told.id) if s.maybe_ran and s.paid else i.Refuse(s.told.id, pause))
@@ -778,7 +786,7 @@
         s = self.sessions.get(event.id)
         if s is None or s.box is None or not 0 <= event.value < float("inf"):
             return
-        lag = min(self.settings.told_late_ms, self.now - s.started)  # those at set-up tell of now
+        lag = min(self.settings.report_delay_ms, self.now - s.started)  # those at set-up tell of now
         if event.kind == i.NoteKind.RUNG:
             self.set_rung(s, max(0, min(int(event.value), len(s.plan.kb) - 1)), told=True, joins=True)
         elif event.kind == i.NoteKind.SHARE:
@@ -808,10 +816,10 @@
             return  # what comes within the hold still tells of before the cut
         pipe.short_at = self.now
         if pipe is up and self.untold:
-            late = self.now - self.settings.told_late_ms
+            late = self.now - self.settings.report_delay_ms
             pipe.limit = share * next((own for at, own in pipe.past if at > late), pipe.own)
         else:
-            pipe.hear(self.now, pipe.cap / share, self.settings.told_late_ms)
+            pipe.hear(self.now, pipe.cap / share, self.settings.report_delay_ms)
 
     def on_tick(self, _: i.TimerDue) -> None:
         self.out.append(i.SetTimer(0, TICK_MS))
@@ -853,7 +861,7 @@
             for rung in range(max(s.plan.rungs[level], s.rung + 1), s.rung, -1):
                 part = box.dice if rung == s.rung + 1 else 1.0
                 if room > 0 and part * (s.plan.kb[rung] - s.kb) <= room:
-                    self.tell(s, box, i.Because.LIFTED, room)
+                    self.tell(s, box, i.ReasonCode.RUNG_RAISED, room)
                     room -= s.plan.kb[rung] - s.kb
                     self.set_rung(s, rung)
                     break
@@ -863,7 +871,7 @@
         s.settled, spare = True, min(p.room(self.now) - p.doubt(self.now) for p in box.pipes)
         fit = [r for r in range(s.plan.floor, top + 1) if s.plan.kb[r] - s.kb <= spare]
         if (rung := max(fit, default=s.plan.floor)) != s.rung:
-            self.tell(s, box, i.Because.SETTLED, spare)
+            self.tell(s, box, i.ReasonCode.RUNG_ADJUSTED, spare)
             self.set_rung(s, rung, joins=True)
 
     def step_down(self, ready: list[Session], give: float, dice: float) -> None:  # the cheapest steps first
@@ -879,5 +887,7 @@
             aims[n], give = -r - 1, give - step
         for n, rung in aims.items():
             box = ready[n].box
-            self.tell(ready[n], box, i.Because.CUT, min(p.fit() for p in box.pipes) if box else 0.0)
+            self.tell(
+                ready[n], box, i.ReasonCode.RUNG_LOWERED, min(p.fit() for p in box.pipes) if box else 0.0
+            )
             self.set_rung(ready[n], rung)
--- a/lemonhall/front/deciding/asks.py
+++ b/lemonhall/front/deciding/asks.py
@@ -264,7 +264,7 @@
             cells=said.cells,
             tenant=said.tenant,
             moved=said.moved,
-            again=said.moved or said.again,
+            repeated=said.moved or said.again,
             advice=ask.advice,
             maybe_ran=ran,
         )
@@ -470,13 +470,13 @@
         merged = merge(ask.advice, advice) if advice != i.NO_ADVICE else ask.advice
         if merged != ask.advice:
             ask.advice = merged
-            self.bridge.tell(i.Advised(ask.number, merged))
+            self.bridge.tell(i.AdviceChanged(ask.number, merged))
 
     def come_home(self, number: int) -> None:
         """Its own hall is back, and others lack the room that it takes: the module may move it."""
         ask = self.open.get(number)
         if ask and ask.answered and not ask.moving:
-            self.bridge.tell(i.Advised(number, replace(ask.advice, move=True)))
+            self.bridge.tell(i.AdviceChanged(number, replace(ask.advice, move=True)))
 
     # what the module decides
 
--- a/lemonhall/front/deciding/membership.py
+++ b/lemonhall/front/deciding/membership.py
@@ -94,7 +94,7 @@
         self.share = Share(number, fronts, self.now_ms())
         if told:
             self.share.told = told
-            tell(i.Fleet(*told))
+            tell(i.FleetChanged(*told))
         self.bad = 0
         self.version = 0
         self.timer: Timer | None = None
@@ -183,7 +183,7 @@
             log.info("members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.conflict)
             self.on_view(view)
         if told := self.share.look(view, self.now_ms()):
-            self.tell(i.Fleet(*told))
+            self.tell(i.FleetChanged(*told))
             self.on_share(told[0])
 
     def send(self, out: list[Send]) -> None:
--- a/lemonhall/front/deciding/peers.py
+++ b/lemonhall/front/deciding/peers.py
@@ -47,7 +47,7 @@
         self.strange = 0  # datagrams that were none of ours
         loop.watch(self.sock, READ, self.on_ready)
 
-    def send(self, action: i.TellPeers) -> None:
+    def send(self, action: i.SendToPeers) -> None:
         """A message that cannot leave is lost, like one that is lost on its way."""
         data = encode(self.index, action.data)
         for number, address in self.peers.items():
--- a/lemonhall/front/deciding/returning.py
+++ b/lemonhall/front/deciding/returning.py
@@ -41,16 +41,16 @@
     return Box(**{name: getattr(entry, name) for name in SAME})
 
 
-def known(boxes: BoxList, memory: i.Memory | None, now: float) -> list[Any]:
+def known(boxes: BoxList, memory: i.LearnedState | None, now: float) -> list[Any]:
     """Pages of the list and of what was learned of its servers, for one that has lost both."""
     learned = {s.server: s for s in memory.servers} if memory else {}
     entries = []
     for box in boxes.boxes.values():
         entry = entry_of(box)
         if one := learned.get(box.id):
-            entry.evidence, entry.others_kb = one.evidence, max(0.0, one.others_kb)
-            entry.heard_ms_ago = max(1, round(min(MINUTE_MS, now - one.heard_at)))
-            if one.heard_at < now - MINUTE_MS:
+            entry.evidence, entry.others_kb = one.failure_score, max(0.0, one.other_fronts_kb)
+            entry.heard_ms_ago = max(1, round(min(MINUTE_MS, now - one.updated_at)))
+            if one.updated_at < now - MINUTE_MS:
                 entry.heard_ms_ago = 0
         entries.append(entry)
     return pages(entries, boxes.as_of_ms, boxes.version) if entries else []
@@ -60,16 +60,23 @@
     return Update(version=page.version, full=True, boxes=[box_of(e) for e in page.entries])
 
 
-def memory_of(page: Any, usual: i.Memory | None, now: float) -> i.Memory | None:
+def memory_of(page: Any, usual: i.LearnedState | None, now: float) -> i.LearnedState | None:
     """Loads as others heard them, beside what this module knows of lengths; None: it keeps no memory."""
     if usual is None:
         return None
     servers = tuple(
-        i.Learned(e.id, e.started_ms, e.evidence, 0.0, NEVER, e.others_kb, now - e.heard_ms_ago)
+        i.LearnedServerState(e.id, e.started_ms, e.evidence, 0.0, NEVER, e.others_kb, now - e.heard_ms_ago)
         for e in page.entries
         if e.heard_ms_ago
     )
-    return i.Memory(now, usual.length_ms, usual.ends, usual.set_up_ms, usual.set_up_spread, servers)
+    return i.LearnedState(
+        now,
+        usual.mean_session_ms,
+        usual.sessions_ended,
+        usual.mean_set_up_ms,
+        usual.set_up_deviation_ms,
+        servers,
+    )
 
 
 class ReturnDesk:
--- a/lemonhall/front/keeping/keeper.py
+++ b/lemonhall/front/keeping/keeper.py
@@ -65,31 +65,31 @@
     )
 
 
-def to_learned(memory: i.Memory) -> Any:
+def to_learned(memory: i.LearnedState) -> Any:
     return Learned(
-        at_ms=memory.at,
-        length_ms=memory.length_ms,
-        ends=memory.ends,
-        set_up_ms=memory.set_up_ms,
-        set_up_spread_ms=memory.set_up_spread,
+        at_ms=memory.recorded_at,
+        length_ms=memory.mean_session_ms,
+        ends=memory.sessions_ended,
+        set_up_ms=memory.mean_set_up_ms,
+        set_up_spread_ms=memory.set_up_deviation_ms,
         servers=[
             Server(
                 id=s.server,
                 started_ms=s.ready_at,
-                evidence=s.evidence,
-                barred_until_ms=s.barred_until,
+                evidence=s.failure_score,
+                barred_until_ms=s.ejected_until,
                 failed_at_ms=s.failed_at,
-                others_kb=s.others_kb,
-                heard_at_ms=s.heard_at,
+                others_kb=s.other_fronts_kb,
+                heard_at_ms=s.updated_at,
             )
             for s in memory.servers
         ],
     )
 
 
-def to_memory(learned: Any) -> i.Memory:
+def to_memory(learned: Any) -> i.LearnedState:
     servers = tuple(
-        i.Learned(
+        i.LearnedServerState(
             s.id,
             s.started_ms,
             s.evidence,
@@ -100,7 +100,7 @@
         )
         for s in learned.servers
     )
-    return i.Memory(
+    return i.LearnedState(
         learned.at_ms,
         learned.length_ms,
         learned.ends,
@@ -119,7 +119,7 @@
         settings: StoreSettings,
         front: int,
         random: Random,
-        memory: Callable[[], i.Memory | None],
+        memory: Callable[[], i.LearnedState | None],
         wall: Callable[[], float] = time.time,
         lock: int | None = None,
     ) -> None:
@@ -299,7 +299,7 @@
             self.put_own(RETURN, kept, self.told)
         self.memory_timer = self.loop.call_later(MEMORY_EVERY_S, self.save_memory)
 
-    def load_memory(self) -> i.Memory | None:
+    def load_memory(self) -> i.LearnedState | None:
         value = self.store.raw("learned", MEMORY)
         if value is None:
             return None
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -42,7 +42,7 @@
         offset = self.offset = time.time() - loop.now()
         self.bridge = Bridge(Front(settings, told.seed), lambda: (loop.now() + offset) * 1000)
         self.bridge.carry_out[i.SetTimer] = self.set_timer
-        notes_s = (settings.reports_every_ms * 1.5 + settings.told_late_ms) / 1000
+        notes_s = (settings.reports_every_ms * 1.5 + settings.report_delay_ms) / 1000
         self.servers = Servers(
             loop,
             told.names,
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -107,7 +107,7 @@
             first_cell=a.home,
             cells=a.copies,
             tenant=a.tenant,
-            again=a.retry or a.again,
+            repeated=a.retry or a.again,
         )
 
     def hand_over(self, viewer: Viewer, asked: NewSetUp) -> None:
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -168,10 +168,10 @@
             {
                 i.SetTimer: self.set_timer,
                 i.Probe: self.probe,
-                i.TellPeers: self.tell_peers,
+                i.SendToPeers: self.tell_peers,
                 i.Subscribe: self.list.subscribe,
                 i.Reload: self.list.reload,
-                i.Remark: lambda a: log.info("remark", text=a.text),
+                i.LogMessage: lambda a: log.info("remark", text=a.text),
             }
         )
         self.loop.after_pass.append(self.bridge.flush)
@@ -417,9 +417,9 @@
         self.list.keeper = self.asks.keeper = self.keeper
         self.keeper.on_turn = self.store_turned
 
-    def memory(self) -> i.Memory | None:
+    def memory(self) -> i.LearnedState | None:
         """What the module has learned; another file's module may not say."""
-        give: Callable[[], i.Memory] | None = getattr(self.bridge.decider, "memory", None)
+        give: Callable[[], i.LearnedState] | None = getattr(self.bridge.decider, "memory", None)
         return give() if give and self.bridge.calls else None
 
     def recall(self, keeper: Keeper, anew: bool) -> None:
@@ -550,7 +550,7 @@
     def set_timer(self, action: i.SetTimer) -> None:
         self.loop.call_later(action.after_ms / 1000, self.bridge.tell, i.TimerDue(action.token))
 
-    def tell_peers(self, action: i.TellPeers) -> None:
+    def tell_peers(self, action: i.SendToPeers) -> None:
         if self.peers:
             self.peers.send(action)
 
--- a/lemonhall/interface.py
+++ b/lemonhall/interface.py
@@ -83,32 +83,32 @@
     zone: int = 0
     racks: int = 0  # 0: no racks told
     uplink_kb: float = 0.0  # mean uplink of a rack; 0: not told
-    links_kb: float = 0.0  # all links together; 0: not told
-    weights_tell_size: bool = False
+    all_links_kb: float = 0.0  # all links together; 0: not told
+    weights_are_sizes: bool = False
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0
     full_from: float = 0.0  # a server turns set-ups away at this link use; 0: never
-    told_late_ms: float = 1000.0
+    report_delay_ms: float = 1000.0
     reports_every_ms: float = 0.0  # 0: no notes of link use while playing
     report_fields: tuple[str, ...] = ()
     stall_cost: float = 0.0
     switch_cost_s: float = 0.0
     move_cost: float = 0.0
     may_probe: bool = False
-    may_tell_peers: bool = False
+    may_message_peers: bool = False
     subscribes: bool = False  # the list must be asked for
     pause_advice: bool = True
     max_pause_ms: float = 0.0
     max_attempts: int = 1
     connect_timeout_ms: float = 250.0
     cold_from: float = 1.0
-    warm_within_ms: float = 0.0
+    warm_up_ms: float = 0.0
     overload_factor: float = 1.0
     tip_after_ms: float = 0.0
     retry_free: float | None = None  # None: further attempts are not rationed
     retry_share: float = 0.0
     retry_span_ms: float = 0.0
-    cross_cost: float = 0.0  # of a session that plays in another zone, as a part of the result
+    cross_zone_cost: float = 0.0  # of a session that plays in another zone, as a part of the result
 
     def __post_init__(self) -> None:
         """What no front can work with is refused at start, with the name of the setting."""
@@ -177,14 +177,14 @@
     tenant: int = 0
     length_ms: float = 0.0  # rough; 0: not told
     moved: bool = False
-    again: bool = False
+    repeated: bool = False
     advice: Advice = NO_ADVICE
     maybe_ran: bool = False  # under an earlier number, at this front or another
     waited_ms: float = 0.0  # since it was asked for: of the budget for attempts it counts from there
 
 
 @dataclass(frozen=True)
-class Advised:
+class AdviceChanged:
     """Other advice for a session that is known: it replaces what was told before."""
 
     id: int
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True)
-class Fleet:
+class FleetChanged:
     """How many fronts there are now, and this one's rank among them, from 0."""
 
     fronts: int
@@ -206,28 +206,28 @@
 
 
 @dataclass(frozen=True)
-class Learned:
+class LearnedServerState:
     """What was learned of one server, with the times at which it was; `ready_at` tells its life."""
 
     server: int
     ready_at: float
-    evidence: float
-    barred_until: float
+    failure_score: float
+    ejected_until: float
     failed_at: float
-    others_kb: float  # asked of its link by other fronts
-    heard_at: float
+    other_fronts_kb: float  # asked of its link by other fronts
+    updated_at: float
 
 
 @dataclass(frozen=True)
-class Memory:
+class LearnedState:
     """What a front has learned, given by `Front.memory` and told to one that takes its place, or its own."""
 
-    at: float
-    length_ms: float
-    ends: int
-    set_up_ms: float
-    set_up_spread: float
-    servers: tuple[Learned, ...] = ()
+    recorded_at: float
+    mean_session_ms: float
+    sessions_ended: int
+    mean_set_up_ms: float
+    set_up_deviation_ms: float
+    servers: tuple[LearnedServerState, ...] = ()
 
 
 @dataclass(frozen=True)
@@ -286,10 +286,10 @@
 Event = (
     ServerList
     | NewSession
-    | Advised
-    | Fleet
+    | AdviceChanged
+    | FleetChanged
     | HandedOver
-    | Memory
+    | LearnedState
     | Playing
     | Note
     | AttemptEnded
@@ -302,27 +302,27 @@
 # Reasons: why a decision was as it was, for who asks after the fact. They bind nothing.
 
 
-class Because(IntEnum):
+class ReasonCode(IntEnum):
     """`value` in brackets."""
 
-    DRAINS = 1
-    TRIED = 2  # in this session already
-    UNPROVEN = 3  # fresh evidence against it, and the session is paid [evidence]
-    BARRED = 4  # left alone [ms more]
-    COLD = 5  # not its turn yet
+    DRAINING = 1
+    ALREADY_TRIED = 2  # in this session already
+    RECENT_FAILURE = 3  # fresh evidence against it, and the session is paid [evidence]
+    EJECTED = 4  # left alone [ms more]
+    COLD_START = 5  # not its turn yet
     FULL = 6  # known full [kB of room]
-    ASIDE = 7  # set aside by advice
-    LOOKED = 8  # may be asked [kB of room]
-    NO_PART = 9  # no room in its reserve or the pool [kB asked]
+    DEPRIORITIZED = 7  # set aside by advice
+    CANDIDATE = 8  # may be asked [kB of room]
+    NO_ROOM = 9  # no room in its reserve or the pool [kB asked]
     RESERVE = 10  # taken, in its own reserve [kB]
     POOL = 11  # taken, in the pool [kB]
     SUB_RATED = 12  # taken, others were sub-rated for it [kB]
-    SEATS = 13  # no seat left [seats]
+    NO_SEAT = 13  # no seat left [seats]
     GIVEN_UP = 14  # nobody has room, or no attempt is left [attempts]
-    CUT = 15  # to a lower rung: a pipe is over-asked [its fit]
-    LIFTED = 16  # to a higher one: room stays [kB of it]
-    SETTLED = 17  # the rung that its set-up's report leaves room for [kB of it]
-    OUTSIDE = 18  # all servers that it may be set up on lie in other zones [servers]
+    RUNG_LOWERED = 15  # to a lower rung: a pipe is over-asked [its fit]
+    RUNG_RAISED = 16  # to a higher one: room stays [kB of it]
+    RUNG_ADJUSTED = 17  # the rung that its set-up's report leaves room for [kB of it]
+    ZONES_BARRED = 18  # all servers that it may be set up on lie in other zones [servers]
 
 
 @dataclass(frozen=True)
@@ -331,7 +331,7 @@
 
     session: int
     server: int
-    because: Because
+    code: ReasonCode
     value: float = 0.0
     age_ms: float = 0.0
 
@@ -386,7 +386,7 @@
 
 
 @dataclass(frozen=True)
-class TellPeers:
+class SendToPeers:
     data: bytes
     to: int | None = None  # None: all
 
@@ -402,7 +402,7 @@
 
 
 @dataclass(frozen=True)
-class Remark:
+class LogMessage:
     text: str
 
 
@@ -415,8 +415,8 @@
     | Cancel
     | SetTimer
     | Probe
-    | TellPeers
+    | SendToPeers
     | Subscribe
     | Reload
-    | Remark
+    | LogMessage
 )
--- a/lemonhall/model/played/fronts.py
+++ b/lemonhall/model/played/fronts.py
@@ -144,7 +144,7 @@
         self.born = 0.0
         self.heard: dict[int, i.Server] = {}
         self.calls = 0
-        self.memory: i.Memory | None = None  # what it had learned when it was killed, if that is kept
+        self.memory: i.LearnedState | None = None  # what it had learned when it was killed, if that is kept
         self.make: Make
         self.decider = 0  # how many of its deciders have ended
         self.headless = False  # none is there
@@ -258,7 +258,7 @@
         moves, self.halls.moves = self.halls.moves, []
         for number in moves:
             if (ask := self.asks.get(number)) and ask.answered and not ask.gone:
-                self.tell(i.Advised(number, i.Advice(bars=(), move=True)))
+                self.tell(i.AdviceChanged(number, i.Advice(bars=(), move=True)))
         for out in words:
             other = self.world.fronts[out.to]
             self.world.peer_messages += 1
@@ -580,7 +580,7 @@
         wait = 1500.0 if outcome == Outcome.TIMEOUT else 2 * self.world.hop()
         self.world.sim.after(wait, self.tell, i.ProbeEnded(action.server, outcome, wait))
 
-    def do_tell_peers(self, action: i.TellPeers) -> None:
+    def do_tell_peers(self, action: i.SendToPeers) -> None:
         for front in self.world.fronts:
             wanted = action.to is None or action.to == front.index
             self.world.peer_messages += wanted and front is not self
@@ -603,7 +603,7 @@
     i.Cancel: Front.do_cancel,
     i.SetTimer: Front.do_timer,
     i.Probe: Front.do_probe,
-    i.TellPeers: Front.do_tell_peers,
+    i.SendToPeers: Front.do_tell_peers,
     i.Subscribe: Front.do_subscribe,
     i.Reload: Front.do_subscribe,
 }
--- a/lemonhall/wire.py
+++ b/lemonhall/wire.py
@@ -231,7 +231,7 @@
     if isinstance(a, i.Reload):
         return _RELOAD.pack(RELOAD, inst)
     offset = len(tail)
-    if isinstance(a, i.TellPeers):
+    if isinstance(a, i.SendToPeers):
         tail += a.data
         to = ALL_PEERS if a.to is None else a.to
         return _NOTIFY.pack(NOTIFY, inst, to, offset, len(a.data))
@@ -334,27 +334,27 @@
         zone=p.whole("myZone", 0),
         racks=p.whole("specifics.racks", 0),
         uplink_kb=p.number("specifics.uplinkKb", 0.0),
-        links_kb=p.number("specifics.fleetKb", 0.0),
-        weights_tell_size=p.text("weightSource", "none") != "none",
+        all_links_kb=p.number("specifics.fleetKb", 0.0),
+        weights_are_sizes=p.text("weightSource", "none") != "none",
         tenants=tenants,
         over_share_worth=p.number("overShareWorth", 1.0),
         full_from=p.number("specifics.fullFrom", 0.0),
-        told_late_ms=p.number("specifics.toldLate", 1000.0),
+        report_delay_ms=p.number("specifics.toldLate", 1000.0),
         reports_every_ms=p.number("specifics.reportsEvery", 0.0),
         report_fields=tuple(v for v in p.text("report.fields", "").split(",") if v),
         stall_cost=p.number("specifics.stallCost", 0.0),
         switch_cost_s=p.number("specifics.switchCostS", 0.0),
         move_cost=p.number("costs.moves", 0.0),
-        cross_cost=p.number("costs.crossZone", 0.0),
+        cross_zone_cost=p.number("costs.crossZone", 0.0),
         may_probe=p.flag("caps.probing"),
-        may_tell_peers=p.flag("caps.peerMessages"),
+        may_message_peers=p.flag("caps.peerMessages"),
         subscribes=p.text("discovery", "automatic") == "subscribe",
         pause_advice=p.flag("caps.retryAfter"),
         max_pause_ms=p.number("caps.maxRetryAfter", 0.0),
         max_attempts=p.whole("caps.maxAttempts", 1),
         connect_timeout_ms=p.number("caps.connectTimeout", 250.0),
         cold_from=p.number("rules.coldFrom", 1.0),
-        warm_within_ms=p.number("rules.warmWithin", 0.0),
+        warm_up_ms=p.number("rules.warmWithin", 0.0),
         overload_factor=p.number("rules.overloadFactor", 1.0),
         tip_after_ms=p.number("rules.tipAfter", 0.0),
         retry_free=p.number("rules.budgetFree", 0.0) if rationed else None,
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -5,7 +5,8 @@
 import math
 import subprocess
 import sys
-from dataclasses import replace
+from collections import deque
+from dataclasses import fields, is_dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -19,7 +20,14 @@
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.capture.ring import Told
 from lemonhall.capture.shapes import CLASSES, BadShape, pack, shape_of, unpack
-from lemonhall.capture.snapshot import BadSnapshot, freeze, thaw
+from lemonhall.capture.snapshot import (
+    RENAMED_ATTRIBUTES,
+    RENAMED_CLASSES,
+    RENAMED_HANDLERS,
+    BadSnapshot,
+    freeze,
+    thaw,
+)
 from lemonhall.capture.story import Front, timelines
 from tests.conftest import make_servers, make_settings
 from tests.test_front import World
@@ -129,8 +137,13 @@
 def test_reasons_are_given_and_change_nothing(day: Recorded) -> None:
     steps = replayed(day.data, why=True)
     assert all(s.same for s in steps)
-    given_up = {r.because for s in steps for r in s.reasons}
-    assert {i.Because.LOOKED, i.Because.POOL, i.Because.GIVEN_UP, i.Because.SEATS} <= given_up
+    given_up = {r.code for s in steps for r in s.reasons}
+    assert {
+        i.ReasonCode.CANDIDATE,
+        i.ReasonCode.POOL,
+        i.ReasonCode.GIVEN_UP,
+        i.ReasonCode.NO_SEAT,
+    } <= given_up
 
 
 def test_from_the_middle_by_a_snapshot_and_when_the_start_is_gone() -> None:
@@ -141,6 +154,59 @@
     assert all(s.same for s in steps)
 
 
+def attribute_names(front: decide.Front) -> dict[type, set[str]]:
+    """Names of the attributes of every object of the module and the interface that is reachable."""
+    found: dict[type, set[str]] = {}
+    seen, pending = set[int](), list[Any]([front])
+    while pending:
+        value = pending.pop()
+        if id(value) in seen:
+            continue
+        seen.add(id(value))
+        if isinstance(value, dict):
+            pending += [*value, *value.values()]
+        elif isinstance(value, list | tuple | deque):
+            pending += value
+        elif type(value).__module__ in ("lemonhall.decide", "lemonhall.interface") and hasattr(
+            value, "__dict__"
+        ):
+            found.setdefault(type(value), set()).update(vars(value))
+            pending += vars(value).values()
+    return found
+
+
+def test_a_capture_written_before_names_were_changed_is_replayed(day: Recorded) -> None:
+    """A snapshot is a pickle that holds names; it must stay readable when the code's names change.
+
+    The capture was written by the version before the first change of names: a header, a snapshot of a front
+    with sessions, retries, quotas and an ejected server, and the calls that followed.
+    """
+    records = read_capture((Path(__file__).parent / "before_renames.lhc").read_bytes()).records
+    (snapshot,) = [r.snapshot for r in records if r.WhichOneof("what") == "snapshot"]
+    assert b"Advised" in snapshot.module and b"may_tell_peers" in snapshot.module
+    steps = [s for s in Replay().run(records) if isinstance(s, Step)]
+    assert len(steps) > 30 and steps[0].number == snapshot.number and all(s.same for s in steps)
+    assert sum(len(s.decided) for s in steps) > 30
+    again = freeze(thaw(snapshot.module))
+    assert b"Advised" not in again and b"may_tell_peers" not in again
+    replay = Replay()
+    assert all(s.same for s in replay.run(read_capture(day.data).records) if isinstance(s, Step))
+    present, loaded = attribute_names(replay.module), attribute_names(thaw(snapshot.module))
+    assert len(loaded) > 8 and loaded == {cls: present[cls] for cls in loaded}
+
+
+def test_no_earlier_name_of_a_snapshot_has_a_new_meaning() -> None:
+    front = thaw(freeze(decide.Front(make_settings(), 1)))
+    for (module, earlier), present in RENAMED_CLASSES.items():
+        assert not hasattr(sys.modules[module], earlier) and hasattr(sys.modules[module], present)
+    for earlier, present in RENAMED_HANDLERS.items():
+        assert not hasattr(front, earlier) and hasattr(front, present)
+    for cls, renamed in RENAMED_ATTRIBUTES.items():
+        if is_dataclass(cls):
+            assert not {f.name for f in fields(cls)} & set(renamed)
+            assert {f.name for f in fields(cls)} >= set(renamed.values())
+
+
 def test_a_snapshot_of_anything_else_is_refused() -> None:
     import os
     import pickle
--- a/tests/captures/guards.py
+++ b/tests/captures/guards.py
@@ -84,7 +84,7 @@
 
 
 class ForgetsLearned(Front):
-    def on_memory(self, event: i.Memory) -> None:
+    def on_memory(self, event: i.LearnedState) -> None:
         return
 
 
--- a/tests/captures/make.py
+++ b/tests/captures/make.py
@@ -38,7 +38,7 @@
         rings.setdefault(settings.index, []).append(self.ring)
         self.count = 0
 
-    def memory(self) -> i.Memory:
+    def memory(self) -> i.LearnedState:
         return self.module.memory()
 
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -26,7 +26,7 @@
         "max_pause_ms": 500.0,
         "max_attempts": 3,
         "cold_from": 0.4,
-        "warm_within_ms": 12000.0,
+        "warm_up_ms": 12000.0,
         "overload_factor": 2.0,
         "tip_after_ms": 2000.0,
     }
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -152,14 +152,14 @@
     one.peers = {2: two.sock.getsockname()}
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     stranger.sendto(encode(2, b"false"), one.sock.getsockname())
-    two.send(i.TellPeers(b"x" * 256))
-    two.send(i.TellPeers(b"not for you", to=7))
+    two.send(i.SendToPeers(b"x" * 256))
+    two.send(i.SendToPeers(b"not for you", to=7))
     over: list[bool] = []
     loop.call_later(5, over.append, True)
     loop.run(until=lambda: bool(over) or (len(heard) == 1 and one.strange == 1))
     assert heard == [i.PeerMessage(2, b"x" * 256)] and one.strange == 1
     with pytest.raises(ValueError, match="257 bytes"):
-        two.send(i.TellPeers(b"x" * 257))
+        two.send(i.SendToPeers(b"x" * 257))
     for peers in (one, two):
         peers.close()
     stranger.close()
@@ -167,7 +167,7 @@
 
 def test_peer_messages_and_probes_of_the_module_are_carried_out(world: Build) -> None:
     w = world()
-    w.module.extra += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
+    w.module.extra += [i.Probe(1), i.Probe(77), i.LogMessage("hello"), i.SendToPeers(b"x")]
     w.daemon.bridge.call()
     w.until(lambda: len(w.module.told(i.ProbeEnded)) == 2)
     assert {e.server: e.outcome for e in w.module.told(i.ProbeEnded)} == {1: 200, 77: 502}
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -117,8 +117,8 @@
     client, _, cseq = w.play("/browse/a")
     w.until(lambda: client.answers_to(cseq))
     kinds = [type(e) for e in w.module.events]
-    assert kinds.index(i.Advised) < kinds.index(i.AttemptEnded)
-    assert w.module.told(i.Advised)[0].advice.avoid == (("zone", 0),)
+    assert kinds.index(i.AdviceChanged) < kinds.index(i.AttemptEnded)
+    assert w.module.told(i.AdviceChanged)[0].advice.avoid == (("zone", 0),)
 
 
 def test_a_paid_session_is_never_sent_again_by_a_hook(hooked: Build) -> None:
@@ -140,9 +140,9 @@
     ask = next(iter(w.daemon.asks.open))
     w.module.extra.append(i.SetRung(ask, 2))
     w.daemon.bridge.tell(i.TimerDue(99))
-    w.until(lambda: w.module.told(i.Advised))
+    w.until(lambda: w.module.told(i.AdviceChanged))
     w.until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
-    assert w.module.told(i.Advised)[0].advice.cap == 1
+    assert w.module.told(i.AdviceChanged)[0].advice.cap == 1
 
 
 def test_refusals_are_heard_and_counted(hooked: Build) -> None:
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -70,17 +70,17 @@
     for number in range(5):
         fronts.add(number)
     fronts.until(lambda: fronts.see(0, 1, 2, 3, 4))
-    fronts.until(lambda: all(t and t[-1] == i.Fleet(5, n) for n, t in fronts.told.items()))
+    fronts.until(lambda: all(t and t[-1] == i.FleetChanged(5, n) for n, t in fronts.told.items()))
 
 
 def test_a_front_that_goes_is_seen_and_its_share_is_kept_for_a_while(fronts: Fronts) -> None:
     for number in range(4):
         fronts.add(number)
     fronts.until(lambda: fronts.see(0, 1, 2, 3))
-    fronts.until(lambda: fronts.told[0] and fronts.told[0][-1] == i.Fleet(4, 0))
+    fronts.until(lambda: fronts.told[0] and fronts.told[0][-1] == i.FleetChanged(4, 0))
     fronts.all[3].close()
     fronts.until(lambda: fronts.see(0, 1, 2))
-    assert fronts.told[0][-1] == i.Fleet(4, 0)
+    assert fronts.told[0][-1] == i.FleetChanged(4, 0)
 
 
 def test_a_front_that_leaves_says_so(fronts: Fronts) -> None:
@@ -111,10 +111,10 @@
         tenants=(i.Tenant(10.0),),
     )
     front = decide.Front(settings, 1)
-    front.handle(0.0, [i.Fleet(20, 7)])
+    front.handle(0.0, [i.FleetChanged(20, 7)])
     assert (front.settings.fronts, front.settings.index) == (20, 7)
     assert replace(front.settings, fronts=1, index=0) == settings
-    front.handle(1.0, [i.Fleet(0, 0), i.Fleet(4, 9)])
+    front.handle(1.0, [i.FleetChanged(0, 0), i.FleetChanged(4, 9)])
     assert (front.settings.fronts, front.settings.index) == (4, 3)
 
 
--- a/tests/halls/test_machine.py
+++ b/tests/halls/test_machine.py
@@ -290,7 +290,7 @@
     for n, cls in enumerate((SAFE, PAID)):
         told = i.NewSession(n, cls, n, n, 1000.0, 3, 0, 6)
         asked = [a for a in front.handle(1.0, [told]) if isinstance(a, i.SetUp)]
-        advised = [i.Advised(n, i.Advice(move=True))]
+        advised = [i.AdviceChanged(n, i.Advice(move=True))]
         moved += [a for a in front.handle(2.0, advised) if isinstance(a, i.Move)]  # it does not play yet
         playing = i.Playing(n, 0, asked[0].server, 20.0)
         moved += [a for a in front.handle(3.0, [playing, *advised]) if isinstance(a, i.Move)]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -700,7 +700,7 @@
 
 def crossed(price: float, use: float = 0.0, asks: int = 60) -> float:
     """Part of first set-ups that go to another zone, where servers of the own one are in use so far."""
-    settings = replace(make_settings(), zone=1, cross_cost=price)
+    settings = replace(make_settings(), zone=1, cross_zone_cost=price)
     servers = tuple(replace(s, zone=n % 2) for n, s in enumerate(make_servers(12)))
     found = 0
     for seed in range(asks):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,21 +9,21 @@
     AttemptEnded,
     HandedOver,
     ListKind,
+    LogMessage,
     NewSession,
     Note,
     PeerMessage,
     Playing,
     ProbeEnded,
     Refuse,
-    Remark,
     Repeat,
+    SendToPeers,
     Server,
     ServerList,
     ServerState,
     SetRung,
     SetTimer,
     SetUp,
-    TellPeers,
     TimerDue,
     ViewerGone,
 )
@@ -96,7 +96,7 @@
         [
             (3, SetUp(0x5D3A91C4, 0x03124A07, 80.0)),
             (3, SetTimer(77, 500.0)),
-            (5, Remark("two servers known")),
+            (5, LogMessage("two servers known")),
         ],
     )
     assert (
@@ -115,7 +115,7 @@
     reply = wire.encode_reply(1, [(3, SetRung(0x5D3A91C4, 2)), (3, Refuse(0x0E6F2B19, 250.0))])
     assert reply[12:36] == bytes.fromhex("08 0003 5d3a91c4 02" + "00" * 16)
     assert reply[36:60] == bytes.fromhex("07 0003 0e6f2b19 406f400000000000" + "00" * 9)
-    told = wire.encode_reply(1, [(3, TellPeers(b"hi 7"))])
+    told = wire.encode_reply(1, [(3, SendToPeers(b"hi 7"))])
     assert told[12:36] == bytes.fromhex("01 0003 ffff 00000000 00000004" + "00" * 11)
 
 
