--- a/lemonhall/capture/story.py
+++ b/lemonhall/capture/story.py
@@ -19,7 +19,7 @@
     ReasonCode.EJECTED: "is left alone for {v:.0f} ms more",
     ReasonCode.COLD_START: "is cold, and it is not this front's turn",
     ReasonCode.FULL: "is known full (room {v:.0f} kB/s)",
-    ReasonCode.DEPRIORITIZED: "is set aside by what was wished",
+    ReasonCode.AVOIDED: "is set aside by what was wished",
     ReasonCode.CANDIDATE: "may be asked (room {v:.0f} kB/s)",
     ReasonCode.NO_ROOM: "has no room for {v:.0f} kB/s in reserve or pool",
     ReasonCode.RESERVE: "is taken, in its reserve, at {v:.0f} kB/s",
--- a/lemonhall/decide.py
+++ b/lemonhall/decide.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from lemonhall import interface as i
-from lemonhall.interface import Outcome, Repeat, ServerState
+from lemonhall.interface import Outcome, ReasonCode, Repeat, ServerState
 
 ALPHA = 2  # sessions sub-rated for one premium session (the paper's alpha)
 QUOTA_PERIOD_MS = 5000.0  # the quotas of a server are picked anew this often (design)
@@ -284,7 +284,7 @@
                 act(event)
         return self.out
 
-    def tell(self, s: Session, box: Box | None, because: i.ReasonCode, value: float = 0.0) -> None:
+    def tell(self, s: Session, box: Box | None, because: ReasonCode, value: float = 0.0) -> None:
         if self.why is not None:
             age = self.now - box.link.heard_at if box else 0.0
             self.why.append(i.Reason(s.told.id, box.told.id if box else 0, because, value, age))
@@ -460,7 +460,7 @@
     def place(self, s: Session) -> None:
         """The ordinary path: two random holders, less loaded first; reserve, pool, sub-rating, refusal."""
         if s.cls.seats and self.seats[s.told.cls, s.told.title] >= s.cls.seats:
-            self.tell(s, None, i.ReasonCode.NO_SEAT, s.cls.seats)
+            self.tell(s, None, ReasonCode.NO_SEAT, s.cls.seats)
             self.give_up(s)
             return
         # Where more requests may act on one report than fit, each does so with that probability.
@@ -474,13 +474,13 @@
                 kb = s.plan.kb[rung]
                 ask = kb + doubt if rung > s.plan.floor else max(kb, kb * luck * rivals)
                 if part := self.part(box, s.premium, ask):
-                    self.tell(s, box, i.ReasonCode[part.upper()], kb)
+                    self.tell(s, box, ReasonCode[part.upper()], kb)
                     self.send(s, box, rung, part)
                     return
-            self.tell(s, box, i.ReasonCode.NO_ROOM, s.plan.kb[s.plan.floor])
+            self.tell(s, box, ReasonCode.NO_ROOM, s.plan.kb[s.plan.floor])
         for box in pair:
             if s.premium and self.sub_rate(box, s):
-                self.tell(s, box, i.ReasonCode.SUB_RATED, s.plan.kb[s.plan.floor])
+                self.tell(s, box, ReasonCode.SUB_RATED, s.plan.kb[s.plan.floor])
                 self.send(s, box, s.plan.floor, "pool")
                 return
         self.give_up(s)
@@ -543,32 +543,26 @@
         if s.advice.bars:
             holders = [b for b in holders if b.told.zone not in s.advice.bars]
             if not holders:
-                self.tell(s, None, i.ReasonCode.ZONES_BARRED, len(self.order))
+                self.tell(s, None, ReasonCode.ZONES_BARRED, len(self.order))
         good: list[Box] = []
         aside: list[Box] = []  # by advice
         spare: list[Box] = []  # known full, or for a paid session not known to serve
         for box in islice(self.looks(s, holders), LOOKS):
             if box.told.state != ServerState.READY or box.told.id in s.tried:
                 drains = box.told.state != ServerState.READY
-                self.tell(s, box, i.ReasonCode.DRAINING if drains else i.ReasonCode.ALREADY_TRIED)
+                self.tell(s, box, ReasonCode.DRAINING if drains else ReasonCode.ALREADY_TRIED)
                 continue
             if s.paid and box.evidence > EVIDENCE_PROVEN:
-                self.tell(s, box, i.ReasonCode.RECENT_FAILURE, box.evidence)
+                self.tell(s, box, ReasonCode.RECENT_FAILURE, box.evidence)
                 continue
             if self.now < box.barred_until:
-                self.tell(s, box, i.ReasonCode.EJECTED, box.barred_until - self.now)
+                self.tell(s, box, ReasonCode.EJECTED, box.barred_until - self.now)
             elif not self.warm_enough(box):
-                self.tell(s, box, i.ReasonCode.COLD_START)
+                self.tell(s, box, ReasonCode.COLD_START)
             else:
                 full = self.room(box) < s.plan.kb[s.plan.floor]
                 later = s.advice is not i.NO_ADVICE and self.set_aside(s.advice, box.told)
-                group = (
-                    i.ReasonCode.FULL
-                    if full
-                    else i.ReasonCode.DEPRIORITIZED
-                    if later
-                    else i.ReasonCode.CANDIDATE
-                )
+                group = ReasonCode.FULL if full else ReasonCode.AVOIDED if later else ReasonCode.CANDIDATE
                 self.tell(s, box, group, self.room(box))
                 (spare if full else aside if later else good).append(box)
                 if len(good) >= 2 and (not cross or sum(b.told.zone == zone for b in good) >= 2):
@@ -709,7 +703,7 @@
         return again + 1 <= self.settings.retry_free + self.settings.retry_share * taken
 
     def give_up(self, s: Session) -> None:  # the final answer, at once
-        self.tell(s, None, i.ReasonCode.GIVEN_UP, s.attempts)
+        self.tell(s, None, ReasonCode.GIVEN_UP, s.attempts)
         most = self.settings.max_pause_ms if self.settings.pause_advice else 0.0
         pause = min(most, s.advice.pause_ms or most)
         self.out.append(i.Fail(s.told.id) if s.maybe_ran and s.paid else i.Refuse(s.told.id, pause))
@@ -861,7 +855,7 @@
             for rung in range(max(s.plan.rungs[level], s.rung + 1), s.rung, -1):
                 part = box.dice if rung == s.rung + 1 else 1.0
                 if room > 0 and part * (s.plan.kb[rung] - s.kb) <= room:
-                    self.tell(s, box, i.ReasonCode.RUNG_RAISED, room)
+                    self.tell(s, box, ReasonCode.RUNG_RAISED, room)
                     room -= s.plan.kb[rung] - s.kb
                     self.set_rung(s, rung)
                     break
@@ -871,7 +865,7 @@
         s.settled, spare = True, min(p.room(self.now) - p.doubt(self.now) for p in box.pipes)
         fit = [r for r in range(s.plan.floor, top + 1) if s.plan.kb[r] - s.kb <= spare]
         if (rung := max(fit, default=s.plan.floor)) != s.rung:
-            self.tell(s, box, i.ReasonCode.RUNG_ADJUSTED, spare)
+            self.tell(s, box, ReasonCode.RUNG_ADJUSTED, spare)
             self.set_rung(s, rung, joins=True)
 
     def step_down(self, ready: list[Session], give: float, dice: float) -> None:  # the cheapest steps first
@@ -887,7 +881,5 @@
             aims[n], give = -r - 1, give - step
         for n, rung in aims.items():
             box = ready[n].box
-            self.tell(
-                ready[n], box, i.ReasonCode.RUNG_LOWERED, min(p.fit() for p in box.pipes) if box else 0.0
-            )
+            self.tell(ready[n], box, ReasonCode.RUNG_LOWERED, min(p.fit() for p in box.pipes) if box else 0.0)
             self.set_rung(ready[n], rung)
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -432,7 +432,7 @@
             self.bridge.tell(memory)
         lost = keeper.lost()
         if memory or lost:
-            age_s = round((self.now_ms() - memory.at) / 1000, 1) if memory else None
+            age_s = round((self.now_ms() - memory.recorded_at) / 1000, 1) if memory else None
             log.info("kept state read", sessions_lost=lost, learned_s_ago=age_s)
         keeper.start()
 
--- a/lemonhall/interface.py
+++ b/lemonhall/interface.py
@@ -311,7 +311,7 @@
     EJECTED = 4  # left alone [ms more]
     COLD_START = 5  # not its turn yet
     FULL = 6  # known full [kB of room]
-    DEPRIORITIZED = 7  # set aside by advice
+    AVOIDED = 7  # set aside by advice
     CANDIDATE = 8  # may be asked [kB of room]
     NO_ROOM = 9  # no room in its reserve or the pool [kB asked]
     RESERVE = 10  # taken, in its own reserve [kB]
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -245,14 +245,14 @@
     front.handle(500.0, [AttemptEnded(2, 0, sent.server, Outcome.RESET, False, 400.0)])
     kept = front.memory()
     bad = next(s for s in kept.servers if s.server == sent.server)
-    assert bad.evidence > 0 and bad.barred_until > 500.0
+    assert bad.failure_score > 0 and bad.ejected_until > 500.0
     anew = Front(settings, 6)
     started_anew = tuple(replace(s, ready_at=400.0) if s.id == servers[0].id else s for s in servers)
     anew.handle(600.0, [ServerList(ListKind.CACHED, 3, started_anew), kept])
     box = anew.boxes[sent.server]
     renewed = sent.server == servers[0].id
-    assert box.barred_until == (float("-inf") if renewed else bad.barred_until)
-    assert anew.set_up_ms == kept.set_up_ms and anew.memory().length_ms == kept.length_ms
+    assert box.barred_until == (float("-inf") if renewed else bad.ejected_until)
+    assert anew.set_up_ms == kept.mean_set_up_ms and anew.memory().mean_session_ms == kept.mean_session_ms
     far = Front(settings, 6)
     far.handle(600.0 + 90_000.0, [ServerList(ListKind.CACHED, 3, servers), kept])
     assert far.boxes[sent.server].evidence == 0.0  # too old to be held against it
