--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -192,7 +192,9 @@
     replay = Replay()
     assert all(s.same for s in replay.run(read_capture(day.data).records) if isinstance(s, Step))
     present, loaded = attribute_names(replay.module), attribute_names(thaw(snapshot.module))
-    assert len(loaded) > 8 and loaded == {cls: present[cls] for cls in loaded}
+    for cls in loaded:
+        assert loaded[cls] == ({f.name for f in fields(cls)} if is_dataclass(cls) else present[cls])
+    assert {decide.Front, decide.Box, decide.Pipe, decide.Plan, decide.Session, i.Settings} <= set(loaded)
 
 
 def test_no_earlier_name_of_a_snapshot_has_a_new_meaning() -> None:
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -286,7 +286,7 @@
     site.until(lambda: again.bridge.calls > 1 or again.list.list.boxes)
     assert set(again.list.list.boxes) == {1, 2}
     remembered = again.memory()
-    assert remembered and remembered.set_up_ms == learned.set_up_ms != 150.0
+    assert remembered and remembered.mean_set_up_ms == learned.mean_set_up_ms != 150.0
     kept = again.keeper
     assert kept
     site.until(lambda: not list(kept.store.each("held")))  # who played then does not any more
