--- a/benchmarks/hooks.py
+++ b/benchmarks/hooks.py
@@ -24,7 +24,7 @@
 from lemonhall import interface as i  # noqa: E402
 from lemonhall.config.day import read_day  # noqa: E402
 from lemonhall.config.settings import FrontSettings  # noqa: E402
-from lemonhall.front.deciding.hooks import known_of  # noqa: E402
+from lemonhall.front.decider.hooks import hook_names  # noqa: E402
 from lemonhall.hooks import Engine, EngineLimits, Source  # noqa: E402
 from lemonhall.hooks.advice import Session  # noqa: E402
 from lemonhall.hooks.machine import Nowhere  # noqa: E402
@@ -63,7 +63,7 @@
     """A hook's call at arrival against `handle` of one new session, turn by turn."""
     day = read_day(ROOT / "examples" / "days" / "bad.kdl")
     settings = FrontSettings("f", 0, 1, 0, 1, ("", 0), day.terms)
-    known = known_of(settings)
+    known = hook_names(settings)
     facts = {f.name: {"text": "", "flag": False}.get(f.type, 0.0) for f in FACTS}
     facts |= {"class": "browse-clip", "partner": "delta-buses", "title": "/nile/browse/7", "viewer": "v7"}
     facts |= {"hall": "hall-a", "rung": 3.0, "sessions": 40.0, "again": True}
--- a/lemonhall/cli/capture.py
+++ b/lemonhall/cli/capture.py
@@ -15,7 +15,7 @@
 from lemonhall.capture.ring import rewritten
 from lemonhall.capture.story import Front, action_words, event_words, ident_of, story, timelines
 from lemonhall.config.settings import read_settings
-from lemonhall.front.keeping.capturing import write_new
+from lemonhall.front.persistence.capture_writer import write_atomically
 from lemonhall.front.process.daemon import load_module
 from lemonhall.problem import BadInput
 
@@ -62,7 +62,7 @@
             data = answer.read()
     except (OSError, urllib.error.URLError) as error:
         raise BadInput(status, f"no front answers there: {error}") from error
-    write_new(out, data)
+    write_atomically(out, data)
     click.echo(f"{out}: {len(data)} bytes")
 
 
@@ -119,7 +119,7 @@
     make = load_module(module) if module else decide.Front
     steps = [s for s in run(file, Replay(make), made) if isinstance(s, Step)]
     changed = sum(not s.same for s in steps)
-    write_new(file, rewritten(made.records, [(s.number, s.decided) for s in steps], reason))
+    write_atomically(file, rewritten(made.records, [(s.number, s.decided) for s in steps], reason))
     click.echo(f"{file}: {changed} of {len(steps)} calls decided otherwise")
 
 
@@ -135,7 +135,9 @@
         assert replay.header
         offset = replay.header.wall_ms - replay.header.at_ms
         fronts.append(Front(f"{replay.header.front}, {file.name}", steps, offset))
-    write_new(out, timelines(fronts, "Captures" if len(files) > 1 else f"Capture {files[0].name}").encode())
+    write_atomically(
+        out, timelines(fronts, "Captures" if len(files) > 1 else f"Capture {files[0].name}").encode()
+    )
 
 
 @click.command()
--- a/lemonhall/cli/hooks.py
+++ b/lemonhall/cli/hooks.py
@@ -11,7 +11,7 @@
 
 from lemonhall import interface as i
 from lemonhall.config.settings import read_settings
-from lemonhall.front.deciding.hooks import known_of
+from lemonhall.front.decider.hooks import hook_names
 from lemonhall.hooks import BadScript, Engine, EngineLimits, Known, Source, compile_script, format_script
 from lemonhall.hooks.advice import Session
 from lemonhall.hooks.machine import Nowhere
@@ -45,7 +45,7 @@
 @click.option("--json", "as_json", is_flag=True, help="One JSON object on the last line.")
 def check(files: tuple[Path, ...], settings: Path | None, as_json: bool) -> None:
     """Say all that is wrong in FILES; exit 2 if anything is."""
-    known = known_of(read_settings(settings)) if settings else Known()
+    known = hook_names(read_settings(settings)) if settings else Known()
     problems = []
     for path in files:
         try:
@@ -123,7 +123,7 @@
 ) -> None:
     """Run FILES on an example session and show what each said and what stands."""
     read = read_settings(settings) if settings else None
-    known = known_of(read) if read else Known(racks=1 << 30)
+    known = hook_names(read) if read else Known(racks=1 << 30)
     facts = facts_of(pairs)
     limits = EngineLimits()
     if read:
--- a/lemonhall/cli/serve.py
+++ b/lemonhall/cli/serve.py
@@ -21,7 +21,7 @@
 from lemonhall import decide
 from lemonhall.config.schema import SETTINGS
 from lemonhall.config.settings import FrontSettings, make_settings, read_tree
-from lemonhall.front.deciding import asks
+from lemonhall.front.decider import set_up_requests
 from lemonhall.front.guarding import guard
 from lemonhall.front.guarding.guard import GuardedDaemon
 from lemonhall.front.process.channel import Channel
@@ -78,7 +78,7 @@
     daemon.loop.on_signal(signal.SIGINT, daemon.stop)
     say({"serving": daemon.host})
     run(daemon)
-    if limits := daemon.asks.limits:
+    if limits := daemon.set_up_requests.limits:
         say(limits.machine.show(limits.now()))
 
 
@@ -89,8 +89,8 @@
 def with_workers(made: FrontSettings, settings: Path, module: str, replace: bool, die_at: str) -> None:
     """This process is the parent."""
     parent = Parent(settings, made, log_format(), module, Loop())
-    point = guard.die_at("" if die_at in asks.POINTS else die_at, changing.POINTS)
-    parent.die_at = die_at if die_at in asks.POINTS else ""
+    point = guard.die_at("" if die_at in set_up_requests.FAILPOINTS else die_at, changing.POINTS)
+    parent.die_at = die_at if die_at in set_up_requests.FAILPOINTS else ""
     wrong: list[str] = []
 
     def opened(anew: bool) -> None:
@@ -151,7 +151,7 @@
     wall = Wall(made.name)
     daemon = Daemon(made, load_module(module) if module else decide.Front, wall=wall)
     daemon.remember(str(settings), pickle.dumps(typed))
-    daemon.asks.point = guard.die_at(die_at, asks.POINTS)
+    daemon.set_up_requests.failpoint = guard.die_at(die_at, set_up_requests.FAILPOINTS)
 
     def heard(message: dict[str, Any], _: list[int]) -> None:
         if "alive" in message:
@@ -192,8 +192,8 @@
         daemon.loop.on_signal(number, act)
     daemon.hooks.on_load = lambda fine: say({"hooks": fine})
     if folder := os.environ.get(DEAF):
-        if daemon.asks.returning:
-            daemon.asks.returning.on_full = lambda after_s: say({"full": after_s})
+        if daemon.set_up_requests.recovery:
+            daemon.set_up_requests.recovery.on_full = lambda after_s: say({"full": after_s})
         hear_less(daemon, Path(folder) / f"{daemon.settings.name}.deaf")
         if isinstance(daemon.wall, Wall):
             daemon.wall.follow(daemon.loop)
@@ -229,7 +229,9 @@
 def hear_less(daemon: Daemon, path: Path) -> None:
     """For days: while the file is there, nothing is heard from the members' ports that it names."""
     if daemon.membership:
-        daemon.membership.deaf_to = {int(w) for w in path.read_text().split()} if path.exists() else set()
+        daemon.membership.blocked_ports = (
+            {int(w) for w in path.read_text().split()} if path.exists() else set()
+        )
     daemon.loop.call_later(DEAF_EVERY_S, hear_less, daemon, path)
 
 
--- a/lemonhall/front/deciding/bridge.py
+++ b/lemonhall/front/decider/bridge.py
@@ -19,9 +19,9 @@
 class Capture(Protocol):
     """Told of each call, with its number from 0: before it is made, and what came of it."""
 
-    def before(self, module: Decider, number: int, now: float) -> None: ...
-    def call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None: ...
-    def word(self, now: float, who: str, text: str, session: int = 0) -> None: ...
+    def before_call(self, module: Decider, number: int, now: float) -> None: ...
+    def add_call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None: ...
+    def add_note(self, now: float, who: str, text: str, session: int = 0) -> None: ...
 
 
 class Bridge:
@@ -29,16 +29,16 @@
 
     def __init__(self, decider: Decider, now_ms: Callable[[], float]) -> None:
         self.decider, self.now_ms = decider, now_ms
-        self.carry_out: dict[type, Callable[[Any], object]] = {}
+        self.action_handlers: dict[type, Callable[[Any], object]] = {}
         self.events: list[i.Event] = []
-        self.calls = self.told = 0
+        self.calls = self.events_handled = 0
         self.capture: Capture | None = None
-        self.undone = 0  # actions that nobody carries out
+        self.unhandled_actions = 0  # actions that nobody carries out
 
-    def tell(self, event: i.Event) -> None:
+    def enqueue(self, event: i.Event) -> None:
         self.events.append(event)
 
-    def untell(self, event: i.Event) -> bool:
+    def remove_queued(self, event: i.Event) -> bool:
         """Takes back what the module has not heard yet; whether that was so."""
         for n, told in enumerate(self.events):
             if told is event:
@@ -46,14 +46,14 @@
                 return True
         return False
 
-    def left(self, told: i.NewSession) -> bool:
+    def enqueue_viewer_gone(self, told: i.NewSession) -> bool:
         """The viewer of a session has gone; False: the module has not heard of the session, and never will.
 
         It is heard ahead of all that waits. Guards against the end of an attempt that came in the same pass:
         heard first, it would have the module send the next attempt for a session that nobody has any more,
         and hold its place and seat for ever, since nobody would tell that attempt's end.
         """
-        if self.untell(told):
+        if self.remove_queued(told):
             return False
         self.events.insert(0, i.ViewerGone(told.id))
         return True
@@ -61,21 +61,21 @@
     def flush(self) -> None:
         """One call for all that was told since the last; none if nothing was."""
         if self.events:
-            self.call()
+            self.call_module()
 
-    def call(self) -> None:
+    def call_module(self) -> None:
         """Calls the module even if nothing was told: its first call, from which its timers run."""
         events, self.events = self.events, []
         self.calls += 1
-        self.told += len(events)
+        self.events_handled += len(events)
         now = self.now_ms()
         if self.capture:
-            self.capture.before(self.decider, self.calls - 1, now)
+            self.capture.before_call(self.decider, self.calls - 1, now)
         actions = self.decider.handle(now, events)
         if self.capture:
-            self.capture.call(self.calls - 1, now, events, actions)
+            self.capture.add_call(self.calls - 1, now, events, actions)
         for action in actions:
-            if act := self.carry_out.get(type(action)):
+            if act := self.action_handlers.get(type(action)):
                 act(action)
             else:
-                self.undone += 1
+                self.unhandled_actions += 1
--- a/lemonhall/front/deciding/claims.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from lemonhall.front.keeping.keeper import Keeper
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.loop import Loop, Timer
 from lemonhall.members.members_pb2 import ASK_CLAIM, CLAIM, Message
 from lemonhall.store import Answer, Begun, Standing, Token, Verdict
@@ -23,7 +23,7 @@
 
     number: int
 
-    def tell_front(self, number: int, message: Any) -> bool: ...
+    def send_to_front(self, number: int, message: Any) -> bool: ...
 
 
 @dataclass
@@ -37,11 +37,11 @@
     timer: Timer | None = None
 
 
-class Claims:
+class ClaimResolver:
     """Each `then` is called once: with `GO`, `RAN` or `UNKNOWN`."""
 
-    def __init__(self, loop: Loop, keeper: Keeper | None, carrier: Carrier | None) -> None:
-        self.loop, self.keeper, self.carrier = loop, keeper, carrier
+    def __init__(self, loop: Loop, store_service: StoreService | None, carrier: Carrier | None) -> None:
+        self.loop, self.store_service, self.messenger = loop, store_service, carrier
         self.waiting: dict[Token, Waiting] = {}
         self.counts = Counter[str]()
 
@@ -49,10 +49,10 @@
         """`then` follows at once if this front knows by itself, else within the time."""
         if earlier := self.waiting.get(token):  # the same claim again: whoever came last is the viewer
             self.finish(token, earlier, Begun(Verdict.UNKNOWN))
-        if self.keeper is None:
+        if self.store_service is None:
             then(Begun(Verdict.UNKNOWN))
             return
-        begun = self.keeper.ledger.begin(token, self.keeper.wall())
+        begun = self.store_service.ledger.begin(token, self.store_service.wall())
         if begun.verdict is not Verdict.ASK:
             then(begun)
             return
@@ -63,19 +63,19 @@
         """Again and again until an answer or the end of the time: datagrams may be lost."""
         if self.waiting.get(token) is not wait:
             return
-        if self.loop.now() >= wait.until or self.carrier is None or self.keeper is None:
+        if self.loop.now() >= wait.until or self.messenger is None or self.store_service is None:
             self.finish(token, wait, Begun(Verdict.UNKNOWN))
             return
         self.counts["asked"] += 1
         message = Message(
             kind=ASK_CLAIM,
-            sender=self.carrier.number,
+            sender=self.messenger.number,
             claim=token.key,
             turn=wait.begun.turn,
-            own_store=self.keeper.number,
+            own_store=self.store_service.number,
             store=wait.begun.store,
         )
-        self.carrier.tell_front(wait.begun.front, message)
+        self.messenger.send_to_front(wait.begun.front, message)
         wait.timer = self.loop.call_later(AGAIN_S, self.ask, token, wait)
 
     def finish(self, token: Token, wait: Waiting, begun: Begun) -> None:
@@ -85,7 +85,7 @@
         self.counts[begun.verdict.value] += 1
         wait.then(begun)
 
-    def heard(self, message: Any) -> None:
+    def on_message(self, message: Any) -> None:
         """A message about a claim, opened and from a member."""
         try:
             token = Token.of_key(message.claim)
@@ -98,44 +98,44 @@
             self.answered(token, message)
 
     def asked(self, token: Token, message: Any) -> None:
-        if self.carrier is None:
+        if self.messenger is None:
             return
         answer: Answer | None = Answer(None)
         write = None
-        if self.keeper:
+        if self.store_service:
             by = (message.sender, message.own_store)
-            wall = self.keeper.wall()
-            answer, write = self.keeper.ledger.asked(token, by, message.store, message.turn, wall)
+            wall = self.store_service.wall()
+            answer, write = self.store_service.ledger.asked(token, by, message.store, message.turn, wall)
         if answer is None:
             return
         self.counts["answered"] += 1
         reply = Message(
             kind=CLAIM,
-            sender=self.carrier.number,
+            sender=self.messenger.number,
             claim=token.key,
             turn=answer.turn,
             standing=int(answer.standing or 0),
             to=answer.to,
             store=answer.to_store,
         )
-        if write and self.keeper:
-            self.keeper.write(write, partial(self.reply, message.sender, reply))
+        if write and self.store_service:
+            self.store_service.write(write, partial(self.reply, message.sender, reply))
         else:
             self.reply(message.sender, reply, "")
 
     def reply(self, to: int, message: Any, why: str) -> None:
         """Once what it says is on disk; if it could not be written, nothing is said and they ask again."""
-        if self.carrier and not why:
-            self.carrier.tell_front(to, message)
+        if self.messenger and not why:
+            self.messenger.send_to_front(to, message)
 
     def answered(self, token: Token, message: Any) -> None:
         wait = self.waiting.get(token)
-        if wait is None or message.sender != wait.begun.front or self.keeper is None:
+        if wait is None or message.sender != wait.begun.front or self.store_service is None:
             return  # an old answer, or a doubled one
         standing = Standing(message.standing) if message.standing in set(Standing) else None
         answer = Answer(standing, message.turn, message.to, message.store)
         wait.hops += 1
-        begun = self.keeper.ledger.answered(token, answer, wait.hops)
+        begun = self.store_service.ledger.answered(token, answer, wait.hops)
         if begun.verdict is Verdict.ASK:
             if wait.timer:
                 wait.timer.cancel()
--- a/lemonhall/front/deciding/hooks.py
+++ b/lemonhall/front/decider/hooks.py
@@ -30,7 +30,7 @@
 NAMES = [f.name for f in FACTS]
 
 
-def known_of(settings: FrontSettings) -> Known:
+def hook_names(settings: FrontSettings) -> Known:
     """Names that scripts are checked against."""
     t = settings.terms
     return Known(
@@ -44,7 +44,7 @@
     )
 
 
-def read_sources(settings: FrontSettings) -> list[Source]:
+def read_hook_sources(settings: FrontSettings) -> list[Source]:
     """All scripts of the settings, in their order. Raises `BadInput` if one cannot be read."""
     sources = []
     for entry in settings.hooks.files:
@@ -73,7 +73,7 @@
     attempts: int
 
 
-class Hooks:
+class HookRunner:
     """`servers` gives the box list; `now_ms` does not go back, `wall_ms` is Unix time and may."""
 
     def __init__(
@@ -89,13 +89,13 @@
         self.now_ms, self.wall_ms = now_ms, wall_ms
         h = settings.hooks
         limits = EngineLimits(h.fuel, h.memory, h.total, h.strikes, h.fade_ms)
-        self.engine = Engine(limits, known_of(settings))
-        self.refused = Lately()
+        self.engine = Engine(limits, hook_names(settings))
+        self.refusal_times = Lately()
         self.uses: dict[int, tuple[float, float]] = {}  # of a server's link: use, when heard
         self.loads: dict[str, tuple[float, float]] = {}  # of a hall: use, when worked out
         self.builder = builder
         self.building = self.again = False
-        self.reloads = self.refused_loads = 0
+        self.reloads = self.rejected_loads = 0
         self.on_load: Callable[[bool], object] = lambda fine: None  # told of the end of each reload
         self.judged: dict[tuple[int, bool], Session] = {}
 
@@ -104,7 +104,7 @@
     def load(self) -> None:
         """Reads and compiles all scripts here and now. Raises `BadInput` with every problem."""
         try:
-            self.engine.swap(read_sources(self.settings))
+            self.engine.swap(read_hook_sources(self.settings))
         except BadScript as error:
             raise BadInput(error.problems[0].file, "\n".join(map(str, error.problems))) from error
 
@@ -113,7 +113,7 @@
         try:
             self.load()
         except BadInput as error:
-            self.refuse_load(str(error).split("\n"))
+            self.reject_load(str(error).split("\n"))
 
     def reload(self) -> None:
         """Reads the scripts anew, beside what plays; one reload at a time, the last one asked for counts."""
@@ -121,19 +121,19 @@
             self.again = True
             return
         try:
-            sources = read_sources(self.settings)
+            sources = read_hook_sources(self.settings)
             self.builder.ask(
-                ("hooks", sources, self.engine.known), lambda result: self.built(sources, result)
+                ("hooks", sources, self.engine.known), lambda result: self.on_compiled(sources, result)
             )
             self.building = True
         except (BadInput, OSError) as error:
-            self.refuse_load([str(error)])
+            self.reject_load([str(error)])
 
-    def built(self, sources: list[Source], result: tuple[list[Program], list[Problem]] | None) -> None:
+    def on_compiled(self, sources: list[Source], result: tuple[list[Program], list[Problem]] | None) -> None:
         self.building = False
         programs, problems = result or ([], [Problem("hooks", 0, 0, "the scripts could not be compiled")])
         if problems:
-            self.refuse_load([str(p) for p in problems])
+            self.reject_load([str(p) for p in problems])
         else:
             try:
                 pairs = zip(sources, programs, strict=True)
@@ -143,33 +143,33 @@
                 log.info("hooks loaded", scripts=names[:50], version=self.engine.version)
                 self.on_load(True)
             except BadScript as error:
-                self.refuse_load([str(p) for p in error.problems])
+                self.reject_load([str(p) for p in error.problems])
         if self.again:
             self.again = False
             self.reload()
 
-    def resettle(self, settings: FrontSettings) -> None:
+    def apply_settings(self, settings: FrontSettings) -> None:
         """Other settings from now on; the scripts are read anew under them."""
         self.settings = settings
         h = settings.hooks
         self.engine.limits = EngineLimits(h.fuel, h.memory, h.total, h.strikes, h.fade_ms)
-        self.engine.known = known_of(settings)
+        self.engine.known = hook_names(settings)
         self.judged.clear()
         self.reload()
 
-    def refuse_load(self, problems: list[str]) -> None:
-        self.refused_loads += 1
+    def reject_load(self, problems: list[str]) -> None:
+        self.rejected_loads += 1
         log.error("hooks refused, the old ones stay", problems=problems[:20])
         self.on_load(False)
 
     # what the front sees
 
-    def hear(self, server: int, use: float) -> None:
+    def on_link_use(self, server: int, use: float) -> None:
         """A server's link use, as it was reported."""
         if self.engine.scripts and 0 <= use < float("inf"):
             self.uses[server] = (use, self.now_ms())
 
-    def load_of(self, hall: str) -> float:
+    def zone_load(self, hall: str) -> float:
         now = self.now_ms()
         use, at = self.loads.get(hall, (0.0, float("-inf")))
         if now - at < LOAD_EVERY_MS or hall not in self.settings.terms.halls:
@@ -182,11 +182,11 @@
         return use
 
     def refusals(self, window_ms: float) -> float:
-        return float(self.refused.count(window_ms, self.now_ms()))
+        return float(self.refusal_times.count(window_ms, self.now_ms()))
 
     # asking; the machine's host is a part of this one
 
-    def ask(self, point: str, subject: Subject, moved: bool, **more: Any) -> Ruling:
+    def run(self, point: str, subject: Subject, moved: bool, **more: Any) -> Ruling:
         """What the scripts say of a session at a point. `more`: facts that are known only there."""
         asked = subject.said
         if not self.engine.scripts:
@@ -237,7 +237,7 @@
         shown = {
             "version": e.version,
             "loaded": self.reloads,
-            "refused": self.refused_loads,
+            "refused": self.rejected_loads,
             "skipped": e.skipped,
             "scripts": e.report(),
             "overruled": overruled,
@@ -249,11 +249,11 @@
 class Sight:
     """The machine's host: what a script may look at of the front."""
 
-    def __init__(self, hooks: Hooks) -> None:
+    def __init__(self, hooks: HookRunner) -> None:
         self.hooks = hooks
 
     def load(self, hall: str) -> float:
-        return self.hooks.load_of(hall)
+        return self.hooks.zone_load(hall)
 
     def refusals(self, window_ms: float) -> float:
         return self.hooks.refusals(window_ms)
--- a/lemonhall/front/deciding/limits.py
+++ b/lemonhall/front/decider/limits.py
@@ -29,10 +29,10 @@
 
     number: int
 
-    def tell_front(self, number: int, message: Any) -> bool: ...
+    def send_to_front(self, number: int, message: Any) -> bool: ...
 
 
-class LimitsDesk:
+class LimitsDriver:
     """`said`: told of what a limit refuses or ends, for the capture. `on_end`: of a session that must end."""
 
     def __init__(
@@ -43,14 +43,20 @@
         clock: Callable[[], float] = clock_ms,
         said: Callable[[str, int], object] = lambda words, ask: None,
     ) -> None:
-        self.loop, self.machine, self.carrier, self.now, self.said = loop, machine, carrier, clock, said
+        self.loop, self.machine, self.messenger, self.now, self.record_event = (
+            loop,
+            machine,
+            carrier,
+            clock,
+            said,
+        )
         self.timer: Timer | None = None
         self.stopped = True
-        self.on_end: Callable[[int, str], object] = lambda ask, why: None
+        self.on_session_end: Callable[[int, str], object] = lambda ask, why: None
 
     def start(self) -> None:
         self.stopped = False
-        self.timer = self.loop.call_later(0.0, self.tick)
+        self.timer = self.loop.call_later(0.0, self.on_tick)
 
     def stop(self) -> None:
         """Another process goes by this front's parts now, or none: nothing is said, or let in."""
@@ -58,19 +64,19 @@
         if self.timer:
             self.timer.cancel()
 
-    def view(self, view: View, twin: bool) -> None:
+    def on_view_changed(self, view: View, twin: bool) -> None:
         escrow = self.machine.escrow
         escrow.members = view.members
         if escrow.twin != twin:
             escrow.twin = twin
             escrow.agree()
 
-    def settle(self, plan: Plan) -> None:
+    def apply_plan(self, plan: Plan) -> None:
         self.machine.settle(plan)
 
     # asks
 
-    def ask(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> Ruling:
+    def admit(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> Ruling:
         """`moved`: the session, if it has left a server and asks again."""
         if moved and self.machine.unpark(self.now(), ask, moved):
             return Ruling()
@@ -78,57 +84,59 @@
             return RELIEVED
         ruling = self.machine.ask(self.now(), ask, partner, cls, title, top)
         if ruling.refused:
-            self.said(f"limit {ruling.refused}: no room", ask)
-        self.obey()
+            self.record_event(f"limit {ruling.refused}: no room", ask)
+        self.end_recalled_sessions()
         return ruling
 
-    def may(self, ask: int) -> bool:
+    def may_set_up(self, ask: int) -> bool:
         fine = self.machine.may(self.now(), ask)
-        self.obey()
+        self.end_recalled_sessions()
         return fine
 
-    def over(self, ask: int) -> None:
+    def release(self, ask: int) -> None:
         self.machine.over(self.now(), ask)
 
     def park(self, ask: int, session: str) -> None:
         self.machine.park(self.now(), ask, session)
 
-    def carried(self, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
+    def adopt_session(self, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
         self.machine.carried(self.now(), ask, partner, cls, title, rung)
 
-    def obey(self) -> None:
+    def end_recalled_sessions(self) -> None:
         ends, self.machine.ends = self.machine.ends, []
         for ask in ends:
-            self.said("its room was lent, and the loan is over", ask)
-            self.on_end(ask, "loan of room over")
+            self.record_event("its room was lent, and the loan is over", ask)
+            self.on_session_end(ask, "loan of room over")
 
     # words
 
-    def tick(self) -> None:
-        self.leave(self.machine.tick(self.now()))
-        self.obey()
-        self.timer = self.loop.call_later(self.machine.plan.period_ms / TICKS / 1000, self.tick)
+    def on_tick(self) -> None:
+        self.send(self.machine.tick(self.now()))
+        self.end_recalled_sessions()
+        self.timer = self.loop.call_later(self.machine.plan.period_ms / TICKS / 1000, self.on_tick)
 
-    def heard(self, message: Any) -> None:
+    def on_message(self, message: Any) -> None:
         if self.stopped:
             return
         self.machine.hear(self.now(), message.sender, message.limits)
         if self.machine.escrow.answer or self.machine.escrow.recalled:
-            self.leave(self.machine.tick(self.now()))
-        self.obey()
+            self.send(self.machine.tick(self.now()))
+        self.end_recalled_sessions()
 
-    def leave(self, words: list[Out]) -> None:
-        if self.carrier is None or self.stopped:
+    def send(self, words: list[Out]) -> None:
+        if self.messenger is None or self.stopped:
             return
         for out in words:
-            self.carrier.tell_front(out.to, Message(kind=LIMITS, sender=self.carrier.number, limits=out.data))
+            self.messenger.send_to_front(
+                out.to, Message(kind=LIMITS, sender=self.messenger.number, limits=out.data)
+            )
 
     # operators
 
     def page(self) -> tuple[int, str, bytes]:
         return 200, "application/json", json.dumps(self.machine.show(self.now())).encode() + b"\n"
 
-    def forget(self, front: str) -> tuple[int, str, bytes]:
+    def forget_front(self, front: str) -> tuple[int, str, bytes]:
         """An operator's word that a front is gone for good; it goes to all fronts."""
         if not front.isdecimal():
             return 400, "text/plain", b"fronts are named by their numbers\n"
--- a/lemonhall/front/deciding/listclient.py
+++ b/lemonhall/front/decider/list_client.py
@@ -12,8 +12,8 @@
 
 from lemonhall import interface as i
 from lemonhall.boxlist import CacheError, Delimited, Update, from_cache, to_cache
-from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.front.servers.listed import BoxList
+from lemonhall.front.persistence.store_service import StoreService
+from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.loop import Handler, Loop, Stream
 
 log = structlog.get_logger("lemonhall.front")
@@ -33,25 +33,25 @@
         url: str,
         cache: str,
         name: str,
-        tell: Callable[[i.Event], None],
-        born_ms: float = 0.0,
+        on_event: Callable[[i.Event], None],
+        front_started_ms: float = 0.0,
     ) -> None:
         parts = urlsplit(url)
-        self.loop, self.name, self.tell = loop, name, tell
+        self.loop, self.name, self.on_event = loop, name, on_event
         self.host, self.port = parts.hostname or "", parts.port or 80
         self.path = parts.path or "/"
         self.cache = Path(cache) if cache else None
-        self.keeper: Keeper | None = None  # keeps it as well, if there is one
-        self.list = BoxList(born_ms)
+        self.store_service: StoreService | None = None  # keeps it as well, if there is one
+        self.server_list = ServerListState(front_started_ms)
         self.stream: Stream | None = None
         self.tries = 0
         self.wanted = False
         self.cache_due = False
         self.fresh = False
-        self.on_sign: Callable[[float], object] = lambda as_of: (
+        self.on_list_alive: Callable[[float], object] = lambda as_of: (
             None
         )  # of life: when the list was true; 0: now
-        self.wait_s: Callable[[], float] = lambda: 0.0  # with a call, beside others who call as well
+        self.extra_delay_s: Callable[[], float] = lambda: 0.0  # with a call, beside others who call as well
         self.parser: httptools.HttpResponseParser | None = None
         self.messages = Delimited()
 
@@ -65,32 +65,32 @@
         except (OSError, CacheError) as error:
             log.warning("cached box list not used", file=str(self.cache or "store"), why=str(error))
             return
-        if event := self.list.apply(update, cached=True):
-            self.tell(event)
+        if event := self.server_list.apply(update, cached=True):
+            self.on_event(event)
 
-    def take_over(self, update: Update) -> bool:
+    def adopt_list(self, update: Update) -> bool:
         """A list that others had: of use while there is none. Whether it was."""
-        if self.list.version or self.list.boxes:
+        if self.server_list.version or self.server_list.boxes:
             return False
-        if event := self.list.apply(update, cached=True):
-            self.tell(event)
+        if event := self.server_list.apply(update, cached=True):
+            self.on_event(event)
         return event is not None
 
     def read_cache(self) -> bytes | None:
-        if self.keeper and (kept := self.keeper.load_list()):
+        if self.store_service and (kept := self.store_service.load_list()):
             return kept
         return self.cache.read_bytes() if self.cache and self.cache.exists() else None
 
     def save_cache(self) -> None:
         self.cache_due = False
-        if self.keeper:
-            self.keeper.save_list(to_cache(self.list.snapshot()))
+        if self.store_service:
+            self.store_service.save_list(to_cache(self.server_list.snapshot()))
         if self.cache is None:
             return
         temporary = self.cache.with_suffix(".new")
         try:
             with open(temporary, "wb") as file:
-                file.write(to_cache(self.list.snapshot()))
+                file.write(to_cache(self.server_list.snapshot()))
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(temporary, self.cache)
@@ -112,7 +112,7 @@
         elif self.stream is None:
             wait = RETRY_S[min(self.tries, len(RETRY_S) - 1)]
             self.tries += 1
-            self.loop.call_later(wait + self.wait_s(), self.start)
+            self.loop.call_later(wait + self.extra_delay_s(), self.start)
 
     def reload(self, _: i.Reload | None) -> None:
         """The whole list anew: a new GET brings it."""
@@ -151,18 +151,20 @@
         if self.parser.get_status_code() != 200:
             return
         for update in self.messages.feed(body):
-            older, event = self.list.older, self.list.apply(update)
-            if self.list.older > older:
-                log.warning("older box list left aside", version=update.version, known=self.list.version)
-            if self.list.wants_whole:
-                self.list.wants_whole = False
+            older, event = self.server_list.older_updates, self.server_list.apply(update)
+            if self.server_list.older_updates > older:
+                log.warning(
+                    "older box list left aside", version=update.version, known=self.server_list.version
+                )
+            if self.server_list.needs_full_list:
+                self.server_list.needs_full_list = False
                 self.reload(None)
-            if not self.list.behind:
-                self.on_sign(update.as_of_ms)
+            if not self.server_list.behind:
+                self.on_list_alive(update.as_of_ms)
             if event is None:
                 continue
             self.tries, self.fresh = 0, True
-            self.tell(event)
+            self.on_event(event)
             if not self.cache_due:
                 self.cache_due = True
                 self.loop.call_later(CACHE_EVERY_S, self.save_cache)
@@ -171,4 +173,4 @@
         self.stream = None
         self.fresh = False
         if self.wanted:
-            self.tell(i.ServerList(i.ListKind.FAILED, self.list.version, ()))
+            self.on_event(i.ServerList(i.ListKind.FAILED, self.server_list.version, ()))
--- a/lemonhall/front/deciding/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -67,7 +67,7 @@
         listen: tuple[str, int],
         seeds: tuple[tuple[str, int], ...],
         keys: dict[int, bytes],
-        tell: Callable[[i.Event], None],
+        on_event: Callable[[i.Event], None],
         random: Random,
         config: Config | None = None,
         sock: socket.socket | None = None,
@@ -80,31 +80,31 @@
         """
         self.through = dict(via)
         self.known_as: dict[Any, tuple[str, int]] = {through: at for at, through in via}
-        self.loop, self.tell, self.number = loop, tell, number
+        self.loop, self.on_event, self.number = loop, on_event, number
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         if sock is None:
             self.sock.bind(listen)
         self.sock.setblocking(False)
-        self.at: tuple[str, int] = self.sock.getsockname()
+        self.address: tuple[str, int] = self.sock.getsockname()
         boot = random.getrandbits(32)
         self.keys = Keys(keys, boot)
         addresses = [packed(s) for s in seeds]
-        own = packed(self.at)
+        own = packed(self.address)
         self.machine = Machine(number, own, boot, addresses, config or Config(), Random(random.random()))
         self.share = Share(number, fronts, self.now_ms())
         if told:
             self.share.told = told
-            tell(i.Fleet(*told))
+            on_event(i.Fleet(*told))
         self.bad = 0
         self.version = 0
         self.timer: Timer | None = None
-        self.on_claim: Callable[[Any], object] = lambda message: None
-        self.on_halls: Callable[[Any], object] = lambda message: None
-        self.on_limits: Callable[[Any], object] = lambda message: None
-        self.on_return: Callable[[Any], object] = lambda message: None
-        self.on_share: Callable[[int], object] = lambda fronts: None  # that shares go by
-        self.deaf_to: set[int] = set()  # for tests: ports that nothing is heard from
-        self.on_view: Callable[[View], object] = lambda view: None
+        self.on_claim_message: Callable[[Any], object] = lambda message: None
+        self.on_zones_message: Callable[[Any], object] = lambda message: None
+        self.on_limits_message: Callable[[Any], object] = lambda message: None
+        self.on_recovery_message: Callable[[Any], object] = lambda message: None
+        self.on_share_changed: Callable[[int], object] = lambda fronts: None  # that shares go by
+        self.blocked_ports: set[int] = set()  # for tests: ports that nothing is heard from
+        self.on_view_changed: Callable[[View], object] = lambda view: None
         loop.watch(self.sock, READ, self.on_ready)
         self.send(self.machine.start(self.now_ms()))
         self.arm()
@@ -120,7 +120,7 @@
                 break
             except OSError:  # an ICMP error of an earlier send: whoever it was to is down
                 continue
-            if sender[1] in self.deaf_to:
+            if sender[1] in self.blocked_ports:
                 continue
             if sender in self.known_as:
                 sender = self.known_as[sender]
@@ -133,33 +133,33 @@
                         "member's datagram refused", sender=str(sender), why=str(error), times=self.bad
                     )
                 continue
-            if not self.about_others(message):
+            if not self.dispatch(message):
                 self.send(self.machine.receive(self.now_ms(), packed(sender), message))
         self.arm()
 
-    def about_others(self, data: bytes) -> bool:
+    def dispatch(self, data: bytes) -> bool:
         """Words about other things travel under the same seal: they are not for the machine of members."""
         try:
             message = Message.FromString(data)
         except DecodeError:
             return False
         about = {
-            ASK_CLAIM: self.on_claim,
-            CLAIM: self.on_claim,
-            HALLS: self.on_halls,
-            RECOVERY: self.on_return,
-            LIMITS: self.on_limits,
+            ASK_CLAIM: self.on_claim_message,
+            CLAIM: self.on_claim_message,
+            HALLS: self.on_zones_message,
+            RECOVERY: self.on_recovery_message,
+            LIMITS: self.on_limits_message,
         }
         if message.kind not in about or message.sender == self.number:
             return False
         about[message.kind](message)
         return True
 
-    def greet(self) -> None:
+    def greet_seeds(self) -> None:
         """Asks the seeds who is there, out of turn."""
         self.send(self.machine.greet(self.now_ms()))
 
-    def tell_front(self, number: int, message: Any) -> bool:
+    def send_to_front(self, number: int, message: Any) -> bool:
         """Sends to a front by its number. False if it is not known to be there."""
         member = self.machine.members.get(number)
         if member is None or member.state is MemberState.DEAD:
@@ -181,10 +181,10 @@
         if view.version != self.version:
             self.version = view.version
             log.info("members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.conflict)
-            self.on_view(view)
+            self.on_view_changed(view)
         if told := self.share.look(view, self.now_ms()):
-            self.tell(i.Fleet(*told))
-            self.on_share(told[0])
+            self.on_event(i.Fleet(*told))
+            self.on_share_changed(told[0])
 
     def send(self, out: list[Send]) -> None:
         for each in out:
@@ -204,13 +204,13 @@
         self.loop.watch(self.sock, READ, self.on_ready)
         self.arm()
 
-    def say_leaving(self) -> None:
+    def announce_leave(self) -> None:
         """Tells the others that this front goes on purpose. It speaks for its claims until it is closed."""
         if not self.machine.leaving:
             self.send(self.machine.leave(self.now_ms()))
 
     def leave(self) -> None:
-        self.say_leaving()
+        self.announce_leave()
         self.close()
 
     def close(self) -> None:
--- a/lemonhall/front/deciding/peers.py
+++ b/lemonhall/front/decider/peers.py
@@ -28,23 +28,23 @@
     return HEADER.unpack_from(datagram)[1], datagram[HEADER.size :]
 
 
-class Peers:
+class PeerSocket:
     def __init__(
         self,
         loop: Loop,
         listen: tuple[str, int],
         index: int,
         peers: dict[int, tuple[str, int]],
-        tell: Callable[[i.Event], None],
+        on_event: Callable[[i.Event], None],
         sock: socket.socket | None = None,
     ) -> None:
-        self.loop, self.index, self.peers, self.tell = loop, index, peers, tell
+        self.loop, self.index, self.peers, self.on_event = loop, index, peers, on_event
         family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
         self.sock = sock or socket.socket(family, socket.SOCK_DGRAM)
         self.sock.setblocking(False)
         if sock is None:
             self.sock.bind(listen)
-        self.strange = 0  # datagrams that were none of ours
+        self.rejected_datagrams = 0  # datagrams that were none of ours
         loop.watch(self.sock, READ, self.on_ready)
 
     def send(self, action: i.TellPeers) -> None:
@@ -67,9 +67,9 @@
                 continue
             got = decode(datagram)
             if got is None or self.peers.get(got[0]) != address[:2]:
-                self.strange += 1
+                self.rejected_datagrams += 1
                 continue
-            self.tell(i.PeerMessage(*got))
+            self.on_event(i.PeerMessage(*got))
 
     def close(self) -> None:
         self.loop.watch(self.sock, 0, self.on_ready)
--- a/lemonhall/front/deciding/pools.py
+++ b/lemonhall/front/decider/pool_picker.py
@@ -18,7 +18,7 @@
 Load = Callable[[str], float]  # sessions that this front has at an address
 
 
-class Picker:
+class PoolPicker:
     """`usable(address)`: whether the list has such a server. `pick` gives None if none is there."""
 
     def __init__(self, pool: Pool, random: Random) -> None:
--- a/lemonhall/front/deciding/pooling.py
+++ b/lemonhall/front/decider/pool_preferences.py
@@ -7,10 +7,10 @@
 from random import Random
 
 from lemonhall.config.settings import FrontSettings
-from lemonhall.front.deciding.pools import Picker
+from lemonhall.front.decider.pool_picker import PoolPicker
 
 
-class Pools:
+class PoolPreferences:
     """`known`: numbers of servers by address, as the list has them now. `held`: attempts by server."""
 
     def __init__(
@@ -20,32 +20,32 @@
         counts: Counter[str],
         random: Random,
     ) -> None:
-        self.settings, self.held, self.counts, self.random = settings, held, counts, random
-        self.pickers: dict[str, Picker] = {}
-        self.known: dict[str, int] = {}
-        self.told_version = -1
-        self.version: Callable[[], int] = lambda: 0
-        self.servers: Callable[[], dict[str, int]] = dict
-
-    def settle(self, settings: FrontSettings) -> None:
+        self.settings, self.attempts_by_server, self.counts, self.random = settings, held, counts, random
+        self.pickers: dict[str, PoolPicker] = {}
+        self.known_ids: dict[str, int] = {}
+        self.known_version = -1
+        self.list_version: Callable[[], int] = lambda: 0
+        self.ids_by_address: Callable[[], dict[str, int]] = dict
+
+    def apply_settings(self, settings: FrontSettings) -> None:
         """After other settings: pools begin anew."""
         self.settings = settings
         self.pickers.clear()
 
-    def wish(self, name: str, key: str) -> tuple[tuple[str, int], ...]:
+    def preferences(self, name: str, key: str) -> tuple[tuple[str, int], ...]:
         """For a session whose route has the pool `name`; `key` is what a pick by hash goes by."""
         if not name:
             return ()
-        if self.version() != self.told_version:
-            self.known, self.told_version = self.servers(), self.version()
+        if self.list_version() != self.known_version:
+            self.known_ids, self.known_version = self.ids_by_address(), self.list_version()
         picker = self.pickers.get(name)
         if picker is None:
             routes = self.settings.terms.routes
             pool = next((r.pool for r in routes if r.pool and r.pool.name == name), None)
             if pool is None:
                 return ()
-            picker = self.pickers[name] = Picker(pool, self.random)
-        held = self.held() if picker.pool.pick in ("least", "random-two") else Counter[int]()
-        chosen = picker.pick(key, self.known.__contains__, lambda at: float(held[self.known[at]]))
+            picker = self.pickers[name] = PoolPicker(pool, self.random)
+        held = self.attempts_by_server() if picker.pool.pick in ("least", "random-two") else Counter[int]()
+        chosen = picker.pick(key, self.known_ids.__contains__, lambda at: float(held[self.known_ids[at]]))
         self.counts["pool_empty"] += chosen is None
-        return (("server", self.known[chosen.address]),) if chosen else ()
+        return (("server", self.known_ids[chosen.address]),) if chosen else ()
--- a/lemonhall/front/deciding/returning.py
+++ b/lemonhall/front/decider/recovery.py
@@ -11,9 +11,9 @@
 
 from lemonhall import interface as i
 from lemonhall.boxlist import Box, Update
-from lemonhall.front.deciding.membership import Membership
-from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.front.servers.listed import BoxList
+from lemonhall.front.decider.membership import Membership
+from lemonhall.front.persistence.store_service import StoreService
+from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.loop import Loop, Timer
 from lemonhall.members.machine import View
 from lemonhall.members.members_pb2 import RECOVERY, Message
@@ -41,7 +41,7 @@
     return Box(**{name: getattr(entry, name) for name in SAME})
 
 
-def known(boxes: BoxList, memory: i.Memory | None, now: float) -> list[Any]:
+def list_pages(boxes: ServerListState, memory: i.Memory | None, now: float) -> list[Any]:
     """Pages of the list and of what was learned of its servers, for one that has lost both."""
     learned = {s.server: s for s in memory.servers} if memory else {}
     entries = []
@@ -56,11 +56,11 @@
     return pages(entries, boxes.as_of_ms, boxes.version) if entries else []
 
 
-def list_of(page: Any) -> Update:
+def update_from_page(page: Any) -> Update:
     return Update(version=page.version, full=True, boxes=[box_of(e) for e in page.entries])
 
 
-def memory_of(page: Any, usual: i.Memory | None, now: float) -> i.Memory | None:
+def memory_from_page(page: Any, usual: i.Memory | None, now: float) -> i.Memory | None:
     """Loads as others heard them, beside what this module knows of lengths; None: it keeps no memory."""
     if usual is None:
         return None
@@ -72,7 +72,7 @@
     return i.Memory(now, usual.length_ms, usual.ends, usual.set_up_ms, usual.set_up_spread, servers)
 
 
-class ReturnDesk:
+class RecoveryDriver:
     """`let` is told of asks that waited: they go on now (None), or are to come again after so many ms."""
 
     def __init__(
@@ -81,37 +81,48 @@
         now: Callable[[], float],
         machine: Recovery,
         members: Membership | None,
-        keeper: Keeper | None,
+        store_service: StoreService | None,
         let: Callable[[int, float | None], object],
         said: Callable[[str], object],
     ) -> None:
-        self.loop, self.now, self.machine, self.members, self.keeper = loop, now, machine, members, keeper
-        self.let, self.said = let, said
+        self.loop, self.now, self.machine, self.members, self.store_service = (
+            loop,
+            now,
+            machine,
+            members,
+            store_service,
+        )
+        self.on_admitted, self.record_event = let, said
         self.timer: Timer | None = None
         self.stopped = False
         self.greet_ms = GREET_MS
         self.on_full: Callable[[float], object] = lambda after_s: None
-        self.on_handed: Callable[[Any], object] = lambda page: None
-        if keeper:
-            machine.recall(keeper.load_return() or b"")
-            keeper.keep = machine.to_keep
+        self.on_page_received: Callable[[Any], object] = lambda page: None
+        if store_service:
+            machine.recall(store_service.load_recovery() or b"")
+            store_service.recovery_state = machine.to_keep
         if members:
-            members.on_return = self.heard
-            members.on_share = machine.told
-            self.view(members.machine.view())
+            members.on_recovery_message = self.on_message
+            members.on_share_changed = machine.told
+            self.on_view_changed(members.machine.view())
 
     # the store, before anything of it is used
 
-    def vouch(self, period_ms: float) -> None:
+    def verify_store(self, period_ms: float) -> None:
         """Runs the loop until others have said whether the store is the last one, or have not in time. One
         that is not is put aside. Nothing is asked about a store that was only made now, nor where there are
         no members."""
-        if self.keeper is None or self.members is None or self.keeper.made or not self.machine.phases.others:
+        if (
+            self.store_service is None
+            or self.members is None
+            or self.store_service.made
+            or not self.machine.phases.others
+        ):
             return
         began = self.now()
         self.machine.question(began, max(WITNESS_LEAST_MS, WITNESS_PERIODS * period_ms))
-        self.loop.call_soon(self.tick)
-        self.greet()
+        self.loop.call_soon(self.on_tick)
+        self.greet_seeds()
         self.loop.run(until=lambda: self.machine.trust is not Trust.WAITING)
         witnesses = self.machine.witnesses
         assert witnesses
@@ -119,70 +130,72 @@
         log.info("store asked about", trust=self.machine.trust.value, answers=answers, waited_ms=waited)
         if self.machine.trust is not Trust.SOUND:
             later = max((m for m in witnesses.answers.values() if m), default=None)
-            self.keeper.disown(later if self.machine.trust is Trust.OLDER else None)
+            self.store_service.reject_store(later if self.machine.trust is Trust.OLDER else None)
 
-    def greet(self) -> None:
+    def greet_seeds(self) -> None:
         """A fleet that starts together finds itself sooner than by the members' periods."""
         if self.members and self.machine.trust is Trust.WAITING and not self.machine.asked_at:
-            self.members.greet()
-            self.loop.call_later(self.greet_ms * (0.5 + self.machine.random.random()) / 1000, self.greet)
+            self.members.greet_seeds()
+            self.loop.call_later(
+                self.greet_ms * (0.5 + self.machine.random.random()) / 1000, self.greet_seeds
+            )
             self.greet_ms = min(GREET_MOST_MS, 2 * self.greet_ms)
 
     # what is seen
 
     def start(self) -> None:
         self.stopped = False
-        self.tick()
+        self.on_tick()
 
     def stop(self) -> None:
         self.stopped = True
         if self.timer:
             self.timer.cancel()
 
-    def sign(self, as_of_ms: float, servers: int) -> None:
+    def on_list_alive(self, as_of_ms: float, servers: int) -> None:
         """Of the list's life. `as_of_ms`: when it was true; 0: now."""
         self.machine.listed(self.now(), as_of_ms or self.now(), servers)
-        self.went()
+        self.report_progress()
 
-    def view(self, view: View) -> None:
+    def on_view_changed(self, view: View) -> None:
         self.machine.view(self.now(), view.members)
         if self.timer:
-            self.tick()
+            self.on_tick()
 
-    def heard(self, message: Any) -> None:
+    def on_message(self, message: Any) -> None:
         self.send(self.machine.hear(self.now(), message.sender, message.recovery))
-        self.went()
+        self.report_progress()
 
-    def want(self) -> None:
+    def request_list(self) -> None:
         """Nothing is known of servers: others are asked."""
         if self.members:
             self.machine.want(self.now())
 
     # asks
 
-    def ask(self, number: int, worth: float, left_ms: float) -> Let | None:
+    def admit(self, number: int, worth: float, left_ms: float) -> Let | None:
         """None: it waits, and `let` will be told."""
         made = self.machine.ask(self.now(), number, worth, left_ms)
         if made is None:
             self.arm()
         return made
 
-    def drop(self, number: int) -> None:
+    def drop_request(self, number: int) -> None:
         self.machine.drop(number)
 
     # time
 
-    def tick(self) -> None:
+    def on_tick(self) -> None:
         words, lets = self.machine.tick(self.now())
         self.send(words)
         for let in lets:
-            self.let(let.number, let.pause_ms)
-        self.went()
+            self.on_admitted(let.number, let.pause_ms)
+        self.report_progress()
 
-    def went(self) -> None:
+    def report_progress(self) -> None:
         """Phases that were entered are said; the timer is set for whatever comes next."""
         for page in self.machine.handed:
-            self.on_handed(page)
+            self.on_page_received(page)
         self.machine.handed.clear()
         entered, self.machine.entered = self.machine.entered, []
         for one in entered:
@@ -197,7 +210,7 @@
                 after_s=round(one.after_ms / 1000, 2),
                 lacks=one.lacks,
             )
-            self.said(words)
+            self.record_event(words)
             if one.phase is Phase.FULL:
                 self.on_full(round(one.after_ms / 1000, 2))
         self.arm()
@@ -207,14 +220,14 @@
             self.timer.cancel()
         if not self.stopped:
             wait_s = max(0.001, (self.machine.due() - self.now()) / 1000)
-            self.timer = self.loop.call_later(wait_s, self.tick)
+            self.timer = self.loop.call_later(wait_s, self.on_tick)
 
     def send(self, words: list[Out]) -> None:
         if self.members is None or self.stopped:
             return
         for out in words:
             message = Message(kind=RECOVERY, sender=self.members.number, recovery=out.data)
-            self.members.tell_front(out.to, message)
+            self.members.send_to_front(out.to, message)
 
     # what is shown
 
--- a/lemonhall/front/deciding/asks.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -20,15 +20,15 @@
 from lemonhall import interface as i
 from lemonhall.capture.story import advice_words
 from lemonhall.config.settings import FrontSettings
-from lemonhall.front.deciding.bridge import Bridge
-from lemonhall.front.deciding.claims import Claims
-from lemonhall.front.deciding.halls import HallsDesk
-from lemonhall.front.deciding.hooks import Hooks
-from lemonhall.front.deciding.limits import LimitsDesk
-from lemonhall.front.deciding.pooling import Pools
-from lemonhall.front.deciding.returning import ReturnDesk
-from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.front.keeping.record import Recorder
+from lemonhall.front.decider.bridge import Bridge
+from lemonhall.front.decider.claim_resolver import ClaimResolver
+from lemonhall.front.decider.hooks import HookRunner
+from lemonhall.front.decider.limits import LimitsDriver
+from lemonhall.front.decider.pool_preferences import PoolPreferences
+from lemonhall.front.decider.recovery import RecoveryDriver
+from lemonhall.front.decider.zones import ZonesDriver
+from lemonhall.front.persistence.session_recorder import SessionRecorder
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.hooks.advice import merge
 from lemonhall.interface import Outcome
 from lemonhall.loop import Loop
@@ -62,7 +62,7 @@
 log = structlog.get_logger("lemonhall.front")
 ASK_PART = 0.4  # of the time that is left: another front's word on a claim is waited for
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-POINTS = ("given", "written", "cleared")  # of a paid attempt; for tests, as in a change of guard
+FAILPOINTS = ("given", "written", "cleared")  # of a paid attempt; for tests, as in a change of guard
 LATE_S = 1.0  # behind the deadline: a worker that has said nothing by then does not run
 
 
@@ -102,7 +102,7 @@
     return int(cls), advice_of(advice), str(reason)
 
 
-class Asks:
+class SetUpRequests:
     """`addresses` gives a server's address by its number, also of servers that have left the list."""
 
     def __init__(
@@ -112,25 +112,27 @@
         bridge: Bridge,
         random: Random,
         addresses: Callable[[int], Address | None],
-        hooks: Hooks,
+        hooks: HookRunner,
         counts: Counter[str],
     ) -> None:
         self.loop, self.settings, self.bridge, self.counts = loop, settings, bridge, counts
         self.addresses, self.hooks = addresses, hooks
-        self.open: dict[int, Ask] = {}
-        self.book = Book()
+        self.open_requests: dict[int, Ask] = {}
+        self.attempt_table = Book()
         self.holds: dict[tuple[int, int], Hold] = {}  # of attempts that are out, by ask and attempt
-        self.point: Callable[[str], object] = lambda name: None
-        self.on_took: Callable[[float], object] = lambda ms: None
-        self.recorder: Recorder | None = None
-        self.keeper: Keeper | None = None
-        self.claims = Claims(loop, None, None)
-        self.halls: HallsDesk | None = None
-        self.limits: LimitsDesk | None = None
-        self.returning: ReturnDesk | None = None
-        self.waiting: dict[int, Verdict] = {}  # held back by the return: what was said of their claims
-        self.pools = Pools(settings, self.held_at, self.counts, Random(random.random()))
-        self.hear: dict[type[Message], Callable[[Line, Any], object]] = {
+        self.failpoint: Callable[[str], object] = lambda name: None
+        self.on_set_up_time: Callable[[float], object] = lambda ms: None
+        self.recorder: SessionRecorder | None = None
+        self.store_service: StoreService | None = None
+        self.claim_resolver = ClaimResolver(loop, None, None)
+        self.zones: ZonesDriver | None = None
+        self.limits: LimitsDriver | None = None
+        self.recovery: RecoveryDriver | None = None
+        self.held_verdicts: dict[int, Verdict] = {}  # held back by the return: what was said of their claims
+        self.pool_preferences = PoolPreferences(
+            settings, self.attempts_by_server, self.counts, Random(random.random())
+        )
+        self.message_handlers: dict[type[Message], Callable[[Line, Any], object]] = {
             Asked: self.asked,
             Playing: self.playing,
             Ended: self.ended,
@@ -140,7 +142,7 @@
             Over: self.over,
             Carried: self.carried,
         }
-        bridge.carry_out.update(
+        bridge.action_handlers.update(
             {
                 i.SetUp: self.set_up,
                 i.SetRung: self.set_rung,
@@ -151,41 +153,41 @@
             }
         )
 
-    def heard(self, line: Line, message: Message) -> bool:
+    def on_worker_message(self, line: Line, message: Message) -> bool:
         """A worker's word. False: it is not about an ask."""
-        if act := self.hear.get(type(message)):
+        if act := self.message_handlers.get(type(message)):
             act(line, message)
             return True
         return False
 
-    def held_at(self) -> Counter[int]:
+    def attempts_by_server(self) -> Counter[int]:
         """Attempts that are out or play, by server."""
-        return Counter(out.server for out in self.book.out.values())
+        return Counter(out.server for out in self.attempt_table.out.values())
 
     # what workers say
 
     def asked(self, line: Line, said: Asked) -> None:
         """The module is told now, or when a claim's own front has spoken. What is late has had its answer."""
         now = self.loop.now()
-        if said.deadline <= now or not self.book.enter(line.number, said.ask):
+        if said.deadline <= now or not self.attempt_table.enter(line.number, said.ask):
             self.counts["asked_late"] += 1
             return
-        ask = self.open[said.ask] = Ask(line, said)
+        ask = self.open_requests[said.ask] = Ask(line, said)
         ask.came = now
         self.counts["asked"] += 1
         if self.recorder and not said.moved:
-            self.recorder.asked(said, now * 1000)
+            self.recorder.on_request(said, now * 1000)
         claim = None if said.moved else Token.parse(said.claim)
         if claim is None:
             self.admit(ask, Verdict.RAN if said.ran else Verdict.GO)
             return
-        if said.unsent_made and self.keeper:
-            self.keeper.unsent(claim, said.unsent_turn, said.unsent_made)
-        self.claims.begin(claim, ASK_PART * (said.deadline - now), partial(self.begun, ask))
+        if said.unsent_made and self.store_service:
+            self.store_service.settle_unsent(claim, said.unsent_turn, said.unsent_made)
+        self.claim_resolver.begin(claim, ASK_PART * (said.deadline - now), partial(self.begun, ask))
 
     def begun(self, ask: Ask, begun: Begun) -> None:
         """Whether a claim may be set up here is known, or that nobody can say in time."""
-        if self.open.get(ask.number) is not ask:
+        if self.open_requests.get(ask.number) is not ask:
             return
         ask.hold = begun.hold
         verdict = Verdict.RAN if ask.said.ran else begun.verdict
@@ -195,18 +197,18 @@
     def admit(self, ask: Ask, verdict: Verdict) -> None:
         """A front that comes back lets through what the fleet can take. What plays, or is only to be told
         off, may go."""
-        if self.returning is None or ask.said.moved or verdict is not Verdict.GO:
+        if self.recovery is None or ask.said.moved or verdict is not Verdict.GO:
             self.tell(ask, verdict)
             return
         worth = self.settings.terms.classes[ask.said.cls].worth
-        self.waiting[ask.number] = verdict
-        made = self.returning.ask(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
+        self.held_verdicts[ask.number] = verdict
+        made = self.recovery.admit(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
         if made:
-            self.let(made.number, made.pause_ms)
+            self.release_held_request(made.number, made.pause_ms)
 
-    def let(self, number: int, pause_ms: float | None) -> None:
+    def release_held_request(self, number: int, pause_ms: float | None) -> None:
         """An ask that was held back: on with it, or it is wished away with a pause."""
-        ask, verdict = self.open.get(number), self.waiting.pop(number, None)
+        ask, verdict = self.open_requests.get(number), self.held_verdicts.pop(number, None)
         if ask and verdict:
             self.counts["told_to_wait"] += pause_ms is not None
             self.tell(ask, verdict, pause_ms)
@@ -216,19 +218,23 @@
         left_ms = max(1.0, (ask.deadline - self.loop.now()) * 1000)
         said, capture = ask.said, self.bridge.capture
         if capture:
-            capture.word(self.bridge.now_ms(), "viewer", f"session {said.session} {said.path}", ask.number)
-        ruling = self.hooks.ask("arrival", ask, said.moved)
+            capture.add_note(
+                self.bridge.now_ms(), "viewer", f"session {said.session} {said.path}", ask.number
+            )
+        ruling = self.hooks.run("arrival", ask, said.moved)
         ask.advice, ask.reason, ask.cls = ruling.advice, ruling.reason, ruling.cls
         if capture and (ruling.advice != i.NO_ADVICE or ruling.cls != said.cls):
             words = advice_words(ruling.advice)
             if ruling.cls != said.cls:
                 words += f", counts as {self.settings.terms.class_names[ruling.cls]}"
-            capture.word(self.bridge.now_ms(), "hook", f"arrival: {words}", ask.number)
-        prefer = said.prefer + self.pools.wish(said.pool, said.key or said.viewer_name)
+            capture.add_note(self.bridge.now_ms(), "hook", f"arrival: {words}", ask.number)
+        prefer = said.prefer + self.pool_preferences.preferences(said.pool, said.key or said.viewer_name)
         if prefer:  # the route's pool; what a hook says comes first
             ask.advice = merge(i.Advice(prefer=prefer), ruling.advice)
-        if self.halls:
-            ask.advice = merge(self.halls.ask(ask.number, ask.cls, said.first_cell, said.cells), ask.advice)
+        if self.zones:
+            ask.advice = merge(
+                self.zones.advise(ask.number, ask.cls, said.first_cell, said.cells), ask.advice
+            )
         if self.limits:
             self.take_room(ask, self.limits)
         if verdict is Verdict.UNKNOWN:
@@ -237,13 +243,13 @@
             ask.advice = merge(ask.advice, i.Advice(refuse=True, pause_ms=max(1.0, pause_ms)))
         told = self.new_session(ask, left_ms, verdict is Verdict.RAN)
         ask.told = replace(told, waited_ms=(self.loop.now() - ask.came) * 1000)
-        self.bridge.tell(ask.told)
+        self.bridge.enqueue(ask.told)
 
-    def take_room(self, ask: Ask, limits: LimitsDesk) -> None:
+    def take_room(self, ask: Ask, limits: LimitsDriver) -> None:
         """Under the limits of the whole fleet, or it is wished away with a pause."""
         said = ask.said
         moved = said.session if said.moved else ""
-        ruling = limits.ask(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
+        ruling = limits.admit(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
         advice = i.Advice(cap=ruling.cap)
         if ruling.refused:
             self.counts["over_limit"] += 1
@@ -275,20 +281,20 @@
             return
         ask.answered, ask.since = True, self.loop.now()
         self.counts["played"] += 1
-        self.on_took(word.took_ms)
-        if self.halls:
-            self.halls.playing(ask.number, word.server)
-        if self.keeper:
+        self.on_set_up_time(word.took_ms)
+        if self.zones:
+            self.zones.on_playing(ask.number, word.server)
+        if self.store_service:
             said = ask.said
-            self.keeper.playing(said.session, said.claim, said.path, said.cls, word.server)
-        self.bridge.tell(i.Playing(ask.number, word.attempt, word.server, word.took_ms))
+            self.store_service.save_session(said.session, said.claim, said.path, said.cls, word.server)
+        self.bridge.enqueue(i.Playing(ask.number, word.attempt, word.server, word.took_ms))
         for name, value in zip(self.settings.terms.report_fields, word.report, strict=False):
             if kind := {"x0": i.NoteKind.LINK, "x1": i.NoteKind.UPLINK}.get(name):
                 self.note(ask.number, word.attempt, word.server, kind, value)  # as a note of now
 
     def mine(self, line: Line, number: int, attempt: int) -> Ask | None:
         """The ask of a line whose attempt this is."""
-        ask = self.open.get(number)
+        ask = self.open_requests.get(number)
         if ask is None or ask.line is not line or ask.out is None or ask.out.number != attempt:
             return None
         return ask
@@ -298,36 +304,36 @@
             self.note(word.ask, word.attempt, word.server, word.note, word.value)
 
     def note(self, ask: int, attempt: int, server: int, kind: int, value: float) -> None:
-        self.bridge.tell(i.Note(ask, attempt, server, kind, value))
-        if self.halls:
-            self.halls.seen(server, Outcome.OK)
+        self.bridge.enqueue(i.Note(ask, attempt, server, kind, value))
+        if self.zones:
+            self.zones.on_outcome(server, Outcome.OK)
         if kind == i.NoteKind.LINK:
-            self.hooks.hear(server, value)
+            self.hooks.on_link_use(server, value)
 
     def gone(self, line: Line, word: Gone) -> None:
         """The module is told now; of the end of an attempt that is out when it comes."""
-        ask = self.open.get(word.ask)
+        ask = self.open_requests.get(word.ask)
         if ask is None or ask.line is not line:
             return
         self.counts["viewer_gone"] += not ask.answered
         if ask.told:
-            self.bridge.left(ask.told)
+            self.bridge.enqueue_viewer_gone(ask.told)
         if ask.out is None:
-            self.drop(ask)
+            self.close_request(ask)
 
     def ended(self, line: Line, word: Ended) -> None:
-        out = self.book.ended(line.number, word.ask, word.attempt)
+        out = self.attempt_table.ended(line.number, word.ask, word.attempt)
         if out is None:
             return
         outcome = Outcome(word.outcome)
         self.settle(out, word.left and outcome not in NEVER_RAN)
-        if self.limits and word.moving and word.ask in self.open:
-            self.limits.park(word.ask, self.open[word.ask].said.session)
+        if self.limits and word.moving and word.ask in self.open_requests:
+            self.limits.park(word.ask, self.open_requests[word.ask].said.session)
         else:
             self.give_room_back(word.ask)
-        if self.halls:
-            self.halls.seen(word.server, outcome)
-        ask = self.open.get(word.ask)
+        if self.zones:
+            self.zones.on_outcome(word.server, outcome)
+        ask = self.open_requests.get(word.ask)
         if ask is None or ask.out is not out:
             return
         ask.out = None
@@ -337,39 +343,39 @@
         told = i.AttemptEnded(
             ask.number, word.attempt, word.server, outcome, word.closed, word.took_ms, word.report
         )
-        self.bridge.tell(told)
+        self.bridge.enqueue(told)
         if word.closed:
-            self.drop(ask)
+            self.close_request(ask)
 
     def settle(self, out: Out, ran: bool) -> None:
         hold = self.holds.pop((out.ask, out.number), None)
-        if hold and self.keeper:
-            self.keeper.settle(hold, ran)
+        if hold and self.store_service:
+            self.store_service.settle(hold, ran)
 
     def broke(self, ask: Ask, outcome: Outcome, word: Ended) -> None:
         """The hooks are heard of a break before the module is told of it."""
         facts = {"outcome": outcome.name.lower(), "played": word.played_ms}
-        ruling = self.hooks.ask("break", ask, word.moving, **facts)
+        ruling = self.hooks.run("break", ask, word.moving, **facts)
         if not ask.answered:
             self.advise(ask, ruling.advice)
 
     def lapsed(self, line: Line, word: Lapsed) -> None:
         """The worker has answered in our place: the module was silent, or this process did not run."""
-        ask = self.open.get(word.ask)
+        ask = self.open_requests.get(word.ask)
         if ask is None or ask.line is not line:
             return
         self.counts["overdue"] += 1
         log.error("no answer by the deadline", session=ask.said.session, ask=ask.number)
         if ask.told:
-            self.bridge.left(ask.told)
-        self.drop(ask)
+            self.bridge.enqueue_viewer_gone(ask.told)
+        self.close_request(ask)
 
     def over(self, line: Line, word: Over) -> None:
         if self.recorder:
             played = word.played_ms if word.played_ms >= 0 else None
-            self.recorder.over(word.session, played, word.vanished)
-        if word.played_ms >= 0 and self.keeper:
-            self.keeper.over(word.session)
+            self.recorder.on_session_over(word.session, played, word.vanished)
+        if word.played_ms >= 0 and self.store_service:
+            self.store_service.remove_session(word.session)
 
     def carried(self, line: Line, word: Carried) -> None:
         """It plays, under a set-up of a decider that is gone, or of a front that this one relieves."""
@@ -378,86 +384,86 @@
             self.counts["carried_unreadable"] += 1
             return
         said.ask = word.ask
-        if not self.book.enter(line.number, word.ask):
+        if not self.attempt_table.enter(line.number, word.ask):
             return
-        ask = self.open[word.ask] = Ask(line, said)
+        ask = self.open_requests[word.ask] = Ask(line, said)
         ask.answered, ask.rung, ask.attempts, ask.since = True, word.rung, 1, word.since
         if word.memo:
             ask.cls, ask.advice, ask.reason = remembered(word.memo)
         ask.told = self.new_session(ask, max(1.0, (said.deadline - self.loop.now()) * 1000), False)
-        ask.out = self.book.set_up(word.ask, 0, word.server, True)
-        if self.keeper:
-            self.keeper.playing(said.session, said.claim, said.path, said.cls, word.server)
+        ask.out = self.attempt_table.set_up(word.ask, 0, word.server, True)
+        if self.store_service:
+            self.store_service.save_session(said.session, said.claim, said.path, said.cls, word.server)
             if word.made and (claim := Token.parse(said.claim)):
                 self.holds[word.ask, 0] = Hold(claim, word.turn, 0)
         self.counts["carried"] += 1
-        if self.halls:
-            self.halls.carried(word.ask, ask.cls, word.rung, word.server)
+        if self.zones:
+            self.zones.adopt_session(word.ask, ask.cls, word.rung, word.server)
         if self.limits:
-            self.limits.carried(word.ask, said.tenant, ask.cls, str(said.title), word.rung)
-        self.bridge.tell(i.HandedOver(ask.told, word.server))
-        self.bridge.tell(i.Note(word.ask, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
+            self.limits.adopt_session(word.ask, said.tenant, ask.cls, str(said.title), word.rung)
+        self.bridge.enqueue(i.HandedOver(ask.told, word.server))
+        self.bridge.enqueue(i.Note(word.ask, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
 
-    def lose(self, line: Line) -> None:
+    def on_worker_lost(self, line: Line) -> None:
         """A worker's link has ended: every end that it owes is told here, once."""
-        asks, ends = self.book.lost(line.number)
+        asks, ends = self.attempt_table.lost(line.number)
         for out, proof in ends:
             self.settle(out, proof is Proof.MAYBE)
         told = {out.ask: out for out, _ in ends}
         for number in asks:
-            ask = self.open.pop(number)
-            if self.waiting.pop(number, None) and self.returning:
-                self.returning.drop(number)
-            if self.halls:
-                self.halls.over(number)
+            ask = self.open_requests.pop(number)
+            if self.held_verdicts.pop(number, None) and self.recovery:
+                self.recovery.drop_request(number)
+            if self.zones:
+                self.zones.on_session_over(number)
             self.give_room_back(number)
-            if ask.hold and self.keeper:
-                self.keeper.ledger.over(ask.hold)
-            if ask.answered and self.keeper:
-                self.keeper.over(ask.said.session)
+            if ask.hold and self.store_service:
+                self.store_service.ledger.over(ask.hold)
+            if ask.answered and self.store_service:
+                self.store_service.remove_session(ask.said.session)
             if self.recorder:
                 played = (self.loop.now() - ask.since) * 1000 if ask.answered else None
-                self.recorder.over(ask.said.session, played, not ask.answered)
+                self.recorder.on_session_over(ask.said.session, played, not ask.answered)
             if ask.told:
-                self.bridge.left(ask.told)
+                self.bridge.enqueue_viewer_gone(ask.told)
             if ask.out and (last := told.get(number)):
                 ended = i.AttemptEnded(number, last.number, last.server, Outcome.CANCELLED, True, 0.0)
-                self.bridge.tell(ended)
+                self.bridge.enqueue(ended)
         if asks:
             self.counts["lost_with_worker"] += len(asks)
 
-    def look_back(self) -> None:
+    def expire_overdue_requests(self) -> None:
         """Asks of workers that do not run: at some time after the deadline nobody waits any more."""
         until = self.loop.now() - LATE_S
-        for ask in [a for a in self.open.values() if not a.answered and a.deadline < until]:
+        for ask in [a for a in self.open_requests.values() if not a.answered and a.deadline < until]:
             self.counts["given_up_late"] += 1
-            if ask.told and self.bridge.left(ask.told) and ask.out:
+            if ask.told and self.bridge.enqueue_viewer_gone(ask.told) and ask.out:
                 cancelled = (ask.number, ask.out.number, ask.out.server, Outcome.CANCELLED, True, 0.0)
-                self.bridge.tell(i.AttemptEnded(*cancelled))
+                self.bridge.enqueue(i.AttemptEnded(*cancelled))
             ask.out = None  # it stays in the book, for the ledger: its end may still come
-            self.drop(ask)
-
-    def drop(self, ask: Ask) -> None:
-        if self.keeper and ask.hold:
-            self.keeper.ledger.over(ask.hold)
-        self.book.drop(ask.number)
-        self.open.pop(ask.number, None)
-        if self.waiting.pop(ask.number, None) and self.returning:
-            self.returning.drop(ask.number)
-        if self.halls:
-            self.halls.over(ask.number)
+            self.close_request(ask)
+
+    def close_request(self, ask: Ask) -> None:
+        if self.store_service and ask.hold:
+            self.store_service.ledger.over(ask.hold)
+        self.attempt_table.drop(ask.number)
+        self.open_requests.pop(ask.number, None)
+        if self.held_verdicts.pop(ask.number, None) and self.recovery:
+            self.recovery.drop_request(ask.number)
+        if self.zones:
+            self.zones.on_session_over(ask.number)
         self.give_room_back(ask.number)
 
     def give_room_back(self, number: int) -> None:
         """Once nothing of it is asked for, out, or plays: what a limit counts stands at a server."""
-        if self.limits and number not in self.open:
+        if self.limits and number not in self.open_requests:
             attempts = range(self.settings.terms.max_attempts)
-            if not any((number, n) in self.book.out for n in attempts):
-                self.limits.over(number)
+            if not any((number, n) in self.attempt_table.out for n in attempts):
+                self.limits.release(number)
 
     def end_session(self, number: int, why: str) -> None:
         """The room that it stands on is not this front's any more."""
-        ask = self.open.get(number)
+        ask = self.open_requests.get(number)
         if ask:
             self.counts["ended_by_limit"] += 1
             if ask.answered:
@@ -470,23 +476,23 @@
         merged = merge(ask.advice, advice) if advice != i.NO_ADVICE else ask.advice
         if merged != ask.advice:
             ask.advice = merged
-            self.bridge.tell(i.Advised(ask.number, merged))
+            self.bridge.enqueue(i.Advised(ask.number, merged))
 
-    def come_home(self, number: int) -> None:
+    def advise_move_home(self, number: int) -> None:
         """Its own hall is back, and others lack the room that it takes: the module may move it."""
-        ask = self.open.get(number)
+        ask = self.open_requests.get(number)
         if ask and ask.answered and not ask.moving:
-            self.bridge.tell(i.Advised(number, replace(ask.advice, move=True)))
+            self.bridge.enqueue(i.Advised(number, replace(ask.advice, move=True)))
 
     # what the module decides
 
-    def memo(self, ask: Ask) -> bytes:
+    def pack_memo(self, ask: Ask) -> bytes:
         """What another decider must know of it, if anything was wished."""
         plain = ask.advice == i.NO_ADVICE and ask.cls == ask.said.cls and not ask.reason
         return b"" if plain else json.dumps([ask.cls, asdict(ask.advice), ask.reason]).encode()
 
     def set_up(self, action: i.SetUp) -> None:
-        ask = self.open.get(action.id)
+        ask = self.open_requests.get(action.id)
         if ask is None:
             return
         number = ask.attempts
@@ -497,11 +503,11 @@
         moot = number >= self.settings.terms.max_attempts or left_s <= 0 or ask.out is not None
         moot |= ask.answered or address is None
         moot |= bool(ask.said.claim) and ask.hold is None  # nobody has said that it may be set up
-        moot = moot or bool(self.limits and not self.limits.may(ask.number))
+        moot = moot or bool(self.limits and not self.limits.may_set_up(ask.number))
         record = None
-        if not moot and ask.hold and self.keeper:
+        if not moot and ask.hold and self.store_service:
             cleared = partial(self.cleared, ask.number, number)
-            record = self.keeper.attempt(ask.hold, action.server, cleared)
+            record = self.store_service.attempt(ask.hold, action.server, cleared)
             moot = record is None  # passed on, or taken by a later ask, meanwhile
         if not moot:
             assert address is not None
@@ -516,33 +522,33 @@
                 max(0.001, limit_s),
                 record is not None,
                 address if isinstance(address, str) else f"{address[0]}:{address[1]}",
-                self.memo(ask),
+                self.pack_memo(ask),
             )
             if ask.line.send(message):
                 self.counts["attempts"] += 1
-                if self.halls:
-                    self.halls.set_up(ask.number, action.server)
-                ask.out = self.book.set_up(ask.number, number, action.server, record is None)
+                if self.zones:
+                    self.zones.on_set_up(ask.number, action.server)
+                ask.out = self.attempt_table.set_up(ask.number, number, action.server, record is None)
                 if ask.hold:
                     self.holds[ask.number, number] = ask.hold
-                    self.point("given")
+                    self.failpoint("given")
                 return
             self.counts["seam_full"] += 1
-            if record and ask.hold and self.keeper:
-                self.keeper.settle(ask.hold, False)
+            if record and ask.hold and self.store_service:
+                self.store_service.settle(ask.hold, False)
         self.counts["ended_moot"] += 1  # nothing is sent: too many, two at once, nowhere, or too late
-        self.bridge.tell(i.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0))
+        self.bridge.enqueue(i.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0))
 
     def cleared(self, ask: int, number: int, why: str) -> None:
         """The ledger has it, or says why not: only now may the request leave."""
-        out = self.book.out.get((ask, number))
-        found = self.open.get(ask)
+        out = self.attempt_table.out.get((ask, number))
+        found = self.open_requests.get(ask)
         if out is None or found is None or found.out is not out:
             return
-        self.point("written")
-        if why or self.book.clear(ask, number):
+        self.failpoint("written")
+        if why or self.attempt_table.clear(ask, number):
             found.line.send(Cleared(ask, number, why))
-            self.loop.call_later(0.0, self.point, "cleared")  # once it has left
+            self.loop.call_later(0.0, self.failpoint, "cleared")  # once it has left
 
     def rate(self, ask: Ask, rung: int) -> float:
         """kB a second of a rung for the session's class."""
@@ -550,7 +556,7 @@
         return terms.ladder_kb[rung] * terms.classes[ask.said.cls].scale
 
     def set_rung(self, action: i.SetRung) -> None:
-        ask = self.open.get(action.id)
+        ask = self.open_requests.get(action.id)
         if ask is None:
             return
         before, ask.rung = ask.rung, action.rung
@@ -564,7 +570,7 @@
         if ask.answered and not ask.moving and self.hooks.engine.scripts:
             played_ms = (self.loop.now() - ask.since) * 1000
             rungs = {"rung": float(ask.rung), "before": float(before)}
-            self.advise(ask, self.hooks.ask("change", ask, False, played=played_ms, **rungs).advice)
+            self.advise(ask, self.hooks.run("change", ask, False, played=played_ms, **rungs).advice)
 
     def refuse(self, action: i.Refuse) -> None:
         if ask := self.final(action.id, "refused"):
@@ -577,18 +583,18 @@
 
     def final(self, number: int, name: str) -> Ask | None:
         """The module's last word; the end of an attempt that is still out is the ledger's alone."""
-        ask = self.open.get(number)
+        ask = self.open_requests.get(number)
         if ask is None or ask.answered:
             return None
         self.counts[name] += 1
-        self.hooks.refused.add(self.hooks.now_ms())
-        self.hooks.ask("refusal", ask, ask.said.moved, verdict=name)
-        self.drop(ask)
+        self.hooks.refusal_times.add(self.hooks.now_ms())
+        self.hooks.run("refusal", ask, ask.said.moved, verdict=name)
+        self.close_request(ask)
         return ask
 
     def move(self, action: i.Move) -> None:
         """Off its server; its worker asks again shortly, as moved."""
-        ask = self.open.get(action.id)
+        ask = self.open_requests.get(action.id)
         if ask is None or not ask.answered or ask.moving:
             return
         self.counts["moved"] += 1
@@ -596,6 +602,6 @@
         ask.line.send(Move(action.id))
 
     def cancel(self, action: i.Cancel) -> None:
-        ask = self.open.get(action.id)
+        ask = self.open_requests.get(action.id)
         if ask and not ask.answered and ask.out and ask.out.number == action.attempt:
             ask.line.send(Cancel(action.id, action.attempt))
--- a/lemonhall/front/deciding/halls.py
+++ b/lemonhall/front/decider/zones.py
@@ -24,14 +24,14 @@
 
     number: int
 
-    def tell_front(self, number: int, message: Any) -> bool: ...
+    def send_to_front(self, number: int, message: Any) -> bool: ...
 
 
 class Disk(Protocol):
-    def save_halls(self, data: bytes, then: Callable[[str], object]) -> None: ...
+    def save_zones(self, data: bytes, then: Callable[[str], object]) -> None: ...
 
 
-class HallsDesk:
+class ZonesDriver:
     """`now`: the module's clock, by which the list tells starts. `cells`: of the service. `said`: told of
     each change, for the capture."""
 
@@ -47,14 +47,14 @@
         said: Callable[[str], object] = lambda words: None,
     ) -> None:
         self.loop, self.now, self.machine, self.cells, self.wall = loop, now, machine, cells, wall
-        self.carrier, self.disk, self.said = carrier, disk, said
+        self.messenger, self.store, self.record_event = carrier, disk, said
         self.timer: Timer | None = None
         self.stopped = True
-        self.on_move: Callable[[int], object] = lambda ask: None
+        self.on_move_home: Callable[[int], object] = lambda ask: None
 
     def start(self) -> None:
         self.stopped = False
-        self.timer = self.loop.call_later(0.0, self.tick)
+        self.timer = self.loop.call_later(0.0, self.on_tick)
 
     def stop(self) -> None:
         self.stopped = True
@@ -63,53 +63,53 @@
 
     # what is seen
 
-    def listed(self, servers: list[i.Server], fresh: bool) -> None:
+    def on_server_list(self, servers: list[i.Server], fresh: bool) -> None:
         self.machine.listed(self.now(), servers, fresh)
-        self.tell_changes()
+        self.report_changes()
 
-    def view(self, view: View) -> None:
+    def on_view_changed(self, view: View) -> None:
         self.machine.members = view.members
 
-    def seen(self, server: int, outcome: Outcome) -> None:
+    def on_outcome(self, server: int, outcome: Outcome) -> None:
         self.machine.seen(self.now(), server, outcome)
 
-    def heard(self, message: Any) -> None:
+    def on_message(self, message: Any) -> None:
         self.machine.hear(self.now(), message.sender, message.halls)
-        self.tell_changes()
+        self.report_changes()
         if self.machine.answer:
             self.send(self.machine.tick(self.now()))
 
     # asks
 
-    def ask(self, ask: int, cls: int, first: int, cells: int) -> i.Advice:
+    def advise(self, ask: int, cls: int, first: int, cells: int) -> i.Advice:
         row = None
         if cells < self.cells:
             row = frozenset((first + n) % self.cells for n in range(cells))
         ruling = self.machine.ask(self.now(), ask, cls, row)
         return i.Advice(prefer=ruling.prefer, cap=ruling.cap, bars=ruling.bars)
 
-    def set_up(self, ask: int, server: int) -> None:
+    def on_set_up(self, ask: int, server: int) -> None:
         self.machine.set_up(self.now(), ask, server)
 
-    def playing(self, ask: int, server: int) -> None:
+    def on_playing(self, ask: int, server: int) -> None:
         self.machine.playing(self.now(), ask, server)
 
-    def carried(self, ask: int, cls: int, rung: int, server: int) -> None:
+    def adopt_session(self, ask: int, cls: int, rung: int, server: int) -> None:
         self.machine.carried(self.now(), ask, cls, rung, server)
 
-    def over(self, ask: int) -> None:
+    def on_session_over(self, ask: int) -> None:
         self.machine.over(self.now(), ask)
 
     # words
 
-    def tick(self) -> None:
+    def on_tick(self) -> None:
         self.send(self.machine.tick(self.now()))
-        self.tell_changes()
-        for ask in self.moves():
-            self.on_move(ask)
-        self.timer = self.loop.call_later(TICK_PART * self.machine.period() / 1000, self.tick)
+        self.report_changes()
+        for ask in self.take_moves():
+            self.on_move_home(ask)
+        self.timer = self.loop.call_later(TICK_PART * self.machine.period() / 1000, self.on_tick)
 
-    def moves(self) -> list[int]:
+    def take_moves(self) -> list[int]:
         """Asks that had better come home, each told once."""
         found, self.machine.moves = self.machine.moves, []
         return found
@@ -119,24 +119,28 @@
         if self.stopped:
             return
         if not self.machine.dirty:
-            self.leave(words)
-        elif self.disk is None:
+            self.send_now(words)
+        elif self.store is None:
             self.machine.to_keep()
-            self.leave(words)
+            self.send_now(words)
         else:
-            self.disk.save_halls(self.machine.to_keep(), lambda why: self.leave(words) if not why else None)
+            self.store.save_zones(
+                self.machine.to_keep(), lambda why: self.send_now(words) if not why else None
+            )
 
-    def leave(self, words: list[Any]) -> None:
-        if self.carrier is None or self.stopped:
+    def send_now(self, words: list[Any]) -> None:
+        if self.messenger is None or self.stopped:
             return
         for out in words:
-            self.carrier.tell_front(out.to, Message(kind=HALLS, sender=self.carrier.number, halls=out.data))
+            self.messenger.send_to_front(
+                out.to, Message(kind=HALLS, sender=self.messenger.number, halls=out.data)
+            )
 
-    def tell_changes(self) -> None:
+    def report_changes(self) -> None:
         changes, self.machine.changes = self.machine.changes, []
         for change in changes:
             log.warning("hall", hall=change.hall, state=change.state.name.lower(), why=change.why)
-            self.said(f"{change.hall} is {change.state.name.lower()}: {change.why}")
+            self.record_event(f"{change.hall} is {change.state.name.lower()}: {change.why}")
 
     # operators
 
@@ -152,5 +156,5 @@
         self.machine.order(names.index(hall), what, self.wall() * 1000)
         self.machine.answer |= set(self.machine.members) - {self.machine.number}
         self.send(self.machine.tick(self.now()))
-        self.tell_changes()
+        self.report_changes()
         return self.page()
--- a/lemonhall/front/guarding/guard.py
+++ b/lemonhall/front/guarding/guard.py
@@ -19,7 +19,7 @@
 from lemonhall.front.guarding import handover
 from lemonhall.front.guarding.giving import GivingSide, about
 from lemonhall.front.guarding.relief import Do, Effect, Taker
-from lemonhall.front.keeping.keeper import to_learned, to_memory
+from lemonhall.front.persistence.store_service import to_learned, to_memory
 from lemonhall.front.process.channel import Baton, Channel
 from lemonhall.front.process.daemon import Daemon, Taken
 from lemonhall.front.viewers.viewer import ViewerConnection
@@ -113,7 +113,7 @@
         named = [(name, sock) for name, sock in sockets.items() if sock is not None]
         self.baton = Baton()
         fds = [self.baton.fd, *(sock.fileno() for _, sock in named)]
-        lock = d.keeper.store.lock if d.keeper else None
+        lock = d.store_service.store.lock if d.store_service else None
         fds += [lock] if lock is not None else []
         memory = d.memory()
         message = {
@@ -121,11 +121,15 @@
             "sockets": [name for name, _ in named],
             "lock": lock is not None,
             "memory": handover.text(to_learned(memory).SerializeToString()) if memory else "",
-            "list": handover.text(d.list.list.snapshot().SerializeToString()) if d.list.list.version else "",
-            "born_ms": d.list.list.born_ms,
+            "list": handover.text(d.list_client.server_list.snapshot().SerializeToString())
+            if d.list_client.server_list.version
+            else "",
+            "born_ms": d.list_client.server_list.front_started_ms,
             "clock": [d.start_wall_ms, d.start],
             "fleet": list(d.membership.share.told) if d.membership else None,
-            "limits": handover.text(d.asks.limits.machine.escrow.state()) if d.asks.limits else "",
+            "limits": handover.text(d.set_up_requests.limits.machine.escrow.state())
+            if d.set_up_requests.limits
+            else "",
         }
         assert self.channel
         self.channel.send(message, fds)
@@ -255,13 +259,13 @@
         if message["lock"]:
             self.taken.lock = fds.pop(0)
         self.taken.message = message
-        if self.daemon.settings.store and self.daemon.keeper is None:
+        if self.daemon.settings.store and self.daemon.store_service is None:
             self.daemon.open_store(self.daemon.settings.store, self.taken.lock)
 
     def ended(self) -> None:
         self.carry_out(self.taker.gone())
-        if self.daemon.asks.limits:
-            self.daemon.asks.limits.machine.carried_all()
+        if self.daemon.set_up_requests.limits:
+            self.daemon.set_up_requests.limits.machine.carried_all()
         if self.taker.serving:
             log.info("the old front has ended", viewers=self.took)
 
@@ -300,15 +304,15 @@
         """What the old front knew, before this one is opened."""
         d = self.daemon
         d.start_wall_ms, d.start = message["clock"]
-        d.list.list.born_ms = message["born_ms"]
+        d.list_client.server_list.front_started_ms = message["born_ms"]
         d.taken = self.taken
         if message["list"]:
             update = Update.FromString(base64.b64decode(message["list"]))
-            if event := d.list.list.apply(update):
-                d.bridge.tell(event)
+            if event := d.list_client.server_list.apply(update):
+                d.bridge.enqueue(event)
         if message["memory"]:
             learned = Learned.FromString(base64.b64decode(message["memory"]))
-            d.bridge.tell(to_memory(learned))
+            d.bridge.enqueue(to_memory(learned))
 
 
 def die_at(name: str, points: Sequence[str] = POINTS) -> Callable[[str], object]:
--- a/lemonhall/front/guarding/handover.py
+++ b/lemonhall/front/guarding/handover.py
@@ -81,9 +81,9 @@
         "control": track.control,
         "clock": rtp.clock_rate,
         "ssrc": rtp.ssrc,
-        "last": rtp.last,
+        "last": rtp.last_sent,
         "offsets": rtp.offsets,
-        "joining": rtp.joining,
+        "joining": rtp.resync,
     }
 
 
@@ -96,11 +96,11 @@
         "headers": attempt.headers,
         "bandwidth": attempt.bandwidth,
         "start_s": attempt.start_s,
-        "began": attempt.began,
+        "began": attempt.started_at,
         "kept": text(bytes(attempt.parser.kept)),
         "cseq": attempt.cseq,
         "session": attempt.session,
-        "waiting": attempt.waiting,
+        "waiting": attempt.pending_methods,
         "report": attempt.report,
         "stream": pack_stream(attempt.stream),
     }
@@ -108,10 +108,10 @@
 
 def pack_ask(daemon: Daemon, ask: Ask) -> Packed:
     assert ask.attempt
-    known = daemon.asks.open.get(ask.number)
+    known = daemon.set_up_requests.open_requests.get(ask.number)
     return {
         "said": text(encode(ask.said)),
-        "memo": text(daemon.asks.memo(known) if known else ask.memo),
+        "memo": text(daemon.set_up_requests.pack_memo(known) if known else ask.memo),
         "rung": ask.rung,
         "claimed": [ask.carry.turn, ask.carry.made],
         "attempt": pack_attempt(ask.attempt),
@@ -174,8 +174,8 @@
 def unpack_track(packed: Packed) -> ViewerTrack:
     first, second = packed["channels"]
     track = ViewerTrack((first, second), packed["control"], packed["clock"])
-    track.rtp.ssrc, track.rtp.joining = packed["ssrc"], packed["joining"]
-    track.rtp.last = None if packed["last"] is None else tuple(packed["last"])
+    track.rtp.ssrc, track.rtp.resync = packed["ssrc"], packed["joining"]
+    track.rtp.last_sent = None if packed["last"] is None else tuple(packed["last"])
     track.rtp.offsets = None if packed["offsets"] is None else tuple(packed["offsets"])
     return track
 
@@ -188,12 +188,12 @@
     attempt.headers = [(name, value) for name, value in packed["headers"]]
     attempt.bandwidth, attempt.start_s = packed["bandwidth"], packed["start_s"]
     attempt.report_fields = daemon.settings.terms.report_fields
-    attempt.state, attempt.left_as = AttemptState.PLAYING, Outcome.OK
-    attempt.began, attempt.parser = packed["began"], parser_of(packed["kept"])
-    attempt.cseq, attempt.set_up = packed["cseq"], len(attempt.tracks)
-    attempt.session, attempt.waiting = packed["session"], dict(packed["waiting"])
+    attempt.state, attempt.teardown_outcome = AttemptState.PLAYING, Outcome.OK
+    attempt.started_at, attempt.parser = packed["began"], parser_of(packed["kept"])
+    attempt.cseq, attempt.tracks_set_up = packed["cseq"], len(attempt.tracks)
+    attempt.session, attempt.pending_methods = packed["session"], dict(packed["waiting"])
     attempt.report = tuple(packed["report"])
-    attempt.play_ok = attempt.media_seen = attempt.clear = True
+    attempt.play_ok = attempt.media_seen = attempt.may_send = True
     attempt.timer = None
     attempt.stream = unpack_stream(daemon, packed["stream"], fd, attempt, 1 << 18)
     return attempt
@@ -317,7 +317,7 @@
         if ask is None or ask.attempt is None:
             continue
         attempt = ask.attempt
-        daemon.asks.holds.pop((ask.number, attempt.number), None)
+        daemon.set_up_requests.holds.pop((ask.number, attempt.number), None)
         if ask.carry.close(worker.link):
             worker.say(Gone(ask.number, True))
             cancelled = (ask.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -13,7 +13,7 @@
 
 from lemonhall import interface as i
 from lemonhall.decide import Front
-from lemonhall.front.deciding.bridge import Bridge
+from lemonhall.front.decider.bridge import Bridge
 from lemonhall.front.node.log import log
 from lemonhall.front.node.resolver import Resolver
 from lemonhall.front.node.servers import Servers
@@ -41,7 +41,7 @@
         # The module's clock: Unix time at the start, running on monotonically. List entries tell Unix times.
         offset = self.offset = time.time() - loop.now()
         self.bridge = Bridge(Front(settings, told.seed), lambda: (loop.now() + offset) * 1000)
-        self.bridge.carry_out[i.SetTimer] = self.set_timer
+        self.bridge.action_handlers[i.SetTimer] = self.set_timer
         notes_s = (settings.reports_every_ms * 1.5 + settings.told_late_ms) / 1000
         self.servers = Servers(
             loop,
@@ -71,7 +71,7 @@
         loop.on_error = self.fault
         loop.after_pass.append(self.flush)
         self.tell_list(i.ListKind.CACHED, told.seq, tuple(told.servers.values()), ())
-        self.bridge.call()
+        self.bridge.call_module()
         self.resolver = Resolver(loop, told.dns, told.seq, self.random, self.on_list, self.counts, log.say)
         self.viewers.listen(told.listen)
         self.sweep()
@@ -96,7 +96,7 @@
         log.say("fault", error=f"{type(error).__name__}: {error}", where=where)
 
     def set_timer(self, action: i.SetTimer) -> None:
-        self.loop.call_later(action.after_ms / 1000, self.bridge.tell, i.TimerDue(action.token))
+        self.loop.call_later(action.after_ms / 1000, self.bridge.enqueue, i.TimerDue(action.token))
 
     # the list
 
@@ -136,7 +136,7 @@
                 server = self.servers.named(entry.id)
                 told.append(self.entry(entry, server.number, i.ServerState.GONE))
         log.say("list", number=seq, kind=kind.name.lower(), changed=len(changed), gone=len(gone))
-        self.bridge.tell(i.ServerList(kind, seq, tuple(told)))
+        self.bridge.enqueue(i.ServerList(kind, seq, tuple(told)))
         for entry in gone:  # after the module has heard it: what ends with it ends on a server that is gone
             server = self.servers.named(entry.id)
             server.listed = False
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from lemonhall import interface as i
-from lemonhall.front.deciding.bridge import Bridge
+from lemonhall.front.decider.bridge import Bridge
 from lemonhall.front.node.servers import NEVER, Link, MediaServer, Servers
 from lemonhall.front.node.session import Attempt, Session
 from lemonhall.front.node.viewers import Viewer, Viewers
@@ -56,7 +56,7 @@
         viewers.on_new, viewers.on_down, viewers.on_left = self.new, self.viewer_down, self.viewer_left
         servers.on_up, servers.on_down, servers.on_note = self.server_up, self.server_down, self.server_note
         servers.on_ended, servers.on_lost = self.ended, self.lost
-        bridge.carry_out.update(
+        bridge.action_handlers.update(
             {
                 i.SetUp: self.set_up,
                 i.SetRung: self.set_rung,
@@ -87,7 +87,7 @@
         self.counts["asked"] += 1
         left_ms = max(1.0, (deadline - now) * 1000)
         session.told = self.told(session, left_ms)
-        self.bridge.tell(session.told)
+        self.bridge.enqueue(session.told)
         return True
 
     def enter(self, session: Session) -> Session:
@@ -125,7 +125,7 @@
         server.stands(session)
         self.standing += 1
         self.counts["handed_over"] += 1
-        self.bridge.tell(i.HandedOver(self.told(session, max(1.0, asked.left_ms)), server.number))
+        self.bridge.enqueue(i.HandedOver(self.told(session, max(1.0, asked.left_ms)), server.number))
         if not server.links:
             server.dial()  # its notes and its release come on a connection of ours
 
@@ -183,7 +183,7 @@
         if attempt:
             self.end_wait(attempt)
             took = (self.loop.now() - attempt.began) * 1000
-            self.bridge.tell(
+            self.bridge.enqueue(
                 i.AttemptEnded(
                     session.number, attempt.number, attempt.server.number, Outcome.CANCELLED, True, took
                 )
@@ -191,7 +191,7 @@
 
     def leave(self, session: Session) -> None:
         """The module hears of it ahead of all else, or never hears of the session at all."""
-        if session.told and self.bridge.left(session.told):
+        if session.told and self.bridge.enqueue_viewer_gone(session.told):
             self.leaving[session.number] = session
             self.loop.call_soon(self.leaving.pop, session.number, None)  # runs once all is carried out
 
@@ -243,7 +243,7 @@
             session.viewer.open.pop(session.ref, None)
             session.viewer.proven = True
         number = attempt.server.number
-        self.bridge.tell(i.Playing(session.number, attempt.number, number, took, up.load))
+        self.bridge.enqueue(i.Playing(session.number, attempt.number, number, took, up.load))
 
     def deliver(self, session: Session, line: bytes) -> bool:
         """Writes an answer; False where its connection takes nothing any more."""
@@ -286,7 +286,7 @@
         number = link.server.number
         if note.kind == i.NoteKind.RUNG:
             session.rung = int(note.value)
-        self.bridge.tell(i.Note(session.number, session.attempt.number, number, note.kind, note.value))
+        self.bridge.enqueue(i.Note(session.number, session.attempt.number, number, note.kind, note.value))
 
     def ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
         """The one end of an attempt that did not come to stand."""
@@ -298,7 +298,7 @@
             attempt.timer.cancel()
         self.counts[f"ended_{outcome.name.lower()}"] += 1
         took = (self.loop.now() - attempt.began) * 1000
-        self.bridge.tell(
+        self.bridge.enqueue(
             i.AttemptEnded(session.number, attempt.number, attempt.server.number, outcome, False, took, load)
         )
 
@@ -322,7 +322,7 @@
         self.drop(session)
         attempt.server.falls(session)
         took = (self.loop.now() - attempt.began) * 1000
-        self.bridge.tell(
+        self.bridge.enqueue(
             i.AttemptEnded(session.number, attempt.number, attempt.server.number, outcome, True, took, load)
         )
 
@@ -348,7 +348,7 @@
         moot = number >= self.settings.max_attempts or left_s <= 0 or session.attempt is not None
         if moot or left or server is None or not server.listed:
             self.counts["ended_moot"] += 1  # nothing is sent: too many, two at once, nowhere, or too late
-            self.bridge.tell(i.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0))
+            self.bridge.enqueue(i.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0))
             return
         attempt = session.attempt = Attempt(session, number, server, now)
         attempt.timer = self.loop.call_later(limit_s, self.timed_out, attempt)
--- a/lemonhall/front/keeping/capturing.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -44,7 +44,7 @@
     return lambda v: int.from_bytes(digest(v.to_bytes(8, "big"), key=key[:64], digest_size=8).digest(), "big")
 
 
-def header_of(settings: FrontSettings) -> Any:
+def capture_header(settings: FrontSettings) -> Any:
     source = Path(decide.__file__).read_bytes()
     return Header(
         format=1,
@@ -88,7 +88,7 @@
         return self.written >= self.size
 
 
-class Capturer:
+class CaptureWriter:
     """Raises `BadInput` if the folder or the key cannot be used."""
 
     def __init__(self, settings: CaptureSettings, header: Any, wall: Callable[[], float] = time.time) -> None:
@@ -114,7 +114,7 @@
 
     # on the loop
 
-    def before(self, module: Any, number: int, now: float) -> None:
+    def before_call(self, module: Any, number: int, now: float) -> None:
         """A segment begins here: at the first call without a snapshot, later with one."""
         if now < self.next_snapshot and not (self.folder and self.folder.full()):
             return
@@ -132,7 +132,7 @@
                 return
         self.queue.append(("begin", (number, made, now, self.wall() * 1000)))
 
-    def call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None:
+    def add_call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None:
         if len(self.queue) >= QUEUE_MOST:
             self.lost = [self.lost[0] + 1, self.lost[1], now] if self.lost else [1, now, now]
             return
@@ -144,11 +144,11 @@
         wall = self.wall() * 1000
         if self.wall_before and abs((wall - self.wall_before[0]) - (now - self.wall_before[1])) > 500:
             step = (wall - self.wall_before[0]) - (now - self.wall_before[1])
-            self.word(now, "clock", f"stepped by {step / 1000:.1f} s")
+            self.add_note(now, "clock", f"stepped by {step / 1000:.1f} s")
         self.wall_before = (wall, now)
         self.queue.append(("call", Told(number, now, wall, events, actions)))
 
-    def word(self, now: float, who: str, text: str, session: int = 0) -> None:
+    def add_note(self, now: float, who: str, text: str, session: int = 0) -> None:
         if len(self.queue) < QUEUE_MOST:
             self.queue.append(("word", (now, who, text, session)))
 
@@ -199,7 +199,7 @@
             self.ring.gap(block.calls, block.first, block.last, with_gap)
 
 
-def write_new(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Whole or not at all. Raises `OSError`."""
     fresh = path.with_name(path.name + ".new")
     with open(fresh, "wb") as file:
@@ -209,4 +209,4 @@
     os.replace(fresh, path)
 
 
-__all__ = ["Capturer", "header_of", "write_new"]
+__all__ = ["CaptureWriter", "capture_header", "write_atomically"]
--- a/lemonhall/front/keeping/record.py
+++ b/lemonhall/front/persistence/session_recorder.py
@@ -18,7 +18,7 @@
 GROUP = 2000  # rows that are written together
 
 
-class Recorder:
+class SessionRecorder:
     """`path`: a file for each group, `NAME-0.parquet` and on. `began_ms`: from when times count."""
 
     def __init__(self, path: Path, settings: FrontSettings, began_ms: float) -> None:
@@ -30,7 +30,7 @@
         self.rows: list[dict[str, Any]] = []
         self.groups = 0
 
-    def asked(self, said: Asked, now_ms: float) -> None:
+    def on_request(self, said: Asked, now_ms: float) -> None:
         """The first ask of a session; moves are not the viewer's."""
         terms = self.settings.terms
         if said.session in self.open:
@@ -47,7 +47,7 @@
             "vanishes": False,
         }
 
-    def over(self, session: str, played_ms: float | None, vanished: bool) -> None:
+    def on_session_over(self, session: str, played_ms: float | None, vanished: bool) -> None:
         """`played_ms`: None if it never played."""
         row = self.open.pop(session, None)
         if row is None:
--- a/lemonhall/front/keeping/keeper.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -110,7 +110,7 @@
     )
 
 
-class Keeper:
+class StoreService:
     """Raises `BadInput` if the store cannot be opened. `memory` gives what the module has learned."""
 
     def __init__(
@@ -136,18 +136,18 @@
         self.front = front
         self.pending: dict[bytes, tuple[Record, int]] = {}  # claims on their way to the disk
         self.counts = Counter[str]()
-        self.begin()
+        self.open_ledger()
         if self.store.damaged:
             meaning = "a new store is begun; paid claims of the old one count as run"
             log.error("store damaged", folder=str(settings.folder), why=self.store.damaged, means=meaning)
             self.counts["set_aside"] += 1
         self.failing = ""
-        self.on_turn: Callable[[bool], object] = lambda failing: None  # of writing
+        self.on_failing_changed: Callable[[bool], object] = lambda failing: None  # of writing
         self.prune_timer: Timer | None = None
         self.memory_timer: Timer | None = None
-        self.keep: Callable[[], bytes | None] = lambda: None  # what is kept of the others' marks
+        self.recovery_state: Callable[[], bytes | None] = lambda: None  # what is kept of the others' marks
 
-    def begin(self) -> None:
+    def open_ledger(self) -> None:
         """On the file as it is."""
         self.number = int(self.store.about.store)
         self.made = self.store.created
@@ -158,28 +158,28 @@
         self.writer = Writer(self.loop, self.store)
 
     @property
-    def mark(self) -> Mark:
+    def checkpoint(self) -> Mark:
         """How far the store is written; a later mark of this front's is greater."""
         return Mark(int(self.store.about.made_ms), self.store.commits)
 
-    def disown(self, later: Mark | None) -> None:
+    def reject_store(self, later: Mark | None) -> None:
         """The store is not the last one (others heard of `later`), or nobody can say so: nothing of its
         ledger is used, before anything was. What may be believed by its age is kept; an older file is put
         aside."""
         draw = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            why = f"others heard of it up to commit {later.count}, it has {self.mark.count}"
+            why = f"others heard of it up to commit {later.count}, it has {self.checkpoint.count}"
             names = (("list", LIST), ("learned", MEMORY), ("learned", RETURN))
             kept = [(t, k, v, ANYTHING) for t, k in names if (v := self.store.raw(t, k)) is not None]
             aside = self.store.renew("older", draw, max(int(self.wall() * 1000), later.made_ms + 1))
-            self.begin()
+            self.open_ledger()
             self.store.commit(kept)
             means = f"kept as {aside.name}; "
         else:
             why, means = "nobody could say whether it is the last one", ""
             self.store.renumber(draw)
-            self.begin()
+            self.open_ledger()
         means += "paid claims of it count as run, parts of limits are asked for anew"
         log.error("store not believed", folder=str(self.settings.folder), why=why, means=means)
         self.counts["disowned"] += 1
@@ -219,7 +219,7 @@
                 del self.pending[key]
             else:
                 self.pending[key] = (record, waiting - 1)
-            self.told(why)
+            self.on_written(why)
             if then:
                 then(why)
 
@@ -241,13 +241,13 @@
             self.counts["settled_ran" if ran else "settled_free"] += 1
             self.write(write, soon=False)
 
-    def unsent(self, token: Token, turn: int, made: int) -> None:
+    def settle_unsent(self, token: Token, turn: int, made: int) -> None:
         """An attempt that was written by an earlier decider provably never left."""
         if write := self.ledger.unsent(token, turn, made, self.wall()):
             self.counts["settled_unsent"] += 1
             self.write(write, soon=False)
 
-    def told(self, why: str) -> None:
+    def on_written(self, why: str) -> None:
         """How a write went. While they fail no paid session is taken; small tries go on meanwhile."""
         if why == OTHERWISE:
             self.counts["overtaken"] += 1
@@ -260,24 +260,24 @@
         self.counts["failed_writes"] += bool(why)
         was, self.failing = self.failing, why
         if bool(was) != bool(why):
-            self.on_turn(bool(why))
+            self.on_failing_changed(bool(why))
 
     def try_again(self) -> None:
         if self.failing and self.writer.woken.fileno() >= 0:
-            self.writer.put(("list", TRIED, b"", ANYTHING), self.told)
+            self.writer.put(("list", TRIED, b"", ANYTHING), self.on_written)
             self.loop.call_later(TRY_EVERY_S, self.try_again)
 
     # sessions that play
 
-    def playing(self, session: str, claim: str, path: str, cls: int, server: int) -> None:
+    def save_session(self, session: str, claim: str, path: str, cls: int, server: int) -> None:
         key = session.encode()
         held = Held(claim=claim, path=path, cls=cls, server=server, since_ms=int(self.wall() * 1000))
         self.writer.put(("held", key, wrap(key, held), ANYTHING), soon=False)
 
-    def over(self, session: str) -> None:
+    def remove_session(self, session: str) -> None:
         self.writer.put(("held", session.encode(), None, ANYTHING), soon=False)
 
-    def lost(self) -> int:
+    def forget_lost_sessions(self) -> int:
         """Sessions that played when this was last written: they ended with their process. Forgets them."""
         keys = [key for key, _ in self.store.each("held")]
         for key in keys:
@@ -287,16 +287,16 @@
     # the list and what was learned
 
     def save_list(self, data: bytes) -> None:
-        self.writer.put(("list", LIST, data, ANYTHING), self.told)
+        self.writer.put(("list", LIST, data, ANYTHING), self.on_written)
 
     def load_list(self) -> bytes | None:
         return self.store.raw("list", LIST)
 
     def save_memory(self) -> None:
         if memory := self.memory():
-            self.writer.put(("learned", MEMORY, wrap(MEMORY, to_learned(memory)), ANYTHING), self.told)
-        if (kept := self.keep()) is not None:
-            self.put_own(RETURN, kept, self.told)
+            self.writer.put(("learned", MEMORY, wrap(MEMORY, to_learned(memory)), ANYTHING), self.on_written)
+        if (kept := self.recovery_state()) is not None:
+            self.put_blob(RETURN, kept, self.on_written)
         self.memory_timer = self.loop.call_later(MEMORY_EVERY_S, self.save_memory)
 
     def load_memory(self) -> i.Memory | None:
@@ -311,10 +311,10 @@
 
     # what machines keep, in forms of their own
 
-    def put_own(self, name: bytes, data: bytes, then: Callable[[str], object]) -> None:
+    def put_blob(self, name: bytes, data: bytes, then: Callable[[str], object]) -> None:
         self.writer.put(("learned", name, xxhash.xxh3_64_digest(data) + data, ANYTHING), then)
 
-    def load_own(self, name: bytes, what: str) -> bytes | None:
+    def load_blob(self, name: bytes, what: str) -> bytes | None:
         """What was kept; `b""` if nothing ever was; None if it is damaged."""
         value = self.store.raw("learned", name)
         if value is None:
@@ -325,21 +325,21 @@
             return None
         return value[8:]
 
-    def save_halls(self, data: bytes, then: Callable[[str], object]) -> None:
+    def save_zones(self, data: bytes, then: Callable[[str], object]) -> None:
         """`then` is told "" once it is on disk, else why it is not."""
 
         def written(why: str) -> None:
-            self.told(why)
+            self.on_written(why)
             then(why)
 
-        self.put_own(HALLS, data, written)
+        self.put_blob(HALLS, data, written)
 
-    def load_halls(self) -> bytes | None:
+    def load_zones(self) -> bytes | None:
         """As `load_own`; None as well if the store was not believed: what it had lent is not known."""
-        return None if self.counts["disowned"] else self.load_own(HALLS, "halls")
+        return None if self.counts["disowned"] else self.load_blob(HALLS, "halls")
 
-    def load_return(self) -> bytes | None:
-        return self.load_own(RETURN, "the return")
+    def load_recovery(self) -> bytes | None:
+        return self.load_blob(RETURN, "the return")
 
     # upkeep
 
@@ -353,18 +353,18 @@
             log.warning("old claims not taken away", why=str(error))
         self.prune_timer = self.loop.call_later(PRUNE_EVERY_S, self.prune)
 
-    def rest(self) -> None:
+    def stop_upkeep(self) -> None:
         """No upkeep from here on: a successor does it."""
         for timer in (self.prune_timer, self.memory_timer):
             if timer:
                 timer.cancel()
 
-    def close(self, relieved: bool = False) -> None:
+    def close(self, handed_over: bool = False) -> None:
         """All that waits is written first; what was learned not if a successor knows more by now."""
-        self.rest()
+        self.stop_upkeep()
         if self.writer.woken.fileno() < 0:
             return
-        if not relieved and (memory := self.memory()):
+        if not handed_over and (memory := self.memory()):
             self.writer.put(("learned", MEMORY, wrap(MEMORY, to_learned(memory)), ANYTHING))
         self.writer.close()
         self.store.close()
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/beside.py
@@ -13,15 +13,15 @@
 
 from lemonhall import interface as i
 from lemonhall.config.settings import FrontSettings
-from lemonhall.front.deciding.asks import Asks
-from lemonhall.front.deciding.bridge import Bridge
-from lemonhall.front.deciding.halls import HallsDesk
-from lemonhall.front.deciding.limits import LimitsDesk, clock_ms
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.membership import Membership
-from lemonhall.front.deciding.returning import ReturnDesk, known, list_of, memory_of
-from lemonhall.front.keeping.capturing import Capturer
-from lemonhall.front.keeping.keeper import Keeper
+from lemonhall.front.decider.bridge import Bridge
+from lemonhall.front.decider.limits import LimitsDriver, clock_ms
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.membership import Membership
+from lemonhall.front.decider.recovery import RecoveryDriver, list_pages, memory_from_page, update_from_page
+from lemonhall.front.decider.set_up_requests import SetUpRequests
+from lemonhall.front.decider.zones import ZonesDriver
+from lemonhall.front.persistence.capture_writer import CaptureWriter
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.halls import Halls, Plan
 from lemonhall.limits import Limits
 from lemonhall.limits import Plan as LimitsPlan
@@ -41,13 +41,13 @@
     settings: FrontSettings
     loop: Loop
     wall: Callable[[], float]
-    asks: Asks
+    set_up_requests: SetUpRequests
     bridge: Bridge
-    list: ListClient
+    list_client: ListClient
     counts: Counter[str]
     membership: Membership | None
-    keeper: Keeper | None
-    capture: Capturer | None
+    store_service: StoreService | None
+    capture: CaptureWriter | None
     taken: Any
 
     def now_ms(self) -> float: ...
@@ -70,49 +70,51 @@
             Random(SystemRandom().getrandbits(64)),
             Waits(period=s.members.period_ms) if s.members else Waits(),
             terms.max_pause_ms or PAUSE_MS,
-            (lambda: self.front.keeper.mark if self.front.keeper else None),
+            (lambda: self.front.store_service.checkpoint if self.front.store_service else None),
             sum(t.quota_per_s for t in terms.tenants),
             self.front.membership is not None,
         )
-        desk = self.front.asks.returning = ReturnDesk(
+        desk = self.front.set_up_requests.recovery = RecoveryDriver(
             self.front.loop,
             self.front.now_ms,
             machine,
             self.front.membership,
-            self.front.keeper,
-            self.front.asks.let,
+            self.front.store_service,
+            self.front.set_up_requests.release_held_request,
             self.return_said,
         )
         if self.front.membership:
-            self.front.membership.on_view = self.front.seen
-        self.front.list.on_sign = lambda as_of: desk.sign(as_of, len(self.front.list.list.boxes))
-        self.front.list.wait_s = lambda: machine.list_wait_ms() / 1000
+            self.front.membership.on_view_changed = self.front.seen
+        self.front.list_client.on_list_alive = lambda as_of: desk.on_list_alive(
+            as_of, len(self.front.list_client.server_list.boxes)
+        )
+        self.front.list_client.extra_delay_s = lambda: machine.list_wait_ms() / 1000
         machine.giving.know = self.known
-        desk.on_handed = self.handed
+        desk.on_page_received = self.handed
         if anew:
-            self.front.list.load_cache()
-            if not self.front.list.list.boxes:
-                desk.want()
+            self.front.list_client.load_cache()
+            if not self.front.list_client.server_list.boxes:
+                desk.request_list()
         if not s.list_url:
-            desk.sign(0.0, len(self.front.list.list.boxes))  # nothing is waited for
+            desk.on_list_alive(0.0, len(self.front.list_client.server_list.boxes))  # nothing is waited for
         elif not (anew and s.members):
-            self.front.list.start()
+            self.front.list_client.start()
         else:  # by then whoever comes back as well has spoken
             self.front.loop.call_later(HEAR_S, self.call_list)
         if anew and s.members:
-            desk.vouch(s.members.period_ms)
+            desk.verify_store(s.members.period_ms)
         desk.start()
 
     def known(self) -> list[Any]:
-        return known(self.front.list.list, self.front.memory(), self.front.now_ms())
+        return list_pages(self.front.list_client.server_list, self.front.memory(), self.front.now_ms())
 
     def handed(self, page: Any) -> None:
         """What others knew counts as a kept list and a memory: each by its age, the loads as hearsay."""
-        if not self.front.list.take_over(list_of(page)):
+        if not self.front.list_client.adopt_list(update_from_page(page)):
             return
-        memory = memory_of(page, self.front.memory(), self.front.now_ms())
+        memory = memory_from_page(page, self.front.memory(), self.front.now_ms())
         if memory is not None:
-            self.front.bridge.tell(memory)
+            self.front.bridge.enqueue(memory)
         self.front.counts["handed_servers"] += len(page.entries)
         loads = len(memory.servers) if memory else 0
         log.info("list handed on by others", servers=len(page.entries), loads=loads)
@@ -120,15 +122,15 @@
 
     def return_said(self, words: str) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "return", words)
+            self.front.capture.add_note(self.front.now_ms(), "return", words)
 
     def call_list(self) -> None:
         """Of fronts that are heard to come back together each in its time."""
-        self.front.loop.call_later(self.front.list.wait_s(), self.front.list.start)
+        self.front.loop.call_later(self.front.list_client.extra_delay_s(), self.front.list_client.start)
 
     def open_halls(self) -> None:
         """The machine of halls, with what was kept of its parts; without a store it has to ask for them."""
-        kept = self.front.keeper.load_halls() if self.front.keeper else None
+        kept = self.front.store_service.load_zones() if self.front.store_service else None
         s, now = self.front.settings, self.front.now_ms()
         machine = Halls(
             Plan.of(s.terms),
@@ -141,25 +143,25 @@
             remembers=kept is not None,
             kept=kept or b"",
         )
-        halls = self.front.asks.halls = HallsDesk(
+        halls = self.front.set_up_requests.zones = ZonesDriver(
             self.front.loop,
             self.front.now_ms,
             machine,
             s.terms.cells,
             self.front.wall,
             self.front.membership,
-            self.front.keeper,
+            self.front.store_service,
             self.hall_said,
         )
-        halls.on_move = self.front.asks.come_home
+        halls.on_move_home = self.front.set_up_requests.advise_move_home
         if self.front.membership:
-            self.front.membership.on_halls = halls.heard
-            halls.view(self.front.membership.machine.view())
+            self.front.membership.on_zones_message = halls.on_message
+            halls.on_view_changed(self.front.membership.machine.view())
         halls.start()
 
     def hall_said(self, words: str) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "halls", words)
+            self.front.capture.add_note(self.front.now_ms(), "halls", words)
 
     def limits_plan(self) -> LimitsPlan:
         s = self.front.settings
@@ -178,24 +180,24 @@
             and (state := self.front.taken.message.get("limits"))
         ):
             machine.take_over(now, b64decode(state))
-        desk = self.front.asks.limits = LimitsDesk(
-            self.front.loop, machine, self.front.membership, said=self.limit_said
+        desk = self.front.set_up_requests.limits = LimitsDriver(
+            self.front.loop, machine, self.front.membership, record_event=self.limit_said
         )
-        desk.on_end = self.front.asks.end_session
+        desk.on_session_end = self.front.set_up_requests.end_session
         if self.front.membership:
-            self.front.membership.on_limits = desk.heard
-            desk.view(self.front.membership.machine.view(), False)
+            self.front.membership.on_limits_message = desk.on_message
+            desk.on_view_changed(self.front.membership.machine.view(), False)
         desk.start()
 
     def limit_said(self, words: str, ask: int) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "limits", words, ask)
+            self.front.capture.add_note(self.front.now_ms(), "limits", words, ask)
 
     def stop(self) -> None:
         """Nothing more is said or written by this process."""
-        if self.front.asks.limits:
-            self.front.asks.limits.stop()
-        if self.front.asks.halls:
-            self.front.asks.halls.stop()
-        if self.front.asks.returning:
-            self.front.asks.returning.stop()
+        if self.front.set_up_requests.limits:
+            self.front.set_up_requests.limits.stop()
+        if self.front.set_up_requests.zones:
+            self.front.set_up_requests.zones.stop()
+        if self.front.set_up_requests.recovery:
+            self.front.set_up_requests.recovery.stop()
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -21,21 +21,21 @@
 from lemonhall import decide
 from lemonhall import interface as i
 from lemonhall.config.settings import FrontSettings, StoreSettings, fixed_changes
-from lemonhall.front.deciding.asks import Asks
-from lemonhall.front.deciding.bridge import Bridge, Decider
-from lemonhall.front.deciding.claims import Claims
-from lemonhall.front.deciding.hooks import Hooks
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.membership import Membership, read_keys
-from lemonhall.front.deciding.peers import Peers
-from lemonhall.front.keeping.capturing import Capturer, header_of
-from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.front.keeping.record import Recorder
+from lemonhall.front.decider.bridge import Bridge, Decider
+from lemonhall.front.decider.claim_resolver import ClaimResolver
+from lemonhall.front.decider.hooks import HookRunner
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.membership import Membership, read_keys
+from lemonhall.front.decider.peers import PeerSocket
+from lemonhall.front.decider.set_up_requests import SetUpRequests
+from lemonhall.front.persistence.capture_writer import CaptureWriter, capture_header
+from lemonhall.front.persistence.session_recorder import SessionRecorder
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.process.beside import Beside
 from lemonhall.front.process.builder import Builder
 from lemonhall.front.process.local import Queue
 from lemonhall.front.process.shown import Shown
-from lemonhall.front.servers.catalogue import Call
+from lemonhall.front.servers.descriptions import DescribeCall
 from lemonhall.front.viewers.worker import STOP_S, Worker
 from lemonhall.interface import Outcome
 from lemonhall.loop import Loop, listen
@@ -106,7 +106,7 @@
         self.start_wall_ms, self.start = wall() * 1000, self.loop.now()
         random = Random(settings.seed)
         self.bridge = Bridge(make(settings.to_module(), settings.seed), self.now_ms)
-        self.list = ListClient(
+        self.list_client = ListClient(
             self.loop,
             settings.list_url,
             settings.list_cache,
@@ -115,21 +115,21 @@
             self.start_wall_ms,
         )
         self.builder = Builder(self.loop)
-        self.hooks = Hooks(
+        self.hooks = HookRunner(
             self.builder,
             settings,
-            self.list.list.servers,
+            self.list_client.server_list.servers,
             lambda: self.gauges()[1],
             self.now_ms,
             lambda: self.wall() * 1000,
         )
         self.counts = Counter[str]()
-        self.asks = Asks(
+        self.set_up_requests = SetUpRequests(
             self.loop,
             settings,
             self.bridge,
             Random(random.random()),
-            self.list.list.addresses.get,
+            self.list_client.server_list.addresses.get,
             self.hooks,
             self.counts,
         )
@@ -138,39 +138,39 @@
             self.loop,
             settings,
             0,
-            self.list.list,
+            self.list_client.server_list,
             Random(random.random()),
             self.now_ms,
             wall,
             self.counts,
         )
         self.up, self.down = Queue(self.loop, 1), Queue(self.loop, 1)
-        self.up.heard = lambda message: self.asks.heard(self.down, message)
+        self.up.heard = lambda message: self.set_up_requests.on_worker_message(self.down, message)
         self.down.heard = self.worker.heard
-        pools, listed = self.asks.pools, self.list.list
-        pools.version, pools.servers = lambda: listed.version, listed.by_address
+        pools, listed = self.set_up_requests.pool_preferences, self.list_client.server_list
+        pools.list_version, pools.ids_by_address = lambda: listed.version, listed.ids_by_address
         self.path, self.tree = "", b""
         self.on_tree: Callable[[bytes], object] = lambda tree: None  # told of settings that hold from now on
         self.stopping = self.draining = False
-        self.peers: Peers | None = None
+        self.peers: PeerSocket | None = None
         self.membership: Membership | None = None
-        self.keeper: Keeper | None = None
+        self.store_service: StoreService | None = None
         self.guard: Closing | None = None
         self.taken: Taken | None = None  # from the front that this one relieves
         self.point: Callable[[str], object] = lambda name: None
         self.listeners: list[socket.socket] = []
         self.host = ""
-        self.capture: Capturer | None = None
+        self.capture: CaptureWriter | None = None
         self.shown = Shown(self)
         self.beside = Beside(self)
-        self.asks.on_took = self.shown.set_up_took
-        self.bridge.carry_out.update(
+        self.set_up_requests.on_set_up_time = self.shown.set_up_took
+        self.bridge.action_handlers.update(
             {
                 i.SetTimer: self.set_timer,
                 i.Probe: self.probe,
                 i.TellPeers: self.tell_peers,
-                i.Subscribe: self.list.subscribe,
-                i.Reload: self.list.reload,
+                i.Subscribe: self.list_client.subscribe,
+                i.Reload: self.list_client.reload,
                 i.Remark: lambda a: log.info("remark", text=a.text),
             }
         )
@@ -204,8 +204,8 @@
             return
         self.tree = tree
         self.on_tree(tree)
-        self.settings = self.asks.settings = new
-        self.asks.pools.settle(new)
+        self.settings = self.set_up_requests.settings = new
+        self.set_up_requests.pool_preferences.apply_settings(new)
         self.worker.settle(new, 1)
         if self.workers:
             self.workers.settle(new)
@@ -215,12 +215,12 @@
         log.info("settings loaded", changes=len(changes))
         if self.capture:
             for change in changes:
-                self.capture.word(self.now_ms(), "settings", change.what)
-        if self.asks.limits:
-            self.asks.limits.settle(self.beside.limits_plan())
+                self.capture.add_note(self.now_ms(), "settings", change.what)
+        if self.set_up_requests.limits:
+            self.set_up_requests.limits.apply_plan(self.beside.limits_plan())
         elif new.terms.fleet_limits:
             self.beside.open_limits()
-        self.hooks.resettle(new)
+        self.hooks.apply_settings(new)
 
     def keep_settings(self, problems: list[str]) -> None:
         self.counts["settings_refused"] += 1
@@ -242,8 +242,8 @@
         """Listens and starts. Returns where viewers are served. Raises `OSError` if an address is taken."""
         s, taken = self.settings, self.taken or Taken()
         if s.capture.on:
-            self.capture = self.bridge.capture = Capturer(s.capture, header_of(s), self.wall)
-        if s.store and self.keeper is None:
+            self.capture = self.bridge.capture = CaptureWriter(s.capture, capture_header(s), self.wall)
+        if s.store and self.store_service is None:
             self.open_store(s.store)
         if s.members:
             self.membership = Membership(
@@ -253,7 +253,7 @@
                 s.members.listen,
                 s.members.seeds,
                 read_keys(s.members.keys),
-                self.bridge.tell,
+                self.bridge.enqueue,
                 SystemRandom(),
                 Config(period_ms=s.members.period_ms, answer_ms=0.3 * s.members.period_ms),
                 taken.members,
@@ -275,24 +275,26 @@
         if s.status:
             self.open_status(self.shown.serve(), taken.status)
         if s.peers_listen:
-            self.peers = Peers(self.loop, s.peers_listen, s.index, s.peers, self.bridge.tell, taken.peers)
-        self.asks.claims = Claims(self.loop, self.keeper, self.membership)
+            self.peers = PeerSocket(
+                self.loop, s.peers_listen, s.index, s.peers, self.bridge.enqueue, taken.peers
+            )
+        self.set_up_requests.claim_resolver = ClaimResolver(self.loop, self.store_service, self.membership)
         if self.membership:
-            self.membership.on_claim = self.asks.claims.heard
+            self.membership.on_claim_message = self.set_up_requests.claim_resolver.on_message
         if s.terms.spills:
             self.beside.open_halls()
         if s.terms.fleet_limits:
             self.beside.open_limits()
         if s.record:
-            self.asks.recorder = Recorder(Path(s.record), s, self.loop.now() * 1000)
-        if self.keeper:
-            self.recall(self.keeper, anew)
+            self.set_up_requests.recorder = SessionRecorder(Path(s.record), s, self.loop.now() * 1000)
+        if self.store_service:
+            self.recall(self.store_service, anew)
         self.open_guard()
         if self.workers:
             self.workers.opened()
         else:
             self.worker.linked(self.up, self.welcome())
-        self.bridge.call()
+        self.bridge.call_module()
         if s.limits.memory:
             self.worker.watch_memory()
         self.look_back()
@@ -303,17 +305,17 @@
 
     def tell_list(self, event: i.Event) -> None:
         """What the list client tells the module goes to the machine of halls as well."""
-        self.bridge.tell(event)
-        if self.asks.halls and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
+        self.bridge.enqueue(event)
+        if self.set_up_requests.zones and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
             fresh = event.kind != i.ListKind.CACHED
-            self.asks.halls.listed(self.list.list.servers(), fresh)
+            self.set_up_requests.zones.on_server_list(self.list_client.server_list.servers(), fresh)
 
     def open_guard(self) -> None:
         """Where a front can be relieved, its class says how."""
 
     def welcome(self, version: int = VERSION, mine: bool = True) -> Welcome:
         """What a worker must know to begin with."""
-        ledger = self.keeper.ledger if self.keeper else None
+        ledger = self.store_service.ledger if self.store_service else None
         store, pruned_s = (ledger.store, ledger.pruned_s) if ledger else (0, 0)
         return Welcome(version, self.settings.index, store, pruned_s, mine)
 
@@ -324,12 +326,12 @@
             self.down.send(message)
 
     def look_back(self) -> None:
-        self.asks.look_back()
+        self.set_up_requests.expire_overdue_requests()
         self.loop.call_later(LOOK_BACK_S, self.look_back)
 
     def store_turned(self, failing: bool) -> None:
-        assert self.keeper
-        self.send_all(Stored(self.keeper.ledger.pruned_s, failing))
+        assert self.store_service
+        self.send_all(Stored(self.store_service.ledger.pruned_s, failing))
 
     def gauges(self) -> tuple[int, int]:
         """Viewers and sessions, of all workers."""
@@ -348,16 +350,16 @@
 
     def seen(self, view: View) -> None:
         """Another view of who is there."""
-        if self.asks.limits and self.membership:
-            self.asks.limits.view(view, self.membership.machine.conflict)
-        if self.asks.halls:
-            self.asks.halls.view(view)
-        if self.asks.returning:
-            self.asks.returning.view(view)
+        if self.set_up_requests.limits and self.membership:
+            self.set_up_requests.limits.on_view_changed(view, self.membership.machine.conflict)
+        if self.set_up_requests.zones:
+            self.set_up_requests.zones.on_view_changed(view)
+        if self.set_up_requests.recovery:
+            self.set_up_requests.recovery.on_view_changed(view)
         if self.capture:
             there = " ".join(map(str, view.members))
             words = f"there are {there}" + (", this one may be cut off" if view.cut_off else "")
-            self.capture.word(self.now_ms(), "members", words)
+            self.capture.add_note(self.now_ms(), "members", words)
 
     # change of guard
 
@@ -377,12 +379,12 @@
             accept_on(self.loop, self.listeners[1], self.serve_status)
         if self.membership:
             self.membership.resume()
-        if self.asks.halls:
-            self.asks.halls.start()
-        if self.asks.limits:
-            self.asks.limits.start()
-        if self.asks.returning:
-            self.asks.returning.start()
+        if self.set_up_requests.zones:
+            self.set_up_requests.zones.start()
+        if self.set_up_requests.limits:
+            self.set_up_requests.limits.start()
+        if self.set_up_requests.recovery:
+            self.set_up_requests.recovery.start()
         if self.peers:
             self.loop.watch(self.peers.sock, READ, self.peers.on_ready)
 
@@ -390,13 +392,13 @@
         """All has been handed over: this process goes, without a word to viewers, servers or other fronts."""
         self.stopping = True
         self.beside.stop()
-        self.list.wanted = False
-        if self.list.stream:
-            self.list.stream.abort()
-        self.list.stop()
+        self.list_client.wanted = False
+        if self.list_client.stream:
+            self.list_client.stream.abort()
+        self.list_client.stop()
         self.builder.stop()
-        if self.asks.recorder:
-            self.asks.recorder.stop()
+        if self.set_up_requests.recorder:
+            self.set_up_requests.recorder.stop()
         if self.membership:
             self.membership.close()
         if self.peers:
@@ -405,36 +407,38 @@
             sock.close()
         if self.capture:
             self.capture.close()
-        if self.keeper:
-            self.keeper.close(relieved=True)
+        if self.store_service:
+            self.store_service.close(handed_over=True)
         if self.guard:
             self.guard.close()
         self.loop.stop()
 
     def open_store(self, settings: StoreSettings, lock: int | None = None) -> None:
         random = Random(SystemRandom().getrandbits(64))  # tokens must not come twice, whatever the seed
-        self.keeper = Keeper(self.loop, settings, self.settings.index, random, self.memory, self.wall, lock)
-        self.list.keeper = self.asks.keeper = self.keeper
-        self.keeper.on_turn = self.store_turned
+        self.store_service = StoreService(
+            self.loop, settings, self.settings.index, random, self.memory, self.wall, lock
+        )
+        self.list_client.store_service = self.set_up_requests.store_service = self.store_service
+        self.store_service.on_failing_changed = self.store_turned
 
     def memory(self) -> i.Memory | None:
         """What the module has learned; another file's module may not say."""
         give: Callable[[], i.Memory] | None = getattr(self.bridge.decider, "memory", None)
         return give() if give and self.bridge.calls else None
 
-    def recall(self, keeper: Keeper, anew: bool) -> None:
+    def recall(self, store_service: StoreService, anew: bool) -> None:
         """What was kept of an earlier life, unless a front that lives has told it: sessions that played then
         ended with their process."""
         if not anew:
-            keeper.start()
+            store_service.start()
             return
-        if memory := keeper.load_memory():
-            self.bridge.tell(memory)
-        lost = keeper.lost()
+        if memory := store_service.load_memory():
+            self.bridge.enqueue(memory)
+        lost = store_service.forget_lost_sessions()
         if memory or lost:
             age_s = round((self.now_ms() - memory.at) / 1000, 1) if memory else None
             log.info("kept state read", sessions_lost=lost, learned_s_ago=age_s)
-        keeper.start()
+        store_service.start()
 
     def drain(self) -> None:
         """Takes nothing new; what plays comes to its end, for as long as the settings allow. Then stops."""
@@ -443,7 +447,7 @@
         self.draining = self.worker.draining = True
         log.info("draining", sessions=self.gauges()[1])
         if self.membership:
-            self.membership.say_leaving()
+            self.membership.announce_leave()
         if self.settings.drain_to:
             self.send_all(Redirect(self.settings.drain_to))
         if self.workers:
@@ -471,7 +475,7 @@
             "longest_pass_s": self.loop.longest_pass_s,
             "viewers": self.gauges()[0],
             "sessions": self.gauges()[1],
-            "asks": len(self.asks.open),
+            "asks": len(self.set_up_requests.open_requests),
             "counts": dict(self.counts),
             "hooks": self.hooks.engine.report(),
         }
@@ -486,10 +490,10 @@
         """Another decider is about to take over, with the same workers: goes without a word to anybody."""
         self.stopping = True
         self.beside.stop()
-        self.list.wanted = False
+        self.list_client.wanted = False
         self.builder.stop()
-        if self.asks.recorder:
-            self.asks.recorder.stop()
+        if self.set_up_requests.recorder:
+            self.set_up_requests.recorder.stop()
         if self.membership:
             self.membership.close()
             self.membership = None
@@ -503,7 +507,7 @@
         if self.stopping:
             return
         self.stopping = True
-        log.info("stopping", asked=len(self.asks.open), viewers=self.gauges()[0])
+        log.info("stopping", asked=len(self.set_up_requests.open_requests), viewers=self.gauges()[0])
         for sock in self.listeners:
             if sock.fileno() >= 0:
                 self.loop.watch(sock, 0, self.worker.accept)
@@ -518,12 +522,12 @@
 
     def finish(self) -> None:
         """Again each moment until no answer is owed and no attempt is out."""
-        if self.workers.left() if self.workers else self.worker.asks or self.asks.open:
+        if self.workers.left() if self.workers else self.worker.asks or self.set_up_requests.open_requests:
             self.loop.call_later(0.02, self.finish)
             return
-        self.list.stop()
-        if self.asks.recorder:
-            self.asks.recorder.stop()
+        self.list_client.stop()
+        if self.set_up_requests.recorder:
+            self.set_up_requests.recorder.stop()
         if self.guard:
             self.guard.close()
         if self.membership:
@@ -541,14 +545,14 @@
             self.workers.close()
         if self.capture:
             self.capture.close()
-        if self.keeper:
-            self.keeper.close()
+        if self.store_service:
+            self.store_service.close()
         self.loop.stop()
 
     # actions
 
     def set_timer(self, action: i.SetTimer) -> None:
-        self.loop.call_later(action.after_ms / 1000, self.bridge.tell, i.TimerDue(action.token))
+        self.loop.call_later(action.after_ms / 1000, self.bridge.enqueue, i.TimerDue(action.token))
 
     def tell_peers(self, action: i.TellPeers) -> None:
         if self.peers:
@@ -556,15 +560,15 @@
 
     def probe(self, action: i.Probe) -> None:
         """OPTIONS would prove a listener only; a DESCRIBE of nothing shows that requests are read."""
-        address = self.list.list.addresses.get(action.server)
+        address = self.list_client.server_list.addresses.get(action.server)
         began = self.loop.now()
 
         def done(status_code: int, _: bytes) -> None:
             outcome = {502: Outcome.CONNECT_FAILED, 504: Outcome.TIMEOUT}.get(status_code, Outcome.OK)
             took_ms = (self.loop.now() - began) * 1000
-            self.bridge.tell(i.ProbeEnded(action.server, outcome, took_ms))
+            self.bridge.enqueue(i.ProbeEnded(action.server, outcome, took_ms))
 
         if address is None:
             self.loop.call_soon(done, 502, b"")
         else:
-            Call(self.loop, address, "/", done)
+            DescribeCall(self.loop, address, "/", done)
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/shown.py
@@ -12,12 +12,12 @@
 import prometheus_client as prom
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from lemonhall.front.deciding.asks import Asks
-from lemonhall.front.deciding.hooks import Hooks
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.membership import Membership
-from lemonhall.front.keeping.capturing import Capturer
-from lemonhall.front.keeping.keeper import Keeper
+from lemonhall.front.decider.hooks import HookRunner
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.membership import Membership
+from lemonhall.front.decider.set_up_requests import SetUpRequests
+from lemonhall.front.persistence.capture_writer import CaptureWriter
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.process import status
 from lemonhall.front.viewers.worker import Worker
 from lemonhall.halls import Order
@@ -31,16 +31,16 @@
     """The daemon, as far as it is shown."""
 
     loop: Loop
-    asks: Asks
-    list: ListClient
+    set_up_requests: SetUpRequests
+    list_client: ListClient
     worker: Worker
-    hooks: Hooks
+    hooks: HookRunner
     counts: Counter[str]
     stopping: bool
     draining: bool
     membership: Membership | None
-    keeper: Keeper | None
-    capture: Capturer | None
+    store_service: StoreService | None
+    capture: CaptureWriter | None
 
     def gauges(self) -> tuple[int, int]: ...
 
@@ -86,20 +86,20 @@
             return 503, "text/plain", b"stopping\n" if self.front.stopping else b"draining\n"
         if self.front.worker.over_memory:
             return 503, "text/plain", b"over its memory\n"
-        if not self.front.list.list.boxes:
+        if not self.front.list_client.server_list.boxes:
             return 503, "text/plain", b"no box list yet\n"
         return 200, "text/plain", b"ready\n"
 
     def health_page(self) -> tuple[int, str, bytes]:
         """200 while the loop turns, with how far the front has come back."""
-        desk = self.front.asks.returning
+        desk = self.front.set_up_requests.recovery
         return desk.page() if desk else (200, "text/plain", b"ok\n")
 
     def members_page(self) -> tuple[int, str, bytes]:
         if self.front.membership is None:
             return 404, "text/plain", b"no members in the settings\n"
         status, kind, body = self.front.membership.page()
-        desk = self.front.asks.returning
+        desk = self.front.set_up_requests.recovery
         shown = {**json.loads(body), "return": desk.show() if desk else None}
         return status, kind, json.dumps(shown).encode() + b"\n"
 
@@ -113,24 +113,24 @@
         return 200, "text/plain; version=0.0.4", prom.generate_latest(self.registry)
 
     def halls_page(self) -> tuple[int, str, bytes]:
-        if self.front.asks.halls is None:
+        if self.front.set_up_requests.zones is None:
             return 404, "text/plain", b"no spill in the settings\n"
-        return self.front.asks.halls.page()
+        return self.front.set_up_requests.zones.page()
 
     def order_hall(self, hall: str, what: Order) -> tuple[int, str, bytes]:
-        if self.front.asks.halls is None:
+        if self.front.set_up_requests.zones is None:
             return 404, "text/plain", b"no spill in the settings\n"
-        return self.front.asks.halls.order(unquote(hall.removeprefix("hall=")), what)
+        return self.front.set_up_requests.zones.order(unquote(hall.removeprefix("hall=")), what)
 
     def limits_page(self) -> tuple[int, str, bytes]:
-        if self.front.asks.limits is None:
+        if self.front.set_up_requests.limits is None:
             return 404, "text/plain", b"no limit in the settings\n"
-        return self.front.asks.limits.page()
+        return self.front.set_up_requests.limits.page()
 
     def forget_front(self, query: str) -> tuple[int, str, bytes]:
-        if self.front.asks.limits is None:
+        if self.front.set_up_requests.limits is None:
             return 404, "text/plain", b"no limit in the settings\n"
-        return self.front.asks.limits.forget(query.removeprefix("front="))
+        return self.front.set_up_requests.limits.forget_front(query.removeprefix("front="))
 
     # counters
 
@@ -139,8 +139,8 @@
             "lemonhall_phase", "How far the front has come back: 1 at its phase", labels=["phase"]
         )
         full = GaugeMetricFamily("lemonhall_full_service_seconds", "From its start until its phase was full")
-        if self.front.asks.returning:
-            shown = self.front.asks.returning.show()
+        if self.front.set_up_requests.recovery:
+            shown = self.front.set_up_requests.recovery.show()
             for one in Phase:
                 phase.add_metric([one.name.lower()], float(one.name.lower() == shown["phase"]))
             if shown["full_service_s"] is not None:
@@ -150,7 +150,7 @@
     def limits(self) -> list[Any]:
         held = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
         refused = CounterMetricFamily("lemonhall_limit_refused", "Told that it is full", labels=["limit"])
-        if desk := self.front.asks.limits:
+        if desk := self.front.set_up_requests.limits:
             for told in desk.machine.show(desk.now())["limits"]:
                 refused.add_metric([told["limit"]], told["refused"])
                 for what in ("goes_by", "used", "held", "borrowed", "lent", "needed", "others", "off_most"):
@@ -167,10 +167,10 @@
         viewers, sessions = self.front.gauges()
         now.add_metric(["viewers"], viewers)
         now.add_metric(["sessions"], sessions)
-        now.add_metric(["asks"], len(self.front.asks.open))
-        now.add_metric(["boxes"], len(self.front.list.list.boxes))
-        now.add_metric(["list_version"], self.front.list.list.version)
-        happened.add_metric(["older_lists"], self.front.list.list.older)
+        now.add_metric(["asks"], len(self.front.set_up_requests.open_requests))
+        now.add_metric(["boxes"], len(self.front.list_client.server_list.boxes))
+        now.add_metric(["list_version"], self.front.list_client.server_list.version)
+        happened.add_metric(["older_lists"], self.front.list_client.server_list.older_updates)
         now.add_metric(["longest_pass_seconds"], self.front.loop.longest_pass_s)
         said = CounterMetricFamily("lemonhall_hook", "Counted by hook scripts", labels=["name"])
         for name, value in sorted(self.front.hooks.engine.metrics.items()):
@@ -182,8 +182,10 @@
             scripts.add_metric([one["script"], "cuts"], sum(one["cuts"].values()))
         overruled = CounterMetricFamily("lemonhall_hooks_overruled", "Words that did not stand")
         overruled.add_metric([], sum(self.front.hooks.engine.overruled.values()))
-        if self.front.keeper:
-            for name, value in sorted((self.front.keeper.counts + self.front.asks.claims.counts).items()):
+        if self.front.store_service:
+            for name, value in sorted(
+                (self.front.store_service.counts + self.front.set_up_requests.claim_resolver.counts).items()
+            ):
                 happened.add_metric([f"store_{name}"], value)
-            now.add_metric(["store_groups"], self.front.keeper.writer.groups)
+            now.add_metric(["store_groups"], self.front.store_service.writer.groups)
         return [happened, now, said, scripts, overruled, *self.phases(), *self.limits()]
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -25,7 +25,7 @@
 class State(Enum):
     CONNECTING = auto()
     SETTING_UP = auto()
-    ASKED = auto()
+    PLAY_SENT = auto()
     PLAYING = auto()
     LEAVING = auto()  # TEARDOWN is out
     ENDED = auto()
@@ -59,20 +59,20 @@
         connect_s: float,
         timeout_s: float,
         report_fields: tuple[str, ...],
-        clear: bool = True,
+        may_send: bool = True,
     ) -> None:
         self.loop, self.owner, self.number, self.server, self.url = loop, owner, number, server, url
         self.tracks, self.headers, self.bandwidth, self.start_s = tracks, headers, bandwidth, start_s
         self.report_fields = report_fields
-        self.state, self.left_as = State.CONNECTING, Outcome.OK
-        self.began = loop.now()
+        self.state, self.teardown_outcome = State.CONNECTING, Outcome.OK
+        self.started_at = loop.now()
         self.parser = Parser()
-        self.cseq = self.set_up = 0
+        self.cseq = self.tracks_set_up = 0
         self.session = ""
-        self.waiting: dict[str, str] = {}  # CSeq to method
+        self.pending_methods: dict[str, str] = {}  # CSeq to method
         self.report: tuple[float, ...] = ()
         self.play_ok = self.media_seen = False
-        self.clear = clear  # whether the request may leave
+        self.may_send = may_send  # whether the request may leave
         self.timer: Timer | None = loop.call_later(timeout_s, self.end, Outcome.TIMEOUT)
         self.stream = Stream.connect(loop, address, self, min(connect_s, max(0.001, timeout_s)))
 
@@ -82,7 +82,7 @@
 
     def send(self, method: str, url: str, *headers: tuple[str, str], body: bytes = b"") -> None:
         self.cseq += 1
-        self.waiting[str(self.cseq)] = method
+        self.pending_methods[str(self.cseq)] = method
         session = [("Session", self.session)] if self.session else []
         self.stream.write(ask(method, url, self.cseq, *session, *self.headers, *headers, body=body))
 
@@ -90,22 +90,22 @@
 
     def connected(self) -> None:
         self.state = State.SETTING_UP
-        if self.clear:
+        if self.may_send:
             self.send_set_up()
 
-    def cleared(self, why: str) -> None:
+    def on_claim_written(self, why: str) -> None:
         """The ledger has it, or says why not: only now may the request leave. The connection may be there."""
         if self.state is State.ENDED:
             return
         if why:
             self.end(Outcome.MOOT)
             return
-        self.clear = True
+        self.may_send = True
         if self.state is State.SETTING_UP:
             self.send_set_up()
 
     def send_set_up(self) -> None:
-        control, channels = self.tracks[self.set_up]
+        control, channels = self.tracks[self.tracks_set_up]
         transport = f"RTP/AVP/TCP;unicast;interleaved={channels[0]}-{channels[1]}"
         self.send("SETUP", control, ("Transport", transport), self.bandwidth_header())
 
@@ -130,38 +130,38 @@
         if self.state is State.ENDED:
             return
         if self.state is State.LEAVING:
-            self.end(self.left_as)
+            self.end(self.teardown_outcome)
         else:
             self.end(Outcome.RESET if self.stream.written else Outcome.CONNECT_FAILED)
 
     # the protocol
 
     def on_response(self, response: Response) -> None:
-        method = self.waiting.pop(response.cseq, "")
+        method = self.pending_methods.pop(response.cseq, "")
         if text := response.headers.get(reports.HEADER):
             self.report = reports.decode(text, self.report_fields) or self.report
         fine = 200 <= response.status < 300
         if method == "SETUP" and self.state is State.SETTING_UP:
             if not fine or not response.session:
-                first = self.set_up == 0
+                first = self.tracks_set_up == 0
                 self.end(Outcome.FULL if first and response.status in FULL else Outcome.ERROR)
                 return
             self.session = response.session
-            self.set_up += 1
-            if self.set_up < len(self.tracks):
+            self.tracks_set_up += 1
+            if self.tracks_set_up < len(self.tracks):
                 self.send_set_up()
                 return
-            self.state = State.ASKED
+            self.state = State.PLAY_SENT
             position = ("Range", f"npt={self.start_s:.3f}-")
             self.send("PLAY", self.url, position, self.bandwidth_header())
-        elif method == "PLAY" and self.state is State.ASKED:
+        elif method == "PLAY" and self.state is State.PLAY_SENT:
             if not fine:
                 self.end(Outcome.ERROR)
                 return
             self.play_ok = True
             self.check_playing()
         elif method == "TEARDOWN":
-            self.end(self.left_as)
+            self.end(self.teardown_outcome)
 
     def on_request(self, request: Request) -> None:
         """Servers may ask for signs of life; they get an answer, nothing more."""
@@ -171,7 +171,7 @@
     def on_frames(self, run: Frames) -> None:
         if run.rtcp:
             self.on_rtcp(run)
-        elif self.state in (State.ASKED, State.PLAYING):
+        elif self.state in (State.PLAY_SENT, State.PLAYING):
             if not self.media_seen:
                 self.media_seen = True
                 self.check_playing()
@@ -195,26 +195,26 @@
                 self.owner.attempt_rtcp(self, channel, packet)
 
     def check_playing(self) -> None:
-        if self.play_ok and self.media_seen and self.state is State.ASKED:
+        if self.play_ok and self.media_seen and self.state is State.PLAY_SENT:
             self.state = State.PLAYING
             if self.timer:
                 self.timer.cancel()
-            self.owner.attempt_playing(self, (self.loop.now() - self.began) * 1000)
+            self.owner.attempt_playing(self, (self.loop.now() - self.started_at) * 1000)
 
     # the session's side
 
     def set_bandwidth(self, kb: float, rung: int) -> None:
         """A change of rung while it is set up or plays: SET_PARAMETER with the rung and its rate."""
         self.bandwidth = kb
-        if self.state in (State.ASKED, State.PLAYING):
+        if self.state in (State.PLAY_SENT, State.PLAYING):
             body = f"rung: {rung}\r\n".encode()
             kind = ("Content-Type", "text/parameters")
             self.send("SET_PARAMETER", self.url, self.bandwidth_header(), kind, body=body)
 
-    def leave(self, outcome: Outcome = Outcome.OK) -> None:
+    def teardown(self, outcome: Outcome = Outcome.OK) -> None:
         """Ends it in order: TEARDOWN, its answer, `outcome`. Before it plays the connection is dropped."""
         if self.state is State.PLAYING:
-            self.state, self.left_as = State.LEAVING, outcome
+            self.state, self.teardown_outcome = State.LEAVING, outcome
             self.stream.resume()
             self.send("TEARDOWN", self.url)
             self.timer = self.loop.call_later(TEARDOWN_S, self.end, outcome)
--- a/lemonhall/front/servers/catalogue.py
+++ b/lemonhall/front/servers/descriptions.py
@@ -26,7 +26,7 @@
 Answer = Callable[[int, sdp.Description | None], None]
 
 
-def choose(
+def choose_server(
     servers: Iterable[i.Server], now_ms: float, warm_ms: float, shunned: set[int], random: Random
 ) -> int | None:
     """A server to ask, by its number; None: nobody may be asked. Cold ones only if no other is there."""
@@ -35,7 +35,7 @@
     return random.choice(warm or ready).id if ready else None
 
 
-class Call(Handler):
+class DescribeCall(Handler):
     """One DESCRIBE on a connection of its own."""
 
     def __init__(self, loop: Loop, address: Address, path: str, done: Callable[[int, bytes], None]) -> None:
@@ -65,7 +65,7 @@
             self.done(status, body)
 
 
-class Catalogue:
+class DescriptionCache:
     def __init__(
         self,
         loop: Loop,
@@ -85,7 +85,7 @@
     def key(path: str) -> str:
         return path.partition("?")[0]
 
-    def known(self, path: str) -> sdp.Description | None:
+    def cached(self, path: str) -> sdp.Description | None:
         return self.kept.get(self.key(path))
 
     def describe(self, path: str, answer: Answer) -> None:
@@ -98,12 +98,12 @@
             self.waiting[key].append(answer)
         else:
             self.waiting[key] = [answer]
-            self.ask(key, 0)
+            self.request_description(key, 0)
 
-    def ask(self, key: str, tried: int) -> None:
+    def request_description(self, key: str, tried: int) -> None:
         now = self.loop.now()
         self.shunned = {n: until for n, until in self.shunned.items() if until > now}
-        picked = choose(self.servers(), self.now_ms(), self.warm_ms, set(self.shunned), self.random)
+        picked = choose_server(self.servers(), self.now_ms(), self.warm_ms, set(self.shunned), self.random)
         address = self.addresses(picked) if picked is not None else None
         if picked is None or address is None:
             self.finish(key, 503, None)
@@ -122,11 +122,11 @@
                 return
             self.shunned[picked] = self.loop.now() + SHUN_S
             if tried + 1 < TRIES:
-                self.ask(key, tried + 1)
+                self.request_description(key, tried + 1)
             else:
                 self.finish(key, status if status in (502, 503, 504) else 502, None)
 
-        Call(self.loop, address, key, done)
+        DescribeCall(self.loop, address, key, done)
 
     def finish(self, key: str, status: int, description: sdp.Description | None) -> None:
         if description:
--- a/lemonhall/front/servers/relay.py
+++ b/lemonhall/front/servers/rtp_rewriter.py
@@ -13,25 +13,27 @@
 HEADER = struct.Struct(">HII")  # sequence, timestamp, SSRC at byte 2 of an RTP packet
 
 
-class Track:
+class RtpRewriter:
     """One track of one session. Times are seconds of the loop's clock."""
 
     def __init__(self, clock_rate: int) -> None:
         self.clock_rate = clock_rate
         self.ssrc: int | None = None  # as the viewer knows it
-        self.last: tuple[int, int, float] | None = None  # sequence, timestamp, when: as sent to the viewer
+        self.last_sent: tuple[int, int, float] | None = (
+            None  # sequence, timestamp, when: as sent to the viewer
+        )
         self.offsets: tuple[int, int] | None = None  # added to sequence and timestamp; None: unchanged
-        self.joining = False
+        self.resync = False
 
-    def moved(self) -> None:
+    def on_server_changed(self) -> None:
         """The next packet comes from another server."""
-        self.joining = self.last is not None
+        self.resync = self.last_sent is not None
 
-    def saw(self, packet: memoryview, now: float) -> None:
+    def observe(self, packet: memoryview, now: float) -> None:
         """Remembers what went out unchanged."""
         if len(packet) >= rtp.RTP.size:
             sequence, timestamp, ssrc = HEADER.unpack_from(packet, 2)
-            self.last = (sequence, timestamp, now)
+            self.last_sent = (sequence, timestamp, now)
             if self.ssrc is None:
                 self.ssrc = ssrc
 
@@ -40,18 +42,18 @@
         if len(packet) < rtp.RTP.size:
             return
         sequence, timestamp, ssrc = HEADER.unpack_from(packet, 2)
-        if self.joining and self.last:
-            was_seq, was_time, at = self.last
+        if self.resync and self.last_sent:
+            was_seq, was_time, at = self.last_sent
             step = max(1, round((now - at) * self.clock_rate))
             self.offsets = ((was_seq + 1 - sequence) & 0xFFFF, (was_time + step - timestamp) & 0xFFFFFFFF)
-            self.joining = False
+            self.resync = False
         if self.ssrc is None:
             self.ssrc = ssrc
         add_seq, add_time = self.offsets or (0, 0)
         sequence, timestamp = (sequence + add_seq) & 0xFFFF, (timestamp + add_time) & 0xFFFFFFFF
         HEADER.pack_into(packet, 2, sequence, timestamp, self.ssrc)
-        if self.last is None or (sequence - self.last[0]) & 0xFFFF < 0x8000:
-            self.last = (sequence, timestamp, now)
+        if self.last_sent is None or (sequence - self.last_sent[0]) & 0xFFFF < 0x8000:
+            self.last_sent = (sequence, timestamp, now)
 
     def rewrite_rtcp(self, packet: rtp.RtcpPacket) -> bytes:
         """A sender report or BYE under the viewer's SSRC and time; other kinds as they are."""
--- a/lemonhall/front/servers/listed.py
+++ b/lemonhall/front/servers/server_list.py
@@ -22,7 +22,7 @@
     )
 
 
-class BoxList:
+class ServerListState:
     """What the list says now. `apply` gives the event for the module, or None for what is old news.
 
     A list that tells of a time before this front was born cannot name a server that has started since, and
@@ -32,15 +32,15 @@
     that was put back: left aside (`older`, counted) until it has caught up, and then wanted whole.
     """
 
-    def __init__(self, born_ms: float = 0.0) -> None:
-        self.born_ms = born_ms
+    def __init__(self, front_started_ms: float = 0.0) -> None:
+        self.front_started_ms = front_started_ms
         self.version = 0
         self.as_of_ms = 0.0  # the latest time that it told of; 0: it does not say
-        self.older = 0
-        self.behind = self.wants_whole = False
+        self.older_updates = 0
+        self.behind = self.needs_full_list = False
         self.boxes: dict[int, Box] = {}
         self.addresses: dict[int, Address] = {}  # also of boxes that have left: attempts may still end there
-        self.on_news: Callable[[Update], object] = lambda update: None  # of each update that was news
+        self.on_update: Callable[[Update], object] = lambda update: None  # of each update that was news
 
     def apply(self, update: Update, cached: bool = False) -> i.ServerList | None:
         if self.is_behind(update):
@@ -59,8 +59,8 @@
             else:
                 self.boxes[box.id] = box
         self.version = max(update.version, self.version) if not update.full else update.version
-        self.on_news(update)
-        if cached or 0 < update.as_of_ms < self.born_ms:
+        self.on_update(update)
+        if cached or 0 < update.as_of_ms < self.front_started_ms:
             return i.ServerList(i.ListKind.CACHED, self.version, tuple(self.servers()))
         kind = i.ListKind.FULL if update.full else i.ListKind.CHANGES
         return i.ServerList(kind, update.version, tuple(to_server(b) for b in update.boxes))
@@ -70,13 +70,13 @@
         if update.full:
             back = update.version < self.version
             self.behind = back and 0 < update.as_of_ms <= self.as_of_ms
-            self.older += self.behind
+            self.older_updates += self.behind
         elif self.behind and update.as_of_ms > self.as_of_ms:
-            self.behind, self.wants_whole = False, True
+            self.behind, self.needs_full_list = False, True
             return True
         return self.behind
 
-    def by_address(self) -> dict[str, int]:
+    def ids_by_address(self) -> dict[str, int]:
         """Numbers of the servers that are listed, by host:port."""
         return {b.address: b.id for b in self.boxes.values()}
 
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -19,7 +19,7 @@
 from lemonhall.config.routing import title_of
 from lemonhall.front.servers.attempt import Attempt
 from lemonhall.front.servers.attempt import State as AttemptState
-from lemonhall.front.servers.relay import Track
+from lemonhall.front.servers.rtp_rewriter import RtpRewriter
 from lemonhall.front.viewers.routes import Asked
 from lemonhall.front.viewers.slot import Slot
 from lemonhall.interface import Outcome
@@ -95,7 +95,7 @@
     """One track as the viewer has it: channels on its connection, and RTP continuity."""
 
     def __init__(self, channels: tuple[int, int], control: str, clock_rate: int) -> None:
-        self.channels, self.control, self.rtp = channels, control, Track(clock_rate)
+        self.channels, self.control, self.rtp = channels, control, RtpRewriter(clock_rate)
 
 
 class Session:
@@ -226,8 +226,8 @@
             self.worker.counts["stray_frames"] += 1
             return
         now = self.worker.loop.now()
-        if track.offsets is None and not track.joining:
-            track.saw(run.data[run.last + 4 :], now)
+        if track.offsets is None and not track.resync:
+            track.observe(run.data[run.last + 4 :], now)
             self.viewer.media(self, run.data)
             return
         copy = memoryview(bytearray(run.data))
--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -15,7 +15,7 @@
 
 from lemonhall.config.routing import Router
 from lemonhall.config.settings import FrontSettings
-from lemonhall.front.servers.catalogue import Catalogue
+from lemonhall.front.servers.descriptions import DescriptionCache
 from lemonhall.front.viewers import routes
 from lemonhall.front.viewers.session import Minder, Session, State, ViewerTrack
 from lemonhall.front.viewers.slot import Slot
@@ -48,7 +48,7 @@
     """The worker, as a viewer's connection sees it."""
 
     settings: FrontSettings
-    catalogue: Catalogue
+    catalogue: DescriptionCache
     router: Router
     host: str
     stopping: bool
@@ -299,7 +299,7 @@
             else:
                 self.reply(slot, status)
 
-        self.worker.catalogue.describe(path, described)
+        self.worker.descriptions.describe(path, described)
 
     def do_setup(self, slot: Slot, request: Request) -> None:
         found = self.path(slot, request)
@@ -311,7 +311,7 @@
         if routed is None:
             return
         asked, there = routed
-        known = self.worker.catalogue.known(there)
+        known = self.worker.descriptions.cached(there)
         if known and track is None and len(known.tracks) > 1:
             self.reply(slot, 459)
             return
--- a/lemonhall/front/viewers/worker.py
+++ b/lemonhall/front/viewers/worker.py
@@ -20,8 +20,8 @@
 
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.servers.attempt import Attempt
-from lemonhall.front.servers.catalogue import Catalogue
-from lemonhall.front.servers.listed import BoxList, parse_address
+from lemonhall.front.servers.descriptions import DescriptionCache
+from lemonhall.front.servers.server_list import ServerListState, parse_address
 from lemonhall.front.viewers import routes
 from lemonhall.front.viewers.session import Ask, Session, State
 from lemonhall.front.viewers.viewer import ViewerConnection
@@ -79,7 +79,7 @@
         loop: Loop,
         settings: FrontSettings,
         number: int,
-        listed: BoxList,
+        listed: ServerListState,
         random: Random,
         now_ms: Callable[[], float],
         wall: Callable[[], float],
@@ -98,7 +98,7 @@
         self.asks: dict[int, Ask] = {}
         self.next_ask = (number << 32) + 1
         self.viewers: set[ViewerConnection] = set()
-        self.catalogue = Catalogue(
+        self.descriptions = DescriptionCache(
             loop,
             listed.servers,
             listed.addresses.get,
@@ -333,7 +333,7 @@
         if ask.carry.close(self.link):
             self.say(Gone(ask.number, attempt is not None))
         if attempt:
-            attempt.leave()
+            attempt.teardown()
         else:
             self.drop(ask)
 
@@ -362,7 +362,7 @@
         closed = known_over or ask.answered or gone
         if then is Next.REPORT:
             played_ms = (now - session.since) * 1000 if ask.answered else 0.0
-            took_ms = (now - attempt.began) * 1000
+            took_ms = (now - attempt.started_at) * 1000
             ids = (ask.number, attempt.number, attempt.server, int(outcome), took_ms, played_ms)
             self.say(Ended(*ids, left, closed, session.state is State.MOVING, gone, report))
         if known_over:
@@ -406,7 +406,7 @@
             for _, t in sorted(session.tracks.items())
         ]
         for track in session.tracks.values():
-            track.rtp.moved()
+            track.rtp.on_server_changed()
         ask.rung, ask.memo = m.rung, m.memo
         ask.attempt = Attempt(
             self.loop,
@@ -422,7 +422,7 @@
             self.settings.terms.connect_timeout_ms / 1000,
             min(m.limit_s, max(0.001, ask.deadline - self.loop.now())),
             self.settings.terms.report_fields,
-            clear=not m.hold,
+            may_send=not m.hold,
         )
 
     def cleared(self, m: Cleared) -> None:
@@ -430,9 +430,9 @@
         if ask is None or ask.attempt is None or ask.attempt.number != m.attempt:
             return
         if m.why:
-            ask.attempt.cleared(m.why)
+            ask.attempt.on_claim_written(m.why)
         elif ask.carry.clear(self.link, m.attempt):
-            ask.attempt.cleared("")
+            ask.attempt.on_claim_written("")
 
     def set_rung(self, m: Rung) -> None:
         ask = self.asks.get(m.ask)
@@ -463,7 +463,7 @@
         session.position_s, session.since = session.position(), self.loop.now()
         session.state = State.MOVING
         if attempt:
-            attempt.leave(Outcome.CANCELLED)
+            attempt.teardown(Outcome.CANCELLED)
 
     def cancel(self, m: Cancel) -> None:
         """An attempt that plays is not called off."""
@@ -477,7 +477,7 @@
         if ask and ask.session.state in (State.PLAYING, State.MOVING):
             ask.session.end(m.why)
             if ask.attempt:
-                ask.attempt.leave()
+                ask.attempt.teardown()
 
     def redirect(self, m: Redirect) -> None:
         for viewer in list(self.viewers):
@@ -516,7 +516,7 @@
             if ask.session.state in (State.PLAYING, State.MOVING):
                 ask.session.end("front stops")
                 if ask.attempt:
-                    self.loop.call_soon(partial(ask.attempt.leave))
+                    self.loop.call_soon(partial(ask.attempt.teardown))
         if self.asks:
             self.loop.call_later(0.02, self.ending)
             return
--- a/lemonhall/front/workers/carrier.py
+++ b/lemonhall/front/workers/carrier.py
@@ -21,7 +21,7 @@
 
 from lemonhall.boxlist import Update
 from lemonhall.front.process.channel import Channel
-from lemonhall.front.servers.listed import BoxList
+from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.front.viewers.worker import Worker
 from lemonhall.front.workers.build import build, settle_memory
 from lemonhall.front.workers.door import Door
@@ -57,7 +57,7 @@
         self.number, self.family, self.seam, self.control = number, family, seam, control
         self.loop = control.loop
         self.start, self.start_wall_ms = self.loop.now(), time.time() * 1000
-        self.listed = BoxList()
+        self.listed = ServerListState()
         self.worker: Worker | None = None
         self.link: Link | None = None
         self.told: Counter[str] = Counter()
--- a/lemonhall/front/workers/lines.py
+++ b/lemonhall/front/workers/lines.py
@@ -64,7 +64,7 @@
             if isinstance(message, Hello):
                 self.hello = message
                 lines.greet(self, message)
-        elif lines.daemon.asks.heard(self, message) or isinstance(message, Pong):
+        elif lines.daemon.set_up_requests.on_worker_message(self, message) or isinstance(message, Pong):
             pass
         elif isinstance(message, Counted):
             self.viewers, self.sessions = message.viewers, message.sessions
@@ -91,7 +91,7 @@
         self.links = 0
         self.pulse = Pulse(HUNG_S, TICK_S)
         daemon.loop.after_pass.append(self.flush)
-        daemon.list.list.on_news = self.on_list
+        daemon.list_client.server_list.on_update = self.on_list
 
     # the daemon's side
 
@@ -143,9 +143,9 @@
         if line.mine:
             self.configure(line, d.settings)
             self.tell_parent({"takes": hello.worker})
-            line.send(Listed(d.list.list.snapshot().SerializeToString()))
-            if d.keeper:
-                line.send(Stored(d.keeper.ledger.pruned_s, bool(d.keeper.failing)))
+            line.send(Listed(d.list_client.server_list.snapshot().SerializeToString()))
+            if d.store_service:
+                line.send(Stored(d.store_service.ledger.pruned_s, bool(d.store_service.failing)))
         elif hello.family == self.family:
             self.tell_parent({"replace": hello.worker})
         line.send(d.welcome(version, line.mine))
@@ -160,7 +160,7 @@
         self.pulse.forget(line.number)
         if line.hello:
             log.info("worker gone", worker=line.hello.worker, sessions=line.sessions)
-        self.daemon.asks.lose(line)
+        self.daemon.set_up_requests.on_worker_lost(line)
 
     def on_list(self, update: Update) -> None:
         data = update.SerializeToString()
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -18,8 +18,8 @@
 from lemonhall.capture import Replay, Step, Told, read_capture
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.config.settings import CaptureSettings
-from lemonhall.front.keeping import capturing
-from lemonhall.front.keeping.capturing import Capturer, header_of
+from lemonhall.front.persistence import capture_writer
+from lemonhall.front.persistence.capture_writer import CaptureWriter, capture_header
 from lemonhall.problem import BadInput
 from tests.front.world import World
 
@@ -80,20 +80,20 @@
     assert run("replay", tmp_path / "none.lhc").returncode == 2
 
 
-def capturer(tmp_path: Path, **more: Any) -> Capturer:
+def capturer(tmp_path: Path, **more: Any) -> CaptureWriter:
     chosen = {"folder": str(tmp_path / "caps"), "snapshots_ms": 1e12, **more}
-    return Capturer(CaptureSettings(**chosen), Header(front="f0"))
+    return CaptureWriter(CaptureSettings(**chosen), Header(front="f0"))
 
 
-def call(to: Capturer, number: int, now: float) -> None:
-    to.call(number, now, [i.TimerDue(number)], [i.SetTimer(0, 500.0)])
+def call(to: CaptureWriter, number: int, now: float) -> None:
+    to.add_call(number, now, [i.TimerDue(number)], [i.SetTimer(0, 500.0)])
 
 
 def test_files_rotate_and_the_oldest_go(tmp_path: Path) -> None:
     to = capturer(tmp_path, size=65536, files=3)
     front = decide.Front.__new__(decide.Front)
     for n in range(6000):
-        to.before(front, n, 10.0 * n)
+        to.before_call(front, n, 10.0 * n)
         call(to, n, 10.0 * n)
         if n % 500 == 0:
             to.drain()
@@ -114,8 +114,8 @@
 def test_what_the_queue_cannot_take_is_a_gap_and_never_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(capturing, "PACK_EVERY_S", 60.0)
-    monkeypatch.setattr(capturing, "QUEUE_MOST", 50)
+    monkeypatch.setattr(capture_writer, "PACK_EVERY_S", 60.0)
+    monkeypatch.setattr(capture_writer, "QUEUE_MOST", 50)
     to = capturer(tmp_path)
     for n in range(80):
         call(to, n, float(n))
@@ -148,7 +148,7 @@
 
 def test_a_stepped_clock_is_told(tmp_path: Path) -> None:
     wall = [1000.0]
-    to = Capturer(CaptureSettings(), Header(front="f0"), lambda: wall[0])
+    to = CaptureWriter(CaptureSettings(), Header(front="f0"), lambda: wall[0])
     call(to, 0, 0.0)
     wall[0] += 7200.5
     call(to, 1, 500.0)
@@ -164,14 +164,14 @@
     told = i.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
     made = []
     for path in (str(key), ""):
-        to = Capturer(CaptureSettings(key=path), header_of(w.settings))
-        to.call(0, 1.0, [told], [])
+        to = CaptureWriter(CaptureSettings(key=path), capture_header(w.settings))
+        to.add_call(0, 1.0, [told], [])
         records = read_capture(to.save()).records
         made.append(next(r.call.events for r in records if r.WhichOneof("what") == "call"))
         to.close()
     assert (4711).to_bytes(8, "little") not in made[0] and (4711).to_bytes(8, "little") in made[1]
     with pytest.raises(BadInput, match="key cannot be read"):
-        Capturer(CaptureSettings(key=str(tmp_path / "none")), header_of(w.settings))
+        CaptureWriter(CaptureSettings(key=str(tmp_path / "none")), capture_header(w.settings))
 
 
 def test_a_running_front_is_asked_for_its_last_minutes(world: Build, tmp_path: Path) -> None:
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -69,17 +69,17 @@
         lines = [
             Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
         ]
-        event = daemon.list.list.apply(Update(version=1, full=True, boxes=lines))
+        event = daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=lines))
         assert event
-        daemon.bridge.tell(event)
+        daemon.bridge.enqueue(event)
         return daemon
 
     def kill(self, n: int) -> None:
         """As a killed process leaves: sockets shut by the kernel, nothing more written."""
         daemon = self.fronts.pop(n)
-        keeper = daemon.keeper
-        assert keeper and daemon.membership
-        keeper.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
+        store_service = daemon.store_service
+        assert store_service and daemon.membership
+        store_service.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
         daemon.membership.close()
         daemon.up.heard = lambda message: None
         for sock in daemon.listeners:
@@ -91,7 +91,7 @@
         for viewer in list(daemon.worker.viewers):
             viewer.stream.abort()
         self.loop.after_pass.remove(daemon.bridge.flush)
-        keeper.close()
+        store_service.close()
 
     def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
         over: list[bool] = []
@@ -121,23 +121,23 @@
 
     def standing(self, n: int, claim: str) -> Standing | None:
         token = Token.parse(claim)
-        keeper = self.fronts[n].keeper
-        assert token and keeper
-        record = keeper.lookup(token.key)
+        store_service = self.fronts[n].store_service
+        assert token and store_service
+        record = store_service.lookup(token.key)
         return record.standing if record else None
 
     def block(self, n: int) -> Callable[[], None]:
         """The disk of a front takes no more until the returned call."""
-        keeper = self.fronts[n].keeper
-        assert keeper
-        honest, release = keeper.store.commit, threading.Event()
+        store_service = self.fronts[n].store_service
+        assert store_service
+        honest, release = store_service.store.commit, threading.Event()
         self.releases.append(release)
 
         def commit(changes: Any) -> list[bool]:
             release.wait(20)
             return honest(changes)
 
-        keeper.store.commit = commit  # type: ignore[method-assign]
+        store_service.store.commit = commit  # type: ignore[method-assign]
         return release.set
 
     @property
@@ -205,25 +205,25 @@
 
 
 def test_a_disk_that_fails_stops_paid_sessions_alone_and_until_it_works(site: Site) -> None:
-    keeper = site.fronts[0].keeper
-    assert keeper
-    honest, broken = keeper.store.commit, [True]
+    store_service = site.fronts[0].store_service
+    assert store_service
+    honest, broken = store_service.store.commit, [True]
 
     def commit(changes: Any) -> list[bool]:
         if broken:
             raise OSError("No space left on device")
         return honest(changes)
 
-    keeper.store.commit = commit  # type: ignore[method-assign]
+    store_service.store.commit = commit  # type: ignore[method-assign]
     client, _, play = site.ask(0)
     assert site.answer(client, play).status in (453, 503)
-    assert site.set_ups == 0 and keeper.failing
+    assert site.set_ups == 0 and store_service.failing
     early, _, cseq = site.ask(0)  # from now on at the door
     assert site.answer(early, cseq).status == 503 and early.answers[-1].headers.get("Retry-After")
     free, _, free_play = site.ask(0, FREE)
     assert site.answer(free, free_play).status == 200
     broken.clear()
-    site.until(lambda: not keeper.failing)
+    site.until(lambda: not store_service.failing)
     again, _, play = site.ask(0)
     assert site.answer(again, play).status == 200
 
@@ -271,11 +271,11 @@
 def test_a_front_that_comes_back_knows_its_list_what_it_learned_and_who_played(site: Site) -> None:
     client, claim, play = site.ask(0)
     assert site.answer(client, play).status == 200
-    keeper = site.fronts[0].keeper
-    assert keeper
-    site.fronts[0].list.save_cache()
-    keeper.save_memory()
-    site.until(lambda: not keeper.writer.queue and list(keeper.store.each("held")))
+    store_service = site.fronts[0].store_service
+    assert store_service
+    site.fronts[0].list_client.save_cache()
+    store_service.save_memory()
+    site.until(lambda: not store_service.writer.queue and list(store_service.store.each("held")))
     learned = site.fronts[0].memory()
     assert learned
     site.kill(0)
@@ -283,11 +283,11 @@
     again = Daemon(read_settings(path), loop=site.loop)
     site.fronts[0] = again
     site.at[0] = again.open()
-    site.until(lambda: again.bridge.calls > 1 or again.list.list.boxes)
-    assert set(again.list.list.boxes) == {1, 2}
+    site.until(lambda: again.bridge.calls > 1 or again.list_client.server_list.boxes)
+    assert set(again.list_client.server_list.boxes) == {1, 2}
     remembered = again.memory()
     assert remembered and remembered.set_up_ms == learned.set_up_ms != 150.0
-    kept = again.keeper
+    kept = again.store_service
     assert kept
     site.until(lambda: not list(kept.store.each("held")))  # who played then does not any more
 
@@ -301,15 +301,15 @@
     site.script("SETUP", full)
     client, claim, play = site.ask(0)
     site.answer(client, play)
-    keeper, token = site.fronts[0].keeper, Token.parse(claim)
-    assert keeper and token
-    site.until(lambda: not keeper.pending)
-    keeper.store.commit([("claims", token.key, b"LH\x01damaged", b"?")])
+    store_service, token = site.fronts[0].store_service, Token.parse(claim)
+    assert store_service and token
+    site.until(lambda: not store_service.pending)
+    store_service.store.commit([("claims", token.key, b"LH\x01damaged", b"?")])
     for box in site.boxes:
         box.script.clear()
     client, _, play = site.ask(0, claim=claim)
     assert site.answer(client, play).status == 502
-    assert keeper.counts["damaged"]
+    assert store_service.counts["damaged"]
 
 
 def test_a_front_that_drains_says_so_at_once_and_speaks_for_its_claims_to_the_end(site: Site) -> None:
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -19,10 +19,10 @@
 
 from lemonhall import interface as i
 from lemonhall.boxlist import Box, State, Update, delimit
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.peers import Peers, encode
-from lemonhall.front.servers.catalogue import choose
-from lemonhall.front.servers.listed import BoxList
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.peers import PeerSocket, encode
+from lemonhall.front.servers.descriptions import choose_server
+from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.interface import ServerState
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import Request
@@ -94,9 +94,9 @@
     t.until(lambda: len(t.told) == 3)
     kinds = [e.kind for e in t.told if isinstance(e, i.ServerList)]
     assert kinds == [i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.CHANGES]
-    states = {s.id: s.state for s in t.client.list.servers()}
+    states = {s.id: s.state for s in t.client.server_list.servers()}
     assert states == {2: ServerState.DRAINING, 3: ServerState.READY}
-    assert t.client.list.addresses[1] == ("127.0.0.1", 1001)  # attempts may still end there
+    assert t.client.server_list.addresses[1] == ("127.0.0.1", 1001)  # attempts may still end there
     t.until(t.cache.exists)
     t.told.clear()
     again = t.new()
@@ -107,7 +107,7 @@
 
 
 def test_a_list_older_than_the_front_leaves_it_unsure_until_it_catches_up() -> None:
-    known = BoxList(born_ms=1000.0)
+    known = ServerListState(front_started_ms=1000.0)
     full = update(5, True, (1, 1), (2, 1))
     full.as_of_ms = 400.0
     change = update(6, False, (2, 2))
@@ -147,8 +147,8 @@
 
 def test_peers_hear_one_another_and_nobody_else() -> None:
     loop, heard = Loop(), list[Any]()
-    one = Peers(loop, ("127.0.0.1", 0), 1, {}, heard.append)
-    two = Peers(loop, ("127.0.0.1", 0), 2, {1: one.sock.getsockname()}, heard.append)
+    one = PeerSocket(loop, ("127.0.0.1", 0), 1, {}, heard.append)
+    two = PeerSocket(loop, ("127.0.0.1", 0), 2, {1: one.sock.getsockname()}, heard.append)
     one.peers = {2: two.sock.getsockname()}
     stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     stranger.sendto(encode(2, b"false"), one.sock.getsockname())
@@ -156,8 +156,8 @@
     two.send(i.TellPeers(b"not for you", to=7))
     over: list[bool] = []
     loop.call_later(5, over.append, True)
-    loop.run(until=lambda: bool(over) or (len(heard) == 1 and one.strange == 1))
-    assert heard == [i.PeerMessage(2, b"x" * 256)] and one.strange == 1
+    loop.run(until=lambda: bool(over) or (len(heard) == 1 and one.rejected_datagrams == 1))
+    assert heard == [i.PeerMessage(2, b"x" * 256)] and one.rejected_datagrams == 1
     with pytest.raises(ValueError, match="257 bytes"):
         two.send(i.TellPeers(b"x" * 257))
     for peers in (one, two):
@@ -168,10 +168,10 @@
 def test_peer_messages_and_probes_of_the_module_are_carried_out(world: Build) -> None:
     w = world()
     w.module.extra += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.until(lambda: len(w.module.told(i.ProbeEnded)) == 2)
     assert {e.server: e.outcome for e in w.module.told(i.ProbeEnded)} == {1: 200, 77: 502}
-    assert w.daemon.bridge.undone == 0
+    assert w.daemon.bridge.unhandled_actions == 0
 
 
 def test_descriptions_are_asked_for_once_and_only_of_servers_that_may_take_work() -> None:
@@ -180,11 +180,11 @@
     def server(n: int, state: int = 1, ready_at: float = 0.0) -> i.Server:
         return i.Server(n, 0, 1.0, 0, 0, ready_at, ServerState(state))
 
-    assert choose([], 0.0, 5000.0, set(), Random(1)) is None
-    assert choose([server(1, 2), server(2, 0)], 0.0, 5000.0, set(), Random(1)) is None
+    assert choose_server([], 0.0, 5000.0, set(), Random(1)) is None
+    assert choose_server([server(1, 2), server(2, 0)], 0.0, 5000.0, set(), Random(1)) is None
     cold = server(3, ready_at=9000.0)
-    assert choose([cold, server(4)], 10_000.0, 5000.0, set(), Random(1)) == 4
-    assert choose([cold, server(4)], 10_000.0, 5000.0, {4}, Random(1)) == 3
+    assert choose_server([cold, server(4)], 10_000.0, 5000.0, set(), Random(1)) == 4
+    assert choose_server([cold, server(4)], 10_000.0, 5000.0, {4}, Random(1)) == 3
 
 
 def test_a_description_is_shared_by_all_who_ask_and_a_failed_one_tried_elsewhere(world: Build) -> None:
@@ -310,11 +310,13 @@
 
 def test_a_front_writes_what_was_asked_for_the_model(world: Build, tmp_path: Path) -> None:
     from lemonhall.config.day import read_day
-    from lemonhall.front.keeping.record import Recorder
+    from lemonhall.front.persistence.session_recorder import SessionRecorder
     from lemonhall.model.record import wishes_of
 
     w = world()
-    recorder = w.daemon.asks.recorder = Recorder(tmp_path / "asked.parquet", w.settings, 0.0)
+    recorder = w.daemon.set_up_requests.recorder = SessionRecorder(
+        tmp_path / "asked.parquet", w.settings, 0.0
+    )
     client, session = w.playing("/browse/title-7")
     w.pass_time(0.1)
     cseq = client.send("TEARDOWN", "/browse/title-7", ("Session", session))
--- a/tests/front/test_guard.py
+++ b/tests/front/test_guard.py
@@ -42,7 +42,12 @@
     site.until(lambda: stops)
     site.loop.stop = honest  # type: ignore[method-assign]
     assert not refused and not faults
-    assert successor.took == 40 and not old.worker.viewers and not old.worker.by_id and not old.asks.open
+    assert (
+        successor.took == 40
+        and not old.worker.viewers
+        and not old.worker.by_id
+        and not old.set_up_requests.open_requests
+    )
     assert len(new.worker.by_id) == 40 and len(site.open()) == 40
     site.no_gap(site.open())
     assert old.bridge.decider.sessions == {}  # type: ignore[attr-defined]
