--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -44,7 +44,7 @@
     cseq = client.send("TEARDOWN", "/claims/one", ("Session", session))
     w.until(lambda: client.answers_to(cseq) and w.module.told(i.AttemptEnded))
     assert outcomes(w) == [Outcome.OK]
-    assert not w.daemon.asks.open and not w.daemon.worker.by_id
+    assert not w.daemon.set_up_requests.open_requests and not w.daemon.worker.by_id
 
 
 def test_viewer_drops_mid_set_up_on_a_paid_class(world: Build) -> None:
@@ -60,7 +60,7 @@
     w.until(lambda: any(c.reason for b in w.boxes for c in b.conns))  # the server sees it go
     w.pass_time(0.2)
     assert w.set_ups() == 1  # never sent again
-    assert not +w.module.inner.seats and not w.daemon.asks.open  # freed
+    assert not +w.module.inner.seats and not w.daemon.set_up_requests.open_requests  # freed
 
 
 @pytest.mark.parametrize("backwards", [False, True])
@@ -82,7 +82,7 @@
         assert select.select([sock], [], [], 10)[0]
     w.until(lambda: w.module.told(i.ViewerGone) or w.module.told(i.AttemptEnded))
     w.pass_time(0.2)
-    assert w.set_ups() == 1 and not w.daemon.asks.open
+    assert w.set_ups() == 1 and not w.daemon.set_up_requests.open_requests
     assert not w.module.inner.sessions
     assert not any(box.sessions for box in w.module.inner.boxes.values())
 
@@ -173,7 +173,7 @@
     assert client.answers_to(cseq)[0] in (200, 454)
     assert outcomes(w) == [Outcome.OK]
     w.pass_time(0.1)
-    assert len(w.module.told(i.AttemptEnded)) == 1 and not w.daemon.asks.open
+    assert len(w.module.told(i.AttemptEnded)) == 1 and not w.daemon.set_up_requests.open_requests
 
 
 def test_two_sessions_on_one_connection_and_a_clash_of_channels(world: Build) -> None:
@@ -185,7 +185,7 @@
     w.until(lambda: client.answers_to(cseq) and any(c == 2 for c, _ in client.media))
     assert one != two
     cseq = client.send("TEARDOWN", "/browse/one", ("Session", one))
-    w.until(lambda: client.answers_to(cseq) and len(w.daemon.asks.open) == 1)
+    w.until(lambda: client.answers_to(cseq) and len(w.daemon.set_up_requests.open_requests) == 1)
     before = len(client.media)
     w.boxes[0].conns[-1].media(b"on")
     w.until(lambda: len(client.media) > before)
@@ -279,7 +279,7 @@
     ask = w.module.told(i.NewSession)[0].id
     w.module.extra.append(i.SetRung(ask, 0))
     conn.media(b"a")
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     conn.media(b"b")
     w.until(lambda: w.boxes[0].count("SET_PARAMETER") == 1 and len(client.media) == 3)
     change = w.boxes[0].requests[-1]
@@ -295,7 +295,7 @@
     w.until(lambda: len(client.media) == 2)
     first.script["SETUP"] = lambda conn, request: conn.reply(request, 503)
     w.module.extra.append(i.Move(w.module.told(i.NewSession)[0].id))
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.until(lambda: len(client.media) == 3)
     second = w.playing_at()
     assert second is not first and first.count("TEARDOWN") == 1
@@ -319,11 +319,11 @@
     client, session = w.playing("/browse/one")
     both(w, "SETUP", lambda conn, request: conn.reply(request, 503))
     w.module.extra.append(i.Move(w.module.told(i.NewSession)[0].id))
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.until(lambda: client.byes == 1)
     cseq = client.send("GET_PARAMETER", "/browse/one", ("Session", session))
     w.until(lambda: client.answers_to(cseq))
-    assert client.answers_to(cseq) == [454] and not w.daemon.asks.open
+    assert client.answers_to(cseq) == [454] and not w.daemon.set_up_requests.open_requests
 
 
 def test_a_viewer_that_stops_reading_holds_bounded_memory_and_no_neighbour(world: Build) -> None:
@@ -346,7 +346,7 @@
     assert 64_000 <= most <= 64_000 + (1 << 17)  # its bound and what one turn may add
     assert slow_conn.stream.backlog > 0  # held back all the way to the server
     w.until(lambda: w.daemon.counts["viewer_stalled"] == 1)
-    w.until(lambda: len(w.daemon.asks.open) == 1)
+    w.until(lambda: len(w.daemon.set_up_requests.open_requests) == 1)
     assert good.reason == "" and good.byes == 0
 
 
@@ -354,14 +354,14 @@
     w = world(boxes=1)
     client, _ = w.playing("/browse/one")
     w.module.extra.append(i.Cancel(w.module.told(i.NewSession)[0].id, 0))
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.pass_time(0.05)
     assert not w.module.told(i.AttemptEnded)
     w.boxes[0].script["SETUP"] = silent
     other, _, cseq = w.play("/browse/two")
     w.until(lambda: w.set_ups() == 2)
     w.module.extra.append(i.Cancel(w.module.told(i.NewSession)[1].id, 0))
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.until(lambda: other.answers_to(cseq))
     assert Outcome.CANCELLED in outcomes(w)
     assert client.byes == 0
@@ -501,7 +501,7 @@
     bad.stream.write(b"$\x01\x00\x02abOPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n$\x01\x00\x01abcNOT RTSP\r\n\r\n")
     w.until(lambda: bad.reason)
     assert [r.status for r in bad.answers][-2:] == [200, 400]
-    w.until(lambda: len(w.daemon.asks.open) == 1)
+    w.until(lambda: len(w.daemon.set_up_requests.open_requests) == 1)
     assert good.reason == "" and good.byes == 0
 
 
@@ -562,4 +562,4 @@
     assert asked.answers_to(cseq) == [200]
     w.until(lambda: playing.byes == 1 and asked.byes == 1)
     w.until(lambda: w.boxes[0].count("TEARDOWN") == 2)
-    w.until(lambda: not w.daemon.asks.open)
+    w.until(lambda: not w.daemon.set_up_requests.open_requests)
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -137,9 +137,9 @@
 def test_a_change_of_rung_stands_and_the_next_obeys(hooked: Build) -> None:
     w = hooked("on change when rung == 2 { cap rung 1 }")
     w.playing("/browse/a")
-    ask = next(iter(w.daemon.asks.open))
+    ask = next(iter(w.daemon.set_up_requests.open_requests))
     w.module.extra.append(i.SetRung(ask, 2))
-    w.daemon.bridge.tell(i.TimerDue(99))
+    w.daemon.bridge.enqueue(i.TimerDue(99))
     w.until(lambda: w.module.told(i.Advised))
     w.until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
     assert w.module.told(i.Advised)[0].advice.cap == 1
@@ -179,7 +179,7 @@
     assert not reload(w)
     w.playing("/browse/b")
     assert w.module.told(i.NewSession)[-1].advice.cap == 1
-    assert w.daemon.hooks.refused_loads == 1 and client.stream.open
+    assert w.daemon.hooks.rejected_loads == 1 and client.stream.open
     put(tmp_path, "on arrival { cap rung 2 }")
     assert reload(w)
     w.playing("/browse/c")
@@ -214,7 +214,7 @@
 def test_a_front_comes_up_without_scripts_that_are_bad(hooked: Build) -> None:
     w = hooked("on arival { }")
     w.playing("/browse/a")
-    assert w.daemon.hooks.refused_loads == 1 and not w.daemon.hooks.engine.scripts
+    assert w.daemon.hooks.rejected_loads == 1 and not w.daemon.hooks.engine.scripts
 
 
 def test_a_script_that_never_ends_stalls_nobody(hooked: Build) -> None:
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -48,9 +48,9 @@
         lines = [
             Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
         ]
-        event = self.daemon.list.list.apply(Update(version=1, full=True, boxes=lines))
+        event = self.daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=lines))
         assert event
-        self.daemon.bridge.tell(event)
+        self.daemon.bridge.enqueue(event)
         self.clients: list[Client] = []
 
     def ask(self, path: str) -> tuple[int, str]:
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -17,7 +17,7 @@
 from lemonhall.cli.limits import line, of_fleet
 from lemonhall.config.day import read_day
 from lemonhall.day import play_day
-from lemonhall.front.deciding.limits import LimitsDesk
+from lemonhall.front.decider.limits import LimitsDriver
 from lemonhall.limits import Limits, Plan
 from lemonhall.loop import Loop
 from lemonhall.model.played.world import World
@@ -35,13 +35,13 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.other: LimitsDesk | None = None
+        self.other: LimitsDriver | None = None
         self.sent = 0
 
-    def tell_front(self, number: int, message: Any) -> bool:
+    def send_to_front(self, number: int, message: Any) -> bool:
         self.sent += 1
         if self.other:
-            self.other.loop.call_soon(self.other.heard, message)
+            self.other.loop.call_soon(self.other.on_message, message)
         return True
 
 
@@ -53,14 +53,14 @@
         return self.at
 
 
-def desks(made: Plan) -> tuple[Loop, Clock, list[LimitsDesk]]:
+def desks(made: Plan) -> tuple[Loop, Clock, list[LimitsDriver]]:
     clock = Clock()
     loop, found = Loop(lambda: clock.at / 1000), []
     lines = [Line(0), Line(1)]
     for n, carrier in enumerate(lines):
         machine = Limits(made, n, 2, 0, 1, Random(n), clock.at)
         machine.escrow.members = (0, 1)
-        found.append(LimitsDesk(loop, machine, carrier, clock))
+        found.append(LimitsDriver(loop, machine, carrier, clock))
     lines[0].other, lines[1].other = found[1], found[0]
     for desk in found:
         desk.start()
@@ -77,43 +77,43 @@
 def test_desks_share_a_limit_and_say_so() -> None:
     loop, clock, (one, other) = desks(plan(exact(4)))
     for ask in range(1, 20):
-        one.ask(ask, 0, 0, "/a", 99, "")
+        one.admit(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2])["limits"][0] for desk in (one, other)]
     assert [t["used"] for t in told] == [4, 0] and told[1]["lent"] == told[0]["borrowed"] == 2
-    assert one.ask(99, 0, 0, "/a", 99, "").refused == "seats"
-    assert other.forget("0")[0] == 409 and other.forget("x")[0] == 400
+    assert one.admit(99, 0, 0, "/a", 99, "").refused == "seats"
+    assert other.forget_front("0")[0] == 409 and other.forget_front("x")[0] == 400
     loop.close()
 
 
 def test_a_session_that_moves_keeps_its_room() -> None:
     loop, clock, (one, other) = desks(plan(exact(2)))
-    assert not one.ask(1, 0, 0, "/a", 99, "").refused and not other.ask(1, 0, 0, "/a", 99, "").refused
+    assert not one.admit(1, 0, 0, "/a", 99, "").refused and not other.admit(1, 0, 0, "/a", 99, "").refused
     one.park(1, "s")
-    one.over(1)  # its ask is over, the session is not
-    assert other.ask(2, 0, 0, "/a", 99, "").refused
-    assert not one.ask(2, 0, 0, "/a", 99, "s").refused
+    one.release(1)  # its ask is over, the session is not
+    assert other.admit(2, 0, 0, "/a", 99, "").refused
+    assert not one.admit(2, 0, 0, "/a", 99, "s").refused
     one.park(2, "s")
-    one.over(2)
+    one.release(2)
     run(loop, clock, 20)  # it never came
-    assert not one.ask(3, 0, 0, "/a", 99, "").refused
+    assert not one.admit(3, 0, 0, "/a", 99, "").refused
     loop.close()
 
 
 def test_one_that_is_relieved_lets_nothing_in_and_its_successor_what_is_left() -> None:
     loop, clock, (one, other) = desks(plan(exact(4)))
     for ask in range(1, 20):
-        one.ask(ask, 0, 0, "/a", 99, "")
+        one.admit(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
     state = one.machine.escrow.state()
     made = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
     made.take_over(clock.at, state)
-    assert one.ask(50, 0, 0, "/a", 99, "").refused == "changing guard"
+    assert one.admit(50, 0, 0, "/a", 99, "").refused == "changing guard"
     assert made.ask(clock.at, 51, 0, 0, "/a").refused == "seats"  # what stands there counts
     made.carried_all()
     assert not made.ask(clock.at, 52, 0, 0, "/a").refused
-    assert other.ask(53, 0, 0, "/a", 99, "").refused
+    assert other.admit(53, 0, 0, "/a", 99, "").refused
     loop.close()
 
 
@@ -179,7 +179,7 @@
     assert (told["used"], told["held"], told["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
     w.until(lambda: client.answers_to(done))
-    w.until(lambda: not w.daemon.asks.book.out)
+    w.until(lambda: not w.daemon.set_up_requests.attempt_table.out)
     w.playing("/browse/b")
     assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.shown.metrics_page()[2]
 
@@ -199,12 +199,12 @@
 def test_a_session_whose_loan_is_over_is_ended_in_order(world: Build) -> None:
     w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
     client, _ = w.playing("/browse/a")
-    machine = w.daemon.asks.limits.machine
+    machine = w.daemon.set_up_requests.limits.machine
     room = next(iter(machine.escrow.rooms.values()))
     room.parts.own = 0  # as if it had been lent by another
     machine.escrow.lapsed((room.limit.ident, 0), 1)
     w.until(lambda: client.byes)
-    w.until(lambda: not w.daemon.asks.open)
+    w.until(lambda: not w.daemon.set_up_requests.open_requests)
     assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
 
 
@@ -212,11 +212,11 @@
     """What its server has not yet heard the end of stands there."""
     w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
     w.playing("/browse/a")
-    asks = w.daemon.asks
-    (number,) = asks.open
-    ask = asks.open[number]
-    asks.drop(ask)  # the ask is given up, its attempt is still in the book
-    assert asks.limits.machine.sessions
+    requests = w.daemon.set_up_requests
+    (number,) = requests.open_requests
+    ask = requests.open_requests[number]
+    requests.close_request(ask)  # the ask is given up, its attempt is still in the book
+    assert requests.limits.machine.sessions
     other, _, cseq = w.play("/browse/b")
     w.until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
@@ -236,7 +236,7 @@
 def test_limits_are_shown_of_a_front_and_of_the_fleet() -> None:
     loop, clock, (one, other) = desks(plan(exact(4)))
     for ask in range(1, 12):
-        one.ask(ask, 0, 0, "/a", 99, "")
+        one.admit(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2]) for desk in (one, other)]
     assert line(told[0]["limits"][0]).startswith("seats            exact  4 of 4 sessions used, 4 held")
--- a/tests/front/test_pools.py
+++ b/tests/front/test_pools.py
@@ -8,16 +8,18 @@
 import pytest
 
 from lemonhall.config.routing import Pool, PoolServer
-from lemonhall.front.deciding.pools import Picker
+from lemonhall.front.decider.pool_picker import PoolPicker
 
 SERVERS = (PoolServer("a:1", 5), PoolServer("b:1", 1), PoolServer("c:1", 1), PoolServer("d:1", 9, True))
 
 
-def picker(pick: str, servers: tuple[PoolServer, ...] = SERVERS) -> Picker:
-    return Picker(Pool("p", (), servers, pick), Random(5))
+def picker(pick: str, servers: tuple[PoolServer, ...] = SERVERS) -> PoolPicker:
+    return PoolPicker(Pool("p", (), servers, pick), Random(5))
 
 
-def draw(of: Picker, count: int, there: str = "abcd", loads: dict[str, float] | None = None) -> Counter[str]:
+def draw(
+    of: PoolPicker, count: int, there: str = "abcd", loads: dict[str, float] | None = None
+) -> Counter[str]:
     def usable(address: str) -> bool:
         return address[0] in there
 
--- a/tests/front/test_stock_player.py
+++ b/tests/front/test_stock_player.py
@@ -68,13 +68,13 @@
     first = w.module.told(i.Playing)[0].server
     small = player.frames[-1][1:]
     w.module.extra.append(i.SetRung(ask, 0))
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.until(lambda: player.frames[-1][1:] != small or player.error)  # the picture's size goes with its rate
     have = len(player.frames)
     w.until(lambda: len(player.frames) >= have + WANTED or player.error)
     real[first - 1].fault("errors", True, 1.0)  # so that the move goes to the other
     w.module.extra.append(i.Move(ask))
-    w.daemon.bridge.call()
+    w.daemon.bridge.call_module()
     w.until(lambda: len(w.module.told(i.Playing)) == 2)
     have = len(player.frames)
     w.until(lambda: len(player.frames) >= have + WANTED or player.error)
@@ -84,6 +84,6 @@
     assert w.module.told(i.Playing)[1].server != first
     stamps = [f[0] for f in player.frames]
     assert stamps == sorted(stamps)
-    w.until(lambda: not w.daemon.asks.open)  # its TEARDOWN has come
+    w.until(lambda: not w.daemon.set_up_requests.open_requests)  # its TEARDOWN has come
     for box in real:
         box.die("test")
--- a/tests/front/world.py
+++ b/tests/front/world.py
@@ -196,9 +196,9 @@
 
     def tell_list(self, version: int, full: bool = False, lines: list[Box] | None = None) -> None:
         lines = [self.box_line(b) for b in self.boxes] if lines is None else lines
-        event = self.daemon.list.list.apply(Update(version=version, full=full, boxes=lines))
+        event = self.daemon.list_client.server_list.apply(Update(version=version, full=full, boxes=lines))
         assert event
-        self.daemon.bridge.tell(event)
+        self.daemon.bridge.enqueue(event)
 
     def client(self) -> Client:
         made = Client(self.loop, self.address)
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -326,11 +326,11 @@
 
 
 def told_last(patch: pytest.MonkeyPatch) -> None:
-    def left(bridge: Any, told: i.NewSession) -> bool:
-        bridge.tell(i.ViewerGone(told.id))
+    def enqueue_viewer_gone(bridge: Any, told: i.NewSession) -> bool:
+        bridge.enqueue(i.ViewerGone(told.id))
         return True
 
-    patch.setattr("lemonhall.front.deciding.bridge.Bridge.left", left)
+    patch.setattr("lemonhall.front.decider.bridge.Bridge.enqueue_viewer_gone", enqueue_viewer_gone)
 
 
 def never_ended(patch: pytest.MonkeyPatch) -> None:
--- a/tests/rtsp/test_parser.py
+++ b/tests/rtsp/test_parser.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lemonhall.boxlist import Box, CacheError, Delimited, State, Update, delimit, from_cache, to_cache
-from lemonhall.front.deciding import peers
+from lemonhall.front.decider import peers
 from lemonhall.rtsp import Frames, Limits, Malformed, Parser, Request, Response, reports, rtp, sdp
 from lemonhall.rtsp.messages import (
     Transport,
--- a/tests/seam/test_machines.py
+++ b/tests/seam/test_machines.py
@@ -51,7 +51,7 @@
         self.next_ask = 1
         self.decide()
 
-    # the decider, as `front.deciding.asks` has it
+    # the decider, as `front.decider.set_up_requests` has it
 
     def decide(self) -> None:
         self.book = Book()
