--- a/lemonhall/front/decider/limits.py
+++ b/lemonhall/front/decider/limits.py
@@ -64,7 +64,7 @@
         if self.timer:
             self.timer.cancel()
 
-    def on_view_changed(self, view: View, twin: bool) -> None:
+    def update_members(self, view: View, twin: bool) -> None:
         escrow = self.machine.escrow
         escrow.members = view.members
         if escrow.twin != twin:
@@ -76,7 +76,7 @@
 
     # asks
 
-    def admit(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> Ruling:
+    def reserve(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> Ruling:
         """`moved`: the session, if it has left a server and asks again."""
         if moved and self.machine.unpark(self.now(), ask, moved):
             return Ruling()
@@ -136,7 +136,7 @@
     def page(self) -> tuple[int, str, bytes]:
         return 200, "application/json", json.dumps(self.machine.show(self.now())).encode() + b"\n"
 
-    def forget_front(self, front: str) -> tuple[int, str, bytes]:
+    def forget(self, front: str) -> tuple[int, str, bytes]:
         """An operator's word that a front is gone for good; it goes to all fronts."""
         if not front.isdecimal():
             return 400, "text/plain", b"fronts are named by their numbers\n"
--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -85,11 +85,11 @@
         if sock is None:
             self.sock.bind(listen)
         self.sock.setblocking(False)
-        self.address: tuple[str, int] = self.sock.getsockname()
+        self.local_address: tuple[str, int] = self.sock.getsockname()
         boot = random.getrandbits(32)
         self.keys = Keys(keys, boot)
         addresses = [packed(s) for s in seeds]
-        own = packed(self.address)
+        own = packed(self.local_address)
         self.machine = Machine(number, own, boot, addresses, config or Config(), Random(random.random()))
         self.share = Share(number, fronts, self.now_ms())
         if told:
--- a/lemonhall/front/decider/pool_preferences.py
+++ b/lemonhall/front/decider/pool_preferences.py
@@ -25,9 +25,9 @@
         self.known_ids: dict[str, int] = {}
         self.known_version = -1
         self.list_version: Callable[[], int] = lambda: 0
-        self.ids_by_address: Callable[[], dict[str, int]] = dict
+        self.server_ids: Callable[[], dict[str, int]] = dict
 
-    def apply_settings(self, settings: FrontSettings) -> None:
+    def reset(self, settings: FrontSettings) -> None:
         """After other settings: pools begin anew."""
         self.settings = settings
         self.pickers.clear()
@@ -37,7 +37,7 @@
         if not name:
             return ()
         if self.list_version() != self.known_version:
-            self.known_ids, self.known_version = self.ids_by_address(), self.list_version()
+            self.known_ids, self.known_version = self.server_ids(), self.list_version()
         picker = self.pickers.get(name)
         if picker is None:
             routes = self.settings.terms.routes
--- a/lemonhall/front/decider/recovery.py
+++ b/lemonhall/front/decider/recovery.py
@@ -104,7 +104,7 @@
         if members:
             members.on_recovery_message = self.on_message
             members.on_share_changed = machine.told
-            self.on_view_changed(members.machine.view())
+            self.update_members(members.machine.view())
 
     # the store, before anything of it is used
 
@@ -152,12 +152,12 @@
         if self.timer:
             self.timer.cancel()
 
-    def on_list_alive(self, as_of_ms: float, servers: int) -> None:
+    def record_list_alive(self, as_of_ms: float, servers: int) -> None:
         """Of the list's life. `as_of_ms`: when it was true; 0: now."""
         self.machine.listed(self.now(), as_of_ms or self.now(), servers)
         self.report_progress()
 
-    def on_view_changed(self, view: View) -> None:
+    def update_members(self, view: View) -> None:
         self.machine.view(self.now(), view.members)
         if self.timer:
             self.on_tick()
@@ -173,7 +173,7 @@
 
     # asks
 
-    def admit(self, number: int, worth: float, left_ms: float) -> Let | None:
+    def request_admission(self, number: int, worth: float, left_ms: float) -> Let | None:
         """None: it waits, and `let` will be told."""
         made = self.machine.ask(self.now(), number, worth, left_ms)
         if made is None:
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -202,7 +202,7 @@
             return
         worth = self.settings.terms.classes[ask.said.cls].worth
         self.held_verdicts[ask.number] = verdict
-        made = self.recovery.admit(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
+        made = self.recovery.request_admission(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
         if made:
             self.release_held_request(made.number, made.pause_ms)
 
@@ -233,7 +233,7 @@
             ask.advice = merge(i.Advice(prefer=prefer), ruling.advice)
         if self.zones:
             ask.advice = merge(
-                self.zones.advise(ask.number, ask.cls, said.first_cell, said.cells), ask.advice
+                self.zones.advice_for(ask.number, ask.cls, said.first_cell, said.cells), ask.advice
             )
         if self.limits:
             self.take_room(ask, self.limits)
@@ -249,7 +249,7 @@
         """Under the limits of the whole fleet, or it is wished away with a pause."""
         said = ask.said
         moved = said.session if said.moved else ""
-        ruling = limits.admit(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
+        ruling = limits.reserve(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
         advice = i.Advice(cap=ruling.cap)
         if ruling.refused:
             self.counts["over_limit"] += 1
--- a/lemonhall/front/decider/zones.py
+++ b/lemonhall/front/decider/zones.py
@@ -67,7 +67,7 @@
         self.machine.listed(self.now(), servers, fresh)
         self.report_changes()
 
-    def on_view_changed(self, view: View) -> None:
+    def update_members(self, view: View) -> None:
         self.machine.members = view.members
 
     def on_outcome(self, server: int, outcome: Outcome) -> None:
@@ -81,7 +81,7 @@
 
     # asks
 
-    def advise(self, ask: int, cls: int, first: int, cells: int) -> i.Advice:
+    def advice_for(self, ask: int, cls: int, first: int, cells: int) -> i.Advice:
         row = None
         if cells < self.cells:
             row = frozenset((first + n) % self.cells for n in range(cells))
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/beside.py
@@ -85,7 +85,7 @@
         )
         if self.front.membership:
             self.front.membership.on_view_changed = self.front.seen
-        self.front.list_client.on_list_alive = lambda as_of: desk.on_list_alive(
+        self.front.list_client.on_list_alive = lambda as_of: desk.record_list_alive(
             as_of, len(self.front.list_client.server_list.boxes)
         )
         self.front.list_client.extra_delay_s = lambda: machine.list_wait_ms() / 1000
@@ -96,7 +96,9 @@
             if not self.front.list_client.server_list.boxes:
                 desk.request_list()
         if not s.list_url:
-            desk.on_list_alive(0.0, len(self.front.list_client.server_list.boxes))  # nothing is waited for
+            desk.record_list_alive(
+                0.0, len(self.front.list_client.server_list.boxes)
+            )  # nothing is waited for
         elif not (anew and s.members):
             self.front.list_client.start()
         else:  # by then whoever comes back as well has spoken
@@ -156,7 +158,7 @@
         halls.on_move_home = self.front.set_up_requests.advise_move_home
         if self.front.membership:
             self.front.membership.on_zones_message = halls.on_message
-            halls.on_view_changed(self.front.membership.machine.view())
+            halls.update_members(self.front.membership.machine.view())
         halls.start()
 
     def hall_said(self, words: str) -> None:
@@ -186,7 +188,7 @@
         desk.on_session_end = self.front.set_up_requests.end_session
         if self.front.membership:
             self.front.membership.on_limits_message = desk.on_message
-            desk.on_view_changed(self.front.membership.machine.view(), False)
+            desk.update_members(self.front.membership.machine.view(), False)
         desk.start()
 
     def limit_said(self, words: str, ask: int) -> None:
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -148,7 +148,7 @@
         self.up.heard = lambda message: self.set_up_requests.on_worker_message(self.down, message)
         self.down.heard = self.worker.heard
         pools, listed = self.set_up_requests.pool_preferences, self.list_client.server_list
-        pools.list_version, pools.ids_by_address = lambda: listed.version, listed.ids_by_address
+        pools.list_version, pools.server_ids = lambda: listed.version, listed.ids_by_address
         self.path, self.tree = "", b""
         self.on_tree: Callable[[bytes], object] = lambda tree: None  # told of settings that hold from now on
         self.stopping = self.draining = False
@@ -205,7 +205,7 @@
         self.tree = tree
         self.on_tree(tree)
         self.settings = self.set_up_requests.settings = new
-        self.set_up_requests.pool_preferences.apply_settings(new)
+        self.set_up_requests.pool_preferences.reset(new)
         self.worker.settle(new, 1)
         if self.workers:
             self.workers.settle(new)
@@ -351,11 +351,11 @@
     def seen(self, view: View) -> None:
         """Another view of who is there."""
         if self.set_up_requests.limits and self.membership:
-            self.set_up_requests.limits.on_view_changed(view, self.membership.machine.conflict)
+            self.set_up_requests.limits.update_members(view, self.membership.machine.conflict)
         if self.set_up_requests.zones:
-            self.set_up_requests.zones.on_view_changed(view)
+            self.set_up_requests.zones.update_members(view)
         if self.set_up_requests.recovery:
-            self.set_up_requests.recovery.on_view_changed(view)
+            self.set_up_requests.recovery.update_members(view)
         if self.capture:
             there = " ".join(map(str, view.members))
             words = f"there are {there}" + (", this one may be cut off" if view.cut_off else "")
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/shown.py
@@ -130,7 +130,7 @@
     def forget_front(self, query: str) -> tuple[int, str, bytes]:
         if self.front.set_up_requests.limits is None:
             return 404, "text/plain", b"no limit in the settings\n"
-        return self.front.set_up_requests.limits.forget_front(query.removeprefix("front="))
+        return self.front.set_up_requests.limits.forget(query.removeprefix("front="))
 
     # counters
 
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -77,43 +77,43 @@
 def test_desks_share_a_limit_and_say_so() -> None:
     loop, clock, (one, other) = desks(plan(exact(4)))
     for ask in range(1, 20):
-        one.admit(ask, 0, 0, "/a", 99, "")
+        one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2])["limits"][0] for desk in (one, other)]
     assert [t["used"] for t in told] == [4, 0] and told[1]["lent"] == told[0]["borrowed"] == 2
-    assert one.admit(99, 0, 0, "/a", 99, "").refused == "seats"
-    assert other.forget_front("0")[0] == 409 and other.forget_front("x")[0] == 400
+    assert one.reserve(99, 0, 0, "/a", 99, "").refused == "seats"
+    assert other.forget("0")[0] == 409 and other.forget("x")[0] == 400
     loop.close()
 
 
 def test_a_session_that_moves_keeps_its_room() -> None:
     loop, clock, (one, other) = desks(plan(exact(2)))
-    assert not one.admit(1, 0, 0, "/a", 99, "").refused and not other.admit(1, 0, 0, "/a", 99, "").refused
+    assert not one.reserve(1, 0, 0, "/a", 99, "").refused and not other.reserve(1, 0, 0, "/a", 99, "").refused
     one.park(1, "s")
     one.release(1)  # its ask is over, the session is not
-    assert other.admit(2, 0, 0, "/a", 99, "").refused
-    assert not one.admit(2, 0, 0, "/a", 99, "s").refused
+    assert other.reserve(2, 0, 0, "/a", 99, "").refused
+    assert not one.reserve(2, 0, 0, "/a", 99, "s").refused
     one.park(2, "s")
     one.release(2)
     run(loop, clock, 20)  # it never came
-    assert not one.admit(3, 0, 0, "/a", 99, "").refused
+    assert not one.reserve(3, 0, 0, "/a", 99, "").refused
     loop.close()
 
 
 def test_one_that_is_relieved_lets_nothing_in_and_its_successor_what_is_left() -> None:
     loop, clock, (one, other) = desks(plan(exact(4)))
     for ask in range(1, 20):
-        one.admit(ask, 0, 0, "/a", 99, "")
+        one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
     state = one.machine.escrow.state()
     made = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
     made.take_over(clock.at, state)
-    assert one.admit(50, 0, 0, "/a", 99, "").refused == "changing guard"
+    assert one.reserve(50, 0, 0, "/a", 99, "").refused == "changing guard"
     assert made.ask(clock.at, 51, 0, 0, "/a").refused == "seats"  # what stands there counts
     made.carried_all()
     assert not made.ask(clock.at, 52, 0, 0, "/a").refused
-    assert other.admit(53, 0, 0, "/a", 99, "").refused
+    assert other.reserve(53, 0, 0, "/a", 99, "").refused
     loop.close()
 
 
@@ -236,7 +236,7 @@
 def test_limits_are_shown_of_a_front_and_of_the_fleet() -> None:
     loop, clock, (one, other) = desks(plan(exact(4)))
     for ask in range(1, 12):
-        one.admit(ask, 0, 0, "/a", 99, "")
+        one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2]) for desk in (one, other)]
     assert line(told[0]["limits"][0]).startswith("seats            exact  4 of 4 sessions used, 4 held")
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -30,7 +30,7 @@
         self.all: dict[int, Membership] = {}
 
     def add(self, number: int, keys: dict[int, bytes] | None = None, fronts: int = 1) -> Membership:
-        seeds = tuple(m.address for m in self.all.values())[:2]
+        seeds = tuple(m.local_address for m in self.all.values())[:2]
         told = self.told[number] = []
         made = Membership(
             self.loop,
@@ -137,7 +137,7 @@
     path.write_text(TERMS + f'front "f0" hall="hall-a" listen="127.0.0.1:0" {{\n    {node}\n}}\n')
     daemon = Daemon(read_settings(path), loop=Loop())
     daemon.open()
-    assert daemon.membership and isinstance(daemon.membership.address[1], int)
+    assert daemon.membership and isinstance(daemon.membership.local_address[1], int)
     status, _, body = daemon.shown.members_page()
     assert status == 200 and b'"members": [0]' in body
     daemon.stop()
