--- a/lemonhall/front/decider/bridge.py
+++ b/lemonhall/front/decider/bridge.py
@@ -1,7 +1,8 @@
-"""Between happenings and the module: what one pass of the loop brought goes into one call of `handle`.
+"""Connects the event loop to the decision module: all events of one loop pass go into one call of `handle`.
 
-The module is told nothing twice and in the order of arrival; its actions are carried out in the order
-written. What an action brings about at once (a refused connection, say) waits for the next call.
+The module receives each event once and in order of arrival; its actions are carried out in the order
+returned. Events that an action causes at once (for instance a refused connection) are delivered with the
+next call.
 """
 
 from __future__ import annotations
@@ -13,11 +14,13 @@
 
 
 class Decider(Protocol):
+    """The decision module."""
+
     def handle(self, now: float, events: list[i.Event]) -> list[i.Action]: ...
 
 
 class Capture(Protocol):
-    """Told of each call, with its number from 0: before it is made, and what came of it."""
+    """Records the calls of the module, numbered from 0: before each call, and afterwards with its actions."""
 
     def before_call(self, module: Decider, number: int, now: float) -> None: ...
     def add_call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None: ...
@@ -25,7 +28,10 @@
 
 
 class Bridge:
-    """`now_ms` is the module's clock; `carry_out` maps a kind of action to who does it."""
+    """Queues events for the module and dispatches its actions.
+
+    `now_ms` is the module's clock; `action_handlers` maps each type of action to its handler.
+    """
 
     def __init__(self, decider: Decider, now_ms: Callable[[], float]) -> None:
         self.decider, self.now_ms = decider, now_ms
@@ -33,38 +39,41 @@
         self.events: list[i.Event] = []
         self.calls = self.events_handled = 0
         self.capture: Capture | None = None
-        self.unhandled_actions = 0  # actions that nobody carries out
+        self.unhandled_actions = 0  # actions of a type without a handler
 
     def enqueue(self, event: i.Event) -> None:
         self.events.append(event)
 
     def remove_queued(self, event: i.Event) -> bool:
-        """Takes back what the module has not heard yet; whether that was so."""
-        for n, told in enumerate(self.events):
-            if told is event:
-                del self.events[n]
+        """Removes an event that the module has not received yet. Returns whether it was still queued."""
+        for index, queued in enumerate(self.events):
+            if queued is event:
+                del self.events[index]
                 return True
         return False
 
-    def enqueue_viewer_gone(self, told: i.NewSession) -> bool:
-        """The viewer of a session has gone; False: the module has not heard of the session, and never will.
+    def enqueue_viewer_gone(self, new_session: i.NewSession) -> bool:
+        """Reports that the viewer of a session is gone.
+
+        Returns False if the module has not received the session's `NewSession` event; the event is then
+        removed from the queue and the module never learns of the session.
 
-        It is heard ahead of all that waits. Guards against the end of an attempt that came in the same pass:
-        heard first, it would have the module send the next attempt for a session that nobody has any more,
-        and hold its place and seat for ever, since nobody would tell that attempt's end.
+        The event goes to the head of the queue. If the end of an attempt that arrived in the same pass came
+        first, the module would send the next attempt for a session without a viewer and hold its place and
+        seat forever, since the end of that attempt would never be reported.
         """
-        if self.remove_queued(told):
+        if self.remove_queued(new_session):
             return False
-        self.events.insert(0, i.ViewerGone(told.id))
+        self.events.insert(0, i.ViewerGone(new_session.id))
         return True
 
     def flush(self) -> None:
-        """One call for all that was told since the last; none if nothing was."""
+        """Calls the module once with all queued events, or not at all if there are none."""
         if self.events:
             self.call_module()
 
     def call_module(self) -> None:
-        """Calls the module even if nothing was told: its first call, from which its timers run."""
+        """Calls the module even without events, as for its first call, which starts its timers."""
         events, self.events = self.events, []
         self.calls += 1
         self.events_handled += len(events)
@@ -75,7 +84,7 @@
         if self.capture:
             self.capture.add_call(self.calls - 1, now, events, actions)
         for action in actions:
-            if act := self.action_handlers.get(type(action)):
-                act(action)
+            if handler := self.action_handlers.get(type(action)):
+                handler(action)
             else:
                 self.unhandled_actions += 1
--- a/lemonhall/front/decider/peers.py
+++ b/lemonhall/front/decider/peers.py
@@ -1,4 +1,7 @@
-"""Short messages between fronts over UDP, which may be lost: a magic byte, the sender, at most 256 bytes."""
+"""The decision module's messages between fronts: UDP datagrams, which may be lost.
+
+A datagram is a magic byte, the sender's index (16 bits, big-endian) and at most 256 bytes of data.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +15,30 @@
 
 HEADER = struct.Struct(">BH")
 MAGIC = 0x4C
-MOST = 256
+DATA_MAX_BYTES = 256
 
 
 def encode(sender: int, data: bytes) -> bytes:
-    """Raises `ValueError` over 256 bytes."""
-    if len(data) > MOST:
-        raise ValueError(f"{len(data)} bytes are more than a message holds ({MOST})")
+    """Raises `ValueError` if `data` is longer than 256 bytes."""
+    if len(data) > DATA_MAX_BYTES:
+        raise ValueError(f"peer message of {len(data)} bytes exceeds the limit of {DATA_MAX_BYTES}")
     return HEADER.pack(MAGIC, sender) + data
 
 
 def decode(datagram: bytes) -> tuple[int, bytes] | None:
-    if not HEADER.size <= len(datagram) <= HEADER.size + MOST or datagram[0] != MAGIC:
+    """Returns the sender and the data, or None if this is not a peer message."""
+    if not HEADER.size <= len(datagram) <= HEADER.size + DATA_MAX_BYTES or datagram[0] != MAGIC:
         return None
     return HEADER.unpack_from(datagram)[1], datagram[HEADER.size :]
 
 
 class PeerSocket:
+    """Sends the module's peer messages and delivers those of known peers to `on_event`.
+
+    Takes ownership of `sock`, if one is given; it must be bound already. Raises `OSError` if the address
+    cannot be bound.
+    """
+
     def __init__(
         self,
         loop: Loop,
@@ -44,11 +54,11 @@
         self.sock.setblocking(False)
         if sock is None:
             self.sock.bind(listen)
-        self.rejected_datagrams = 0  # datagrams that were none of ours
+        self.rejected_datagrams = 0  # not a peer message, or not from the address of its sender
         loop.watch(self.sock, READ, self.on_ready)
 
     def send(self, action: i.TellPeers) -> None:
-        """A message that cannot leave is lost, like one that is lost on its way."""
+        """Sends to one peer or to all. A send error is ignored, since a datagram may be lost anyway."""
         data = encode(self.index, action.data)
         for number, address in self.peers.items():
             if number != self.index and action.to in (None, number):
@@ -63,13 +73,13 @@
                 datagram, address = self.sock.recvfrom(2048)
             except BlockingIOError:
                 return
-            except OSError:  # an ICMP error of an earlier send: a peer is down
+            except OSError:  # ICMP error for an earlier send: the peer is down
                 continue
-            got = decode(datagram)
-            if got is None or self.peers.get(got[0]) != address[:2]:
+            decoded = decode(datagram)
+            if decoded is None or self.peers.get(decoded[0]) != address[:2]:
                 self.rejected_datagrams += 1
                 continue
-            self.on_event(i.PeerMessage(*got))
+            self.on_event(i.PeerMessage(*decoded))
 
     def close(self) -> None:
         self.loop.watch(self.sock, 0, self.on_ready)
--- a/lemonhall/front/servers/__init__.py
+++ b/lemonhall/front/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Towards media servers: attempts, relayed streams, descriptions."""
+"""Connections to media servers: attempts, relayed media, descriptions, and the server list."""
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt at a media server: a connection of its own, SETUP for each track, PLAY, media, and its one end.
+"""One attempt to play a session at a media server, on its own connection: SETUP for each track, PLAY, media.
 
-States: connecting, setting up (the request may have left), asked to play, playing, ended. What an end
-proves is told by its outcome: `CONNECT_FAILED` only while no byte of the request was taken by the kernel,
-`FULL` only for an answer to the first SETUP that says so. Everything else may have run.
+Every attempt ends exactly once. Its outcome states whether the session can have run at the server:
+`CONNECT_FAILED` is reported only if the kernel took no byte of the request, `FULL` only if the response to
+the first SETUP says so. After any other outcome the session may have run.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from lemonhall.rtsp.messages import ask
 from lemonhall.rtsp.parser import split_frames
 
-TEARDOWN_S = 0.5  # a server's answer to TEARDOWN is waited for so long; then the connection is reset
-FULL = (453, 503)
+TEARDOWN_TIMEOUT_S = 0.5  # without a response to TEARDOWN the connection is reset
+FULL_STATUSES = (453, 503)
 
 
 class State(Enum):
     CONNECTING = auto()
-    SETTING_UP = auto()
+    SETTING_UP = auto()  # connected; a SETUP may have been sent
     PLAY_SENT = auto()
-    PLAYING = auto()
-    LEAVING = auto()  # TEARDOWN is out
+    PLAYING = auto()  # PLAY succeeded and media has arrived
+    TEARING_DOWN = auto()  # TEARDOWN sent
     ENDED = auto()
 
 
 class Owner(Protocol):
-    """The session. Each of these is told at most once but media, rtcp and note."""
+    """The session. Playing and ended are reported at most once each, the others any number of times."""
 
     def attempt_playing(self, attempt: Attempt, took_ms: float) -> None: ...
     def attempt_media(self, attempt: Attempt, run: Frames) -> None: ...
@@ -42,7 +42,12 @@
 
 
 class Attempt(Handler):
-    """`tracks`: control URL and channels (RTP, RTCP) of each; `headers` go with every request."""
+    """`tracks` holds the control URL and the channels (RTP, RTCP) of each track; `headers` are sent with
+    every request.
+
+    `bandwidth` is in kB/s. With `may_send` False the connection is made, but no request is sent before
+    `on_claim_written` reports success.
+    """
 
     def __init__(
         self,
@@ -69,10 +74,10 @@
         self.parser = Parser()
         self.cseq = self.tracks_set_up = 0
         self.session = ""
-        self.pending_methods: dict[str, str] = {}  # CSeq to method
+        self.pending_methods: dict[str, str] = {}  # methods of requests without a response, by CSeq
         self.report: tuple[float, ...] = ()
         self.play_ok = self.media_seen = False
-        self.may_send = may_send  # whether the request may leave
+        self.may_send = may_send
         self.timer: Timer | None = loop.call_later(timeout_s, self.end, Outcome.TIMEOUT)
         self.stream = Stream.connect(loop, address, self, min(connect_s, max(0.001, timeout_s)))
 
@@ -86,18 +91,21 @@
         session = [("Session", self.session)] if self.session else []
         self.stream.write(ask(method, url, self.cseq, *session, *self.headers, *headers, body=body))
 
-    # the stream's side
+    # callbacks of the stream
 
     def connected(self) -> None:
         self.state = State.SETTING_UP
         if self.may_send:
             self.send_set_up()
 
-    def on_claim_written(self, why: str) -> None:
-        """The ledger has it, or says why not: only now may the request leave. The connection may be there."""
+    def on_claim_written(self, error: str) -> None:
+        """Called once the attempt is recorded on disk, which allows the first request.
+
+        `error` is empty, or why the record could not be written; the attempt then ends as `MOOT`.
+        """
         if self.state is State.ENDED:
             return
-        if why:
+        if error:
             self.end(Outcome.MOOT)
             return
         self.may_send = True
@@ -110,7 +118,7 @@
         self.send("SETUP", control, ("Transport", transport), self.bandwidth_header())
 
     def bandwidth_header(self) -> tuple[str, str]:
-        """What the session may take, in bits a second (RFC 2326, 12.6)."""
+        """The bandwidth of the session in bits per second (RFC 2326, 12.6)."""
         return "Bandwidth", str(round(self.bandwidth * 8000))
 
     def data(self, view: memoryview) -> None:
@@ -129,22 +137,22 @@
     def closed(self, reason: str) -> None:
         if self.state is State.ENDED:
             return
-        if self.state is State.LEAVING:
+        if self.state is State.TEARING_DOWN:
             self.end(self.teardown_outcome)
         else:
             self.end(Outcome.RESET if self.stream.written else Outcome.CONNECT_FAILED)
 
-    # the protocol
+    # RTSP
 
     def on_response(self, response: Response) -> None:
         method = self.pending_methods.pop(response.cseq, "")
         if text := response.headers.get(reports.HEADER):
             self.report = reports.decode(text, self.report_fields) or self.report
-        fine = 200 <= response.status < 300
+        success = 200 <= response.status < 300
         if method == "SETUP" and self.state is State.SETTING_UP:
-            if not fine or not response.session:
+            if not success or not response.session:
                 first = self.tracks_set_up == 0
-                self.end(Outcome.FULL if first and response.status in FULL else Outcome.ERROR)
+                self.end(Outcome.FULL if first and response.status in FULL_STATUSES else Outcome.ERROR)
                 return
             self.session = response.session
             self.tracks_set_up += 1
@@ -155,7 +163,7 @@
             position = ("Range", f"npt={self.start_s:.3f}-")
             self.send("PLAY", self.url, position, self.bandwidth_header())
         elif method == "PLAY" and self.state is State.PLAY_SENT:
-            if not fine:
+            if not success:
                 self.end(Outcome.ERROR)
                 return
             self.play_ok = True
@@ -164,7 +172,7 @@
             self.end(self.teardown_outcome)
 
     def on_request(self, request: Request) -> None:
-        """Servers may ask for signs of life; they get an answer, nothing more."""
+        """Answers a server's keep-alive request; other methods are not implemented."""
         status = "200 OK" if request.method in ("OPTIONS", "GET_PARAMETER") else "501 Not Implemented"
         self.stream.write(f"RTSP/1.0 {status}\r\nCSeq: {request.cseq}\r\n\r\n".encode())
 
@@ -201,31 +209,33 @@
                 self.timer.cancel()
             self.owner.attempt_playing(self, (self.loop.now() - self.started_at) * 1000)
 
-    # the session's side
+    # called by the session
 
     def set_bandwidth(self, kb: float, rung: int) -> None:
-        """A change of rung while it is set up or plays: SET_PARAMETER with the rung and its rate."""
+        """Sends SET_PARAMETER with the rung and its rate `kb` (kB/s) once PLAY was sent; before, the next
+        request carries the rate."""
         self.bandwidth = kb
         if self.state in (State.PLAY_SENT, State.PLAYING):
             body = f"rung: {rung}\r\n".encode()
-            kind = ("Content-Type", "text/parameters")
-            self.send("SET_PARAMETER", self.url, self.bandwidth_header(), kind, body=body)
+            content_type = ("Content-Type", "text/parameters")
+            self.send("SET_PARAMETER", self.url, self.bandwidth_header(), content_type, body=body)
 
     def teardown(self, outcome: Outcome = Outcome.OK) -> None:
-        """Ends it in order: TEARDOWN, its answer, `outcome`. Before it plays the connection is dropped."""
+        """Sends TEARDOWN and ends with `outcome` after the response. Before media plays the connection is
+        reset and the outcome is `CANCELLED`."""
         if self.state is State.PLAYING:
-            self.state, self.teardown_outcome = State.LEAVING, outcome
+            self.state, self.teardown_outcome = State.TEARING_DOWN, outcome
             self.stream.resume()
             self.send("TEARDOWN", self.url)
-            self.timer = self.loop.call_later(TEARDOWN_S, self.end, outcome)
-        elif self.state is not State.LEAVING:
+            self.timer = self.loop.call_later(TEARDOWN_TIMEOUT_S, self.end, outcome)
+        elif self.state is not State.TEARING_DOWN:
             self.end(Outcome.CANCELLED)
 
     def end(self, outcome: Outcome) -> None:
         if self.state is State.ENDED:
             return
         if outcome == Outcome.TIMEOUT and not self.may_have_run:
-            outcome = Outcome.CONNECT_FAILED  # nothing left: that is provable
+            outcome = Outcome.CONNECT_FAILED  # provably, no byte of the request was sent
         self.state = State.ENDED
         if self.timer:
             self.timer.cancel()
--- a/lemonhall/front/servers/server_list.py
+++ b/lemonhall/front/servers/server_list.py
@@ -1,4 +1,4 @@
-"""The box list as it stands, at the decider and at its workers."""
+"""The current server list, as the decider and its workers hold it."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def parse_address(text: str) -> Address | None:
+    """Parses `host:port`, `[IPv6 address]:port` or `unix:path`. Returns None for anything else."""
     if text.startswith("unix:"):
         return text[5:]
     host, _, port = text.rpartition(":")
@@ -23,24 +24,27 @@
 
 
 class ServerListState:
-    """What the list says now. `apply` gives the event for the module, or None for what is old news.
+    """The list after all updates so far. `apply` returns the event for the module, or None for an outdated
+    update.
 
-    A list that tells of a time before this front was born cannot name a server that has started since, and
-    leaves the front as unsure as its cached one: it is told as `CACHED`, whole, until the list has caught up.
+    An update whose `as_of_ms` is before the start of this front cannot contain a server that has started
+    since. Like a cached list it leaves the module unsure about such servers, so it is reported whole and as
+    `CACHED` until the list has caught up.
 
-    Lower numbers than before are of a list that has begun anew, if they tell of a later time; else of one
-    that was put back: left aside (`older`, counted) until it has caught up, and then wanted whole.
+    A full update with a lower version than the current one is a list that was created anew if its `as_of_ms`
+    is later; otherwise the list service was restored from a backup. The updates of a restored list are
+    ignored (full ones counted in `older_updates`) until it has caught up; then the full list is requested.
     """
 
     def __init__(self, front_started_ms: float = 0.0) -> None:
         self.front_started_ms = front_started_ms
         self.version = 0
-        self.as_of_ms = 0.0  # the latest time that it told of; 0: it does not say
+        self.as_of_ms = 0.0  # latest time for which the list was valid; 0 if it names no time
         self.older_updates = 0
         self.behind = self.needs_full_list = False
         self.boxes: dict[int, Box] = {}
-        self.addresses: dict[int, Address] = {}  # also of boxes that have left: attempts may still end there
-        self.on_update: Callable[[Update], object] = lambda update: None  # of each update that was news
+        self.addresses: dict[int, Address] = {}  # including removed servers: their attempts may still end
+        self.on_update: Callable[[Update], object] = lambda update: None  # called after each applied update
 
     def apply(self, update: Update, cached: bool = False) -> i.ServerList | None:
         if self.is_behind(update):
@@ -63,13 +67,13 @@
         if cached or 0 < update.as_of_ms < self.front_started_ms:
             return i.ServerList(i.ListKind.CACHED, self.version, tuple(self.servers()))
         kind = i.ListKind.FULL if update.full else i.ListKind.CHANGES
-        return i.ServerList(kind, update.version, tuple(to_server(b) for b in update.boxes))
+        return i.ServerList(kind, update.version, tuple(to_server(box) for box in update.boxes))
 
     def is_behind(self, update: Update) -> bool:
-        """Whether this tells of a time before what is known, under numbers of before."""
+        """Whether the update belongs to a restored list that is older than the current one."""
         if update.full:
-            back = update.version < self.version
-            self.behind = back and 0 < update.as_of_ms <= self.as_of_ms
+            lower_version = update.version < self.version
+            self.behind = lower_version and 0 < update.as_of_ms <= self.as_of_ms
             self.older_updates += self.behind
         elif self.behind and update.as_of_ms > self.as_of_ms:
             self.behind, self.needs_full_list = False, True
@@ -77,11 +81,12 @@
         return self.behind
 
     def ids_by_address(self) -> dict[str, int]:
-        """Numbers of the servers that are listed, by host:port."""
-        return {b.address: b.id for b in self.boxes.values()}
+        """Server ids by the address text of the list (`host:port`)."""
+        return {box.address: box.id for box in self.boxes.values()}
 
     def servers(self) -> list[i.Server]:
         return [to_server(box) for box in self.boxes.values()]
 
     def snapshot(self) -> Update:
+        """Returns the current list as one full update."""
         return Update(version=self.version, full=True, boxes=self.boxes.values(), as_of_ms=self.as_of_ms)
