--- a/lemonhall/front/persistence/__init__.py
+++ b/lemonhall/front/persistence/__init__.py
@@ -1,1 +1,1 @@
-"""What a front writes down: claims and what was learned, captures, records of what was asked."""
+"""What a front stores on disk: claims and learned state, captures, records of requested sessions."""
--- a/lemonhall/front/persistence/capture_writer.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -1,6 +1,7 @@
-"""The capture of a running front: calls are queued as they are made, a thread packs and writes them.
+"""Writes the capture of a running front: calls of the module are queued, and a thread encodes and stores
+them.
 
-What the queue cannot take is left out and told as a gap; so is what the disk does not take.
+Calls that exceed the queue, or that cannot be written to disk, are recorded as gaps.
 """
 
 from __future__ import annotations
@@ -28,20 +29,25 @@
 from lemonhall.problem import BadInput
 
 log = structlog.get_logger("lemonhall.front")
-QUEUE_MOST = 20_000  # calls that wait to be packed
-PACK_EVERY_S = 0.2
+QUEUE_MAX_RECORDS = 20_000
+DRAIN_PERIOD_S = 0.2
 
 
-def hider(path: str) -> Callable[[int], int]:
-    """Raises `BadInput` if the key cannot be read."""
+def viewer_hasher(path: str) -> Callable[[int], int]:
+    """Returns the function that pseudonymizes viewer ids: a keyed hash, or the identity if `path` is empty.
+
+    Raises `BadInput` if the key file cannot be read.
+    """
     if not path:
         return lambda viewer: viewer
     try:
         key = Path(path).read_bytes()
     except OSError as error:
         raise BadInput(path, f"the capture's key cannot be read: {error.strerror}") from error
-    digest = hashlib.blake2b
-    return lambda v: int.from_bytes(digest(v.to_bytes(8, "big"), key=key[:64], digest_size=8).digest(), "big")
+    blake2b = hashlib.blake2b
+    return lambda viewer: int.from_bytes(
+        blake2b(viewer.to_bytes(8, "big"), key=key[:64], digest_size=8).digest(), "big"
+    )
 
 
 def capture_header(settings: FrontSettings) -> Any:
@@ -56,8 +62,12 @@
     )
 
 
-class Folder:
-    """Files of blocks, each beginning with a segment; the oldest go."""
+class CaptureFolder:
+    """Numbered capture files, each starting at a segment. The oldest files are deleted beyond `files`.
+
+    `size` is the number of bytes after which a new file is started. Raises `OSError` if the folder cannot be
+    created.
+    """
 
     def __init__(self, folder: Path, name: str, size: int, files: int) -> None:
         self.folder, self.name, self.size, self.files = folder, name, size, files
@@ -65,101 +75,110 @@
         self.written = 0
         folder.mkdir(parents=True, exist_ok=True)
 
-    def block(self, block: Block, begins: bool) -> None:
-        """Raises `OSError`."""
-        if self.file is None or (begins and self.written > 0):
+    def write_block(self, block: Block, starts_segment: bool) -> None:
+        """Raises `OSError` if the block cannot be written."""
+        if self.file is None or (starts_segment and self.written > 0):
             self.rotate()
         self.file.write(block.data)
         self.file.flush()
         self.written += len(block.data)
 
     def rotate(self) -> None:
-        """A new file begins with each segment."""
+        """Starts the next file and deletes the oldest ones."""
         if self.file:
             self.file.close()
-        known = sorted(self.folder.glob(f"{self.name}-*.lhc"))
-        last = int(known[-1].stem.rpartition("-")[2]) if known else 0
+        existing = sorted(self.folder.glob(f"{self.name}-*.lhc"))
+        last = int(existing[-1].stem.rpartition("-")[2]) if existing else 0
         self.file = open(self.folder / f"{self.name}-{last + 1:06d}.lhc", "xb")  # noqa: SIM115
         self.written = 0
-        for old in known[: max(0, len(known) + 1 - self.files)]:
+        for old in existing[: max(0, len(existing) + 1 - self.files)]:
             old.unlink(missing_ok=True)
 
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         return self.written >= self.size
 
 
 class CaptureWriter:
-    """Raises `BadInput` if the folder or the key cannot be used."""
+    """Keeps the latest calls in a ring in memory and, if configured, in files.
+
+    Calls, notes and snapshots are added on the event loop; encoding and file I/O run in a thread of this
+    writer. Raises `BadInput` if the folder or the key cannot be used.
+    """
 
     def __init__(self, settings: CaptureSettings, header: Any, wall: Callable[[], float] = time.time) -> None:
         self.settings, self.wall = settings, wall
         self.queue: deque[tuple[str, Any]] = deque()
-        self.folder: Folder | None = None
+        self.folder: CaptureFolder | None = None
         try:
             if settings.folder:
-                self.folder = Folder(Path(settings.folder), header.front, settings.size, settings.files)
+                self.folder = CaptureFolder(
+                    Path(settings.folder), header.front, settings.size, settings.files
+                )
         except OSError as error:
-            raise BadInput(settings.folder, f"no captures can go there: {error.strerror}") from error
-        hide = hider(settings.key)
-        self.ring = Ring(header, settings.keep_ms, settings.memory, hide, self.on_block)
+            raise BadInput(settings.folder, f"cannot create the capture folder: {error.strerror}") from error
+        hash_viewer = viewer_hasher(settings.key)
+        self.ring = Ring(header, settings.keep_ms, settings.memory, hash_viewer, self.on_block)
         self.lock = threading.Lock()
-        self.ending = threading.Event()
-        self.lost: list[float] = []  # calls, first and last time of those left out
+        self.stopping = threading.Event()
+        self.dropped: list[float] = []  # number of calls dropped, and the times of the first and the last
         self.next_snapshot = float("-inf")
-        self.whole = True  # whether the module's state can be written
+        self.can_snapshot = True  # False once the module's state could not be serialized
         self.failures = self.gaps = 0
-        self.wall_before: tuple[float, float] | None = None
+        # wall clock and module clock at the last call, in ms
+        self.last_clocks: tuple[float, float] | None = None
         self.thread = threading.Thread(target=self.run, name="capture", daemon=True)
         self.thread.start()
 
-    # on the loop
+    # called on the event loop
 
     def before_call(self, module: Any, number: int, now: float) -> None:
-        """A segment begins here: at the first call without a snapshot, later with one."""
-        if now < self.next_snapshot and not (self.folder and self.folder.full()):
+        """Starts a segment if one is due: the first without a snapshot of the module, later ones with one."""
+        if now < self.next_snapshot and not (self.folder and self.folder.is_full()):
             return
         first = self.next_snapshot == float("-inf")
         self.next_snapshot = now + self.settings.snapshots_ms
-        made = b""
+        snapshot = b""
         if not first:
-            if not self.whole:
+            if not self.can_snapshot:
                 return
             try:
-                made = freeze(module)
-            except Exception as error:  # another file's module may hold what cannot be written
-                self.whole = False
-                log.warning("module without snapshots", why=str(error))
+                snapshot = freeze(module)
+            except Exception as error:  # the state of an operator's own module may not be serializable
+                self.can_snapshot = False
+                log.warning("cannot serialize the module; capturing without snapshots", reason=str(error))
                 return
-        self.queue.append(("begin", (number, made, now, self.wall() * 1000)))
+        self.queue.append(("begin", (number, snapshot, now, self.wall() * 1000)))
 
     def add_call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None:
-        if len(self.queue) >= QUEUE_MOST:
-            self.lost = [self.lost[0] + 1, self.lost[1], now] if self.lost else [1, now, now]
+        if len(self.queue) >= QUEUE_MAX_RECORDS:
+            self.dropped = [self.dropped[0] + 1, self.dropped[1], now] if self.dropped else [1, now, now]
             return
-        if self.lost:
+        if self.dropped:
             self.gaps += 1
-            self.queue.append(("gap", (int(self.lost[0]), self.lost[1], self.lost[2], "too much waited")))
-            self.lost = []
-            self.next_snapshot = now  # a replay can go on from the next one
+            self.queue.append(
+                ("gap", (int(self.dropped[0]), self.dropped[1], self.dropped[2], "too much waited"))
+            )
+            self.dropped = []
+            self.next_snapshot = now  # replay resumes after the gap at the next snapshot
         wall = self.wall() * 1000
-        if self.wall_before and abs((wall - self.wall_before[0]) - (now - self.wall_before[1])) > 500:
-            step = (wall - self.wall_before[0]) - (now - self.wall_before[1])
+        if self.last_clocks and abs((wall - self.last_clocks[0]) - (now - self.last_clocks[1])) > 500:
+            step = (wall - self.last_clocks[0]) - (now - self.last_clocks[1])
             self.add_note(now, "clock", f"stepped by {step / 1000:.1f} s")
-        self.wall_before = (wall, now)
+        self.last_clocks = (wall, now)
         self.queue.append(("call", Told(number, now, wall, events, actions)))
 
     def add_note(self, now: float, who: str, text: str, session: int = 0) -> None:
-        if len(self.queue) < QUEUE_MOST:
+        if len(self.queue) < QUEUE_MAX_RECORDS:
             self.queue.append(("word", (now, who, text, session)))
 
     def save(self) -> bytes:
-        """The ring as a file, up to now."""
+        """Returns the ring as the bytes of a capture file, including the latest call."""
         self.drain()
         with self.lock:
             return self.ring.saved()
 
     def close(self) -> None:
-        self.ending.set()
+        self.stopping.set()
         self.thread.join()
         self.drain()
         with self.lock:
@@ -167,46 +186,50 @@
             if self.folder and self.folder.file:
                 self.folder.file.close()
 
-    # in the thread
+    # called in the thread
 
     def run(self) -> None:
-        while not self.ending.wait(PACK_EVERY_S):
+        while not self.stopping.wait(DRAIN_PERIOD_S):
             self.drain()
 
     def drain(self) -> None:
         with self.lock:
             for _ in range(len(self.queue)):
-                what, told = self.queue.popleft()
-                if what == "call":
-                    self.ring.call(told)
-                elif what == "begin":
-                    self.ring.begin(*told)
-                elif what == "gap":
-                    self.ring.gap(*told)
+                kind, record = self.queue.popleft()
+                if kind == "call":
+                    self.ring.call(record)
+                elif kind == "begin":
+                    self.ring.begin(*record)
+                elif kind == "gap":
+                    self.ring.gap(*record)
                 else:
-                    self.ring.word(*told)
+                    self.ring.word(*record)
 
-    def on_block(self, block: Block, begins: bool) -> None:
+    def on_block(self, block: Block, starts_segment: bool) -> None:
         if self.folder is None:
             return
         try:
-            self.folder.block(block, begins)
+            self.folder.write_block(block, starts_segment)
         except OSError as error:
             self.failures += 1
             if self.failures & (self.failures - 1) == 0:
-                log.error("capture not written", why=str(error), times=self.failures)
-            with_gap = f"the disk did not take it: {error.strerror or error}"
-            self.ring.gap(block.calls, block.first, block.last, with_gap)
+                log.error(
+                    "cannot write capture file; block recorded as a gap",
+                    reason=str(error),
+                    failures=self.failures,
+                )
+            reason = f"the disk did not take it: {error.strerror or error}"
+            self.ring.gap(block.calls, block.first, block.last, reason)
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Whole or not at all. Raises `OSError`."""
-    fresh = path.with_name(path.name + ".new")
-    with open(fresh, "wb") as file:
+    """Replaces the file at `path` as a whole or leaves it unchanged. Raises `OSError`."""
+    temporary = path.with_name(path.name + ".new")
+    with open(temporary, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(fresh, path)
+    os.replace(temporary, path)
 
 
 __all__ = ["CaptureWriter", "capture_header", "write_atomically"]
--- a/lemonhall/front/persistence/session_recorder.py
+++ b/lemonhall/front/persistence/session_recorder.py
@@ -1,7 +1,8 @@
-"""What was asked of this front, as Parquet, for the model: a row a session, written when it is over.
+"""Records the requested sessions as Parquet for the model: one row per session, added when the session is
+over.
 
-The columns are those of `lemonhall day --record`. Rows are kept until there are enough for a file or the
-front stops; a front that is killed loses those that are not written yet.
+The columns are those of `lemonhall day --record`. Rows are buffered until there are enough for a file or the
+front stops; a front that is killed loses the buffered rows.
 """
 
 from __future__ import annotations
@@ -15,46 +16,50 @@
 from lemonhall.seam import Asked
 
 log = structlog.get_logger("lemonhall.front")
-GROUP = 2000  # rows that are written together
+ROWS_PER_FILE = 2000
 
 
 class SessionRecorder:
-    """`path`: a file for each group, `NAME-0.parquet` and on. `began_ms`: from when times count."""
+    """Writes files numbered from 0: `NAME-0.parquet` and so on for the path `NAME.parquet`.
 
-    def __init__(self, path: Path, settings: FrontSettings, began_ms: float) -> None:
-        import pyarrow  # only a front that records needs it
+    Times in the rows count from `start_ms`.
+    """
+
+    def __init__(self, path: Path, settings: FrontSettings, start_ms: float) -> None:
+        import pyarrow  # imported here as only a front that records sessions needs it
 
         self.arrow = pyarrow
-        self.path, self.settings, self.began_ms = path, settings, began_ms
-        self.open: dict[str, dict[str, Any]] = {}  # by session
+        self.path, self.settings, self.start_ms = path, settings, start_ms
+        self.open_rows: dict[str, dict[str, Any]] = {}  # rows of sessions that are not over, by session id
         self.rows: list[dict[str, Any]] = []
-        self.groups = 0
+        self.files_written = 0
 
-    def on_request(self, said: Asked, now_ms: float) -> None:
-        """The first ask of a session; moves are not the viewer's."""
+    def on_request(self, message: Asked, now_ms: float) -> None:
+        """Opens the row at the first request of a session. Not called for moves, which no viewer
+        requested."""
         terms = self.settings.terms
-        if said.session in self.open:
+        if message.session in self.open_rows:
             return
-        self.open[said.session] = {
-            "person": said.viewer >> 1,
-            "at_ms": now_ms - self.began_ms,
-            "class": terms.class_names[said.cls],
-            "partner": terms.tenant_names[said.tenant] if terms.tenant_names else "",
-            "title": said.path.partition("?")[0],
+        self.open_rows[message.session] = {
+            "person": message.viewer >> 1,
+            "at_ms": now_ms - self.start_ms,
+            "class": terms.class_names[message.cls],
+            "partner": terms.tenant_names[message.tenant] if terms.tenant_names else "",
+            "title": message.path.partition("?")[0],
             "hall": terms.halls[self.settings.hall],
             "length_ms": None,
-            "top": said.top,
+            "top": message.top,
             "vanishes": False,
         }
 
     def on_session_over(self, session: str, played_ms: float | None, vanished: bool) -> None:
-        """`played_ms`: None if it never played."""
-        row = self.open.pop(session, None)
+        """Completes the row. `played_ms` is None if the session never played."""
+        row = self.open_rows.pop(session, None)
         if row is None:
             return
         row["length_ms"], row["vanishes"] = played_ms, vanished
         self.rows.append(row)
-        if len(self.rows) >= GROUP:
+        if len(self.rows) >= ROWS_PER_FILE:
             self.write()
 
     def write(self) -> None:
@@ -62,7 +67,7 @@
             return
         from pyarrow import parquet
 
-        path = self.path.with_name(f"{self.path.stem}-{self.groups}{self.path.suffix or '.parquet'}")
+        path = self.path.with_name(f"{self.path.stem}-{self.files_written}{self.path.suffix or '.parquet'}")
         rows, self.rows = self.rows, []
         schema = self.arrow.schema(
             [
@@ -79,13 +84,18 @@
         )
         try:
             parquet.write_table(self.arrow.Table.from_pylist(rows, schema=schema), path)
-            self.groups += 1
-        except OSError as error:  # a full disk loses the record, not the sessions
-            log.error("record not written", path=str(path), rows=len(rows), error=str(error))
+            self.files_written += 1
+        except OSError as error:  # with a full disk the rows are lost, the sessions play on
+            log.error(
+                "cannot write recorded sessions; rows dropped",
+                path=str(path),
+                rows=len(rows),
+                error=str(error),
+            )
 
     def stop(self) -> None:
-        """What is still open is over."""
-        for row in self.open.values():
+        """Writes all rows, including those of sessions that are not over."""
+        for row in self.open_rows.values():
             self.rows.append(row)
-        self.open.clear()
+        self.open_rows.clear()
         self.write()
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -101,7 +101,7 @@
             to.drain()
             assert to.folder
             to.folder.written = 1 << 30  # as if it were full: the next call begins another
-            to.whole = True
+            to.can_snapshot = True
             to.next_snapshot = float("-inf")
     to.close()
     names = sorted(p.name for p in (tmp_path / "caps").glob("*.lhc"))
@@ -114,8 +114,8 @@
 def test_what_the_queue_cannot_take_is_a_gap_and_never_silent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(capture_writer, "PACK_EVERY_S", 60.0)
-    monkeypatch.setattr(capture_writer, "QUEUE_MOST", 50)
+    monkeypatch.setattr(capture_writer, "DRAIN_PERIOD_S", 60.0)
+    monkeypatch.setattr(capture_writer, "QUEUE_MAX_RECORDS", 50)
     to = capturer(tmp_path)
     for n in range(80):
         call(to, n, float(n))
@@ -135,7 +135,7 @@
     def fails(block: Any, begins: bool) -> None:
         raise OSError(28, "No space left on device")
 
-    to.folder.block = fails  # type: ignore[method-assign]
+    to.folder.write_block = fails  # type: ignore[method-assign]
     for n in range(300):
         call(to, n, 20.0 * n)
     to.drain()
