--- a/lemonhall/front/decider/peers.py
+++ b/lemonhall/front/decider/peers.py
@@ -21,7 +21,7 @@
 def encode(sender: int, data: bytes) -> bytes:
     """Raises `ValueError` if `data` is longer than 256 bytes."""
     if len(data) > DATA_MAX_BYTES:
-        raise ValueError(f"peer message of {len(data)} bytes exceeds the limit of {DATA_MAX_BYTES}")
+        raise ValueError(f"{len(data)} bytes exceed the size limit of a peer message ({DATA_MAX_BYTES})")
     return HEADER.pack(MAGIC, sender) + data
 
 
