--- a/lemonhall/front/decider/hooks.py
+++ b/lemonhall/front/decider/hooks.py
@@ -1,8 +1,8 @@
-"""Hooks in the front: facts in, rulings out, scripts loaded while sessions play.
+"""Runs hook scripts in the front: supplies their facts, returns their rulings, and reloads them at run time.
 
-What a script may say and what becomes of it is `lemonhall.hooks`; here is only what needs files, a child
-process and the front's own sights. A new set of scripts is read and compiled in a process of its own, then
-adopted between two passes of the loop, all or nothing.
+The script language and its engine are `lemonhall.hooks`; this module adds what needs files, a child process
+or the state of the front. A new set of scripts is compiled in a child process and then replaces the old set
+between two passes of the event loop, as a whole or not at all.
 """
 
 from __future__ import annotations
@@ -25,27 +25,27 @@
 from lemonhall.seam import Asked
 
 log = structlog.get_logger("lemonhall.front")
-HEARD_MS = 30_000.0  # a report of a link's use is believed for so long
-LOAD_EVERY_MS = 200.0  # the use of a hall is worked out anew this often
-NAMES = [f.name for f in FACTS]
+LINK_USE_MAX_AGE_MS = 30_000.0  # older reports of a server's link use are ignored
+ZONE_LOAD_PERIOD_MS = 200.0  # minimum time between computations of one zone's load
+FACT_NAMES = [fact.name for fact in FACTS]
 
 
 def hook_names(settings: FrontSettings) -> Known:
-    """Names that scripts are checked against."""
-    t = settings.terms
+    """Returns the names that scripts may use, as defined by the settings."""
+    terms = settings.terms
     return Known(
-        classes=t.class_names,
-        partners=t.tenant_names,
-        halls=t.halls,
-        kinds=t.kind_names,
-        routes=tuple(r.prefix for r in t.routes),
-        racks=t.racks,
-        rungs=len(t.ladder_kb),
+        classes=terms.class_names,
+        partners=terms.tenant_names,
+        halls=terms.halls,
+        kinds=terms.kind_names,
+        routes=tuple(route.prefix for route in terms.routes),
+        racks=terms.racks,
+        rungs=len(terms.ladder_kb),
     )
 
 
 def read_hook_sources(settings: FrontSettings) -> list[Source]:
-    """All scripts of the settings, in their order. Raises `BadInput` if one cannot be read."""
+    """Reads all scripts of the settings, in their order. Raises `BadInput` if one cannot be read."""
     sources = []
     for entry in settings.hooks.files:
         paths = sorted(entry.path.glob("*.hook")) if entry.folder else [entry.path]
@@ -61,20 +61,24 @@
 
 
 class Builder(Protocol):
-    """Whoever reads and compiles elsewhere. `ask` raises `OSError` if nobody can."""
+    """Compiles in a child process. `ask` raises `OSError` if the process cannot be started."""
 
     def ask(self, job: tuple[Any, ...], done: Callable[[Any], None]) -> None: ...
 
 
 class Subject(Protocol):
-    """What a ruling is about."""
+    """The set-up request that a ruling is about."""
 
     said: Asked
     attempts: int
 
 
 class HookRunner:
-    """`servers` gives the box list; `now_ms` does not go back, `wall_ms` is Unix time and may."""
+    """Runs the scripts and keeps the state of the front that they can query.
+
+    `servers` returns the servers of the list and `sessions` the number of sessions; `now_ms` is monotonic,
+    `wall_ms` is Unix time, which may step back.
+    """
 
     def __init__(
         self,
@@ -87,38 +91,42 @@
     ) -> None:
         self.settings, self.servers, self.sessions = settings, servers, sessions
         self.now_ms, self.wall_ms = now_ms, wall_ms
-        h = settings.hooks
-        limits = EngineLimits(h.fuel, h.memory, h.total, h.strikes, h.fade_ms)
+        hooks = settings.hooks
+        limits = EngineLimits(hooks.fuel, hooks.memory, hooks.total, hooks.strikes, hooks.fade_ms)
         self.engine = Engine(limits, hook_names(settings))
         self.refusal_times = Lately()
-        self.uses: dict[int, tuple[float, float]] = {}  # of a server's link: use, when heard
-        self.loads: dict[str, tuple[float, float]] = {}  # of a hall: use, when worked out
+        # by server id: use of its link and time of the report
+        self.link_uses: dict[int, tuple[float, float]] = {}
+        # by zone name: mean link use and time of the computation
+        self.zone_loads: dict[str, tuple[float, float]] = {}
         self.builder = builder
-        self.building = self.again = False
+        self.building = self.reload_pending = False
         self.reloads = self.rejected_loads = 0
-        self.on_load: Callable[[bool], object] = lambda fine: None  # told of the end of each reload
-        self.judged: dict[tuple[int, bool], Session] = {}
+        self.on_load: Callable[[bool], object] = lambda success: None  # called at the end of each reload
+        self.engine_sessions: dict[tuple[int, bool], Session] = {}  # by class and whether the session moved
 
     # loading
 
     def load(self) -> None:
-        """Reads and compiles all scripts here and now. Raises `BadInput` with every problem."""
+        """Reads and compiles all scripts in this process. Raises `BadInput` that lists every problem."""
         try:
             self.engine.swap(read_hook_sources(self.settings))
         except BadScript as error:
             raise BadInput(error.problems[0].file, "\n".join(map(str, error.problems))) from error
 
     def start(self) -> None:
-        """A front comes up whatever its scripts: without any of them, and saying so, if one is bad."""
+        """Loads the scripts. If one is invalid, the front starts without any of them and logs the
+        problems."""
         try:
             self.load()
         except BadInput as error:
             self.reject_load(str(error).split("\n"))
 
     def reload(self) -> None:
-        """Reads the scripts anew, beside what plays; one reload at a time, the last one asked for counts."""
+        """Reloads the scripts in the background. Requests during a reload are merged into one that follows
+        it."""
         if self.building:
-            self.again = True
+            self.reload_pending = True
             return
         try:
             sources = read_hook_sources(self.settings)
@@ -133,68 +141,78 @@
         self.building = False
         programs, problems = result or ([], [Problem("hooks", 0, 0, "the scripts could not be compiled")])
         if problems:
-            self.reject_load([str(p) for p in problems])
+            self.reject_load([str(problem) for problem in problems])
         else:
             try:
                 pairs = zip(sources, programs, strict=True)
                 self.engine.adopt([self.engine.ready(source, program) for source, program in pairs])
                 self.reloads += 1
-                names = [s.name for s in sources]
+                names = [source.name for source in sources]
                 log.info("hooks loaded", scripts=names[:50], version=self.engine.version)
                 self.on_load(True)
             except BadScript as error:
-                self.reject_load([str(p) for p in error.problems])
-        if self.again:
-            self.again = False
+                self.reject_load([str(problem) for problem in error.problems])
+        if self.reload_pending:
+            self.reload_pending = False
             self.reload()
 
     def apply_settings(self, settings: FrontSettings) -> None:
-        """Other settings from now on; the scripts are read anew under them."""
+        """Replaces the settings and reloads the scripts."""
         self.settings = settings
-        h = settings.hooks
-        self.engine.limits = EngineLimits(h.fuel, h.memory, h.total, h.strikes, h.fade_ms)
+        hooks = settings.hooks
+        self.engine.limits = EngineLimits(hooks.fuel, hooks.memory, hooks.total, hooks.strikes, hooks.fade_ms)
         self.engine.known = hook_names(settings)
-        self.judged.clear()
+        self.engine_sessions.clear()
         self.reload()
 
     def reject_load(self, problems: list[str]) -> None:
         self.rejected_loads += 1
-        log.error("hooks refused, the old ones stay", problems=problems[:20])
+        log.error("hooks refused: invalid scripts; keeping the current ones", problems=problems[:20])
         self.on_load(False)
 
-    # what the front sees
+    # state of the front
 
     def on_link_use(self, server: int, use: float) -> None:
-        """A server's link use, as it was reported."""
+        """Records a server's report of its link use."""
         if self.engine.scripts and 0 <= use < float("inf"):
-            self.uses[server] = (use, self.now_ms())
+            self.link_uses[server] = (use, self.now_ms())
 
     def zone_load(self, hall: str) -> float:
+        """Returns the mean link use of the servers in a zone, 0 if none has reported."""
         now = self.now_ms()
-        use, at = self.loads.get(hall, (0.0, float("-inf")))
-        if now - at < LOAD_EVERY_MS or hall not in self.settings.terms.halls:
+        use, computed_at = self.zone_loads.get(hall, (0.0, float("-inf")))
+        if now - computed_at < ZONE_LOAD_PERIOD_MS or hall not in self.settings.terms.halls:
             return use
         zone = self.settings.terms.halls.index(hall)
-        heard = [self.uses[s.id] for s in self.servers() if s.zone == zone and s.id in self.uses]
-        fresh = [use for use, when in heard if now - when < HEARD_MS]
-        use = sum(fresh) / len(fresh) if fresh else 0.0
-        self.loads[hall] = (use, now)
+        reports = [
+            self.link_uses[server.id]
+            for server in self.servers()
+            if server.zone == zone and server.id in self.link_uses
+        ]
+        current = [use for use, reported_at in reports if now - reported_at < LINK_USE_MAX_AGE_MS]
+        use = sum(current) / len(current) if current else 0.0
+        self.zone_loads[hall] = (use, now)
         return use
 
     def refusals(self, window_ms: float) -> float:
         return float(self.refusal_times.count(window_ms, self.now_ms()))
 
-    # asking; the machine's host is a part of this one
+    # running scripts
 
     def run(self, point: str, subject: Subject, moved: bool, **more: Any) -> Ruling:
-        """What the scripts say of a session at a point. `more`: facts that are known only there."""
+        """Runs the scripts for a session at a hook point.
+
+        `more` adds the facts that are known only at that point.
+        """
         asked = subject.said
         if not self.engine.scripts:
             return Ruling(asked.cls)
         terms = self.settings.terms
         key = (asked.cls, moved)
-        if key not in self.judged:
-            self.judged[key] = Session(asked.cls, moved, terms.classes, self.engine.known, terms.max_pause_ms)
+        if key not in self.engine_sessions:
+            self.engine_sessions[key] = Session(
+                asked.cls, moved, terms.classes, self.engine.known, terms.max_pause_ms
+            )
         cls = terms.classes[asked.cls]
         facts = {
             "class": terms.class_names[asked.cls],
@@ -214,9 +232,9 @@
         }
         ruling = self.engine.ask(
             point,
-            self.judged[key],
-            [facts.get(name) for name in NAMES],
-            Sight(self),
+            self.engine_sessions[key],
+            [facts.get(name) for name in FACT_NAMES],
+            ScriptHost(self),
             self.now_ms(),
             self.wall_ms(),
             asked.session,
@@ -230,24 +248,26 @@
         return ruling
 
     def page(self) -> tuple[int, str, bytes]:
-        """How the scripts behave, what was overruled, and the last that were heard."""
-        e = self.engine
-        overruled = [{**asdict(o), "times": n} for o, n in e.overruled.most_common(100)]
-        traces = [asdict(t) for t in list(e.traces)[-50:]]
+        """The status page `/hooks`: statistics of the scripts, overruled advice and the latest traces."""
+        engine = self.engine
+        overruled = [
+            {**asdict(advice), "times": count} for advice, count in engine.overruled.most_common(100)
+        ]
+        traces = [asdict(trace) for trace in list(engine.traces)[-50:]]
         shown = {
-            "version": e.version,
+            "version": engine.version,
             "loaded": self.reloads,
             "refused": self.rejected_loads,
-            "skipped": e.skipped,
-            "scripts": e.report(),
+            "skipped": engine.skipped,
+            "scripts": engine.report(),
             "overruled": overruled,
             "traces": traces,
         }
         return 200, "application/json", json.dumps(shown).encode() + b"\n"
 
 
-class Sight:
-    """The machine's host: what a script may look at of the front."""
+class ScriptHost:
+    """The host of the script engine: the state of the front that a script can query."""
 
     def __init__(self, hooks: HookRunner) -> None:
         self.hooks = hooks
--- a/lemonhall/front/decider/list_client.py
+++ b/lemonhall/front/decider/list_client.py
@@ -1,4 +1,5 @@
-"""The box list as this front knows it: pushed over HTTP, kept on disk for a restart, told to the module."""
+"""Client of the server list service: receives the list over HTTP, caches it on disk, and reports it to the
+module."""
 
 from __future__ import annotations
 
@@ -17,14 +18,16 @@
 from lemonhall.loop import Handler, Loop, Stream
 
 log = structlog.get_logger("lemonhall.front")
-RETRY_S = (0.2, 0.5, 1.0, 2.0)
-CACHE_EVERY_S = 1.0
+RETRY_DELAYS_S = (0.2, 0.5, 1.0, 2.0)
+CACHE_DELAY_S = 1.0  # from a change to the write of the cache, which includes all changes until then
 
 
 class ListClient(Handler):
-    """Keeps one GET open; each chunk of its body brings updates. Losing it is told as `FAILED`.
+    """Holds one GET request open whose response body is a stream of updates. Its loss is reported as
+    `FAILED`.
 
-    The module asks for it again by `Subscribe`, for the whole of it by `Reload`; tries are spaced out.
+    The module requests a new connection with `Subscribe` and the full list with `Reload`. Connection
+    attempts are delayed by a backoff.
     """
 
     def __init__(
@@ -41,35 +44,40 @@
         self.host, self.port = parts.hostname or "", parts.port or 80
         self.path = parts.path or "/"
         self.cache = Path(cache) if cache else None
-        self.store_service: StoreService | None = None  # keeps it as well, if there is one
+        self.store_service: StoreService | None = None  # stores the list as well, if there is one
         self.server_list = ServerListState(front_started_ms)
         self.stream: Stream | None = None
-        self.tries = 0
+        self.attempts = 0
         self.wanted = False
         self.cache_due = False
         self.fresh = False
-        self.on_list_alive: Callable[[float], object] = lambda as_of: (
-            None
-        )  # of life: when the list was true; 0: now
-        self.extra_delay_s: Callable[[], float] = lambda: 0.0  # with a call, beside others who call as well
+        # called with the time for which the list is valid (Unix time in ms; 0 for now)
+        self.on_list_alive: Callable[[float], object] = lambda as_of_ms: None
+        # added to the backoff, so that fronts that start together do not all connect at once
+        self.extra_delay_s: Callable[[], float] = lambda: 0.0
         self.parser: httptools.HttpResponseParser | None = None
         self.messages = Delimited()
 
     def load_cache(self) -> None:
-        """A front that starts anew begins with the list that it had; a damaged one is named and left."""
+        """Applies the list cached before a restart. A damaged cache is logged and left in place."""
         try:
             data = self.read_cache()
             if data is None:
                 return
             update = from_cache(data)
         except (OSError, CacheError) as error:
-            log.warning("cached box list not used", file=str(self.cache or "store"), why=str(error))
+            log.warning(
+                "cannot read the cached server list; starting without it",
+                file=str(self.cache or "store"),
+                reason=str(error),
+            )
             return
         if event := self.server_list.apply(update, cached=True):
             self.on_event(event)
 
     def adopt_list(self, update: Update) -> bool:
-        """A list that others had: of use while there is none. Whether it was."""
+        """Applies a list received from other fronts if this front has none. Returns whether it was
+        applied."""
         if self.server_list.version or self.server_list.boxes:
             return False
         if event := self.server_list.apply(update, cached=True):
@@ -95,7 +103,11 @@
                 os.fsync(file.fileno())
             os.replace(temporary, self.cache)
         except OSError as error:
-            log.warning("box list not cached", file=str(self.cache), why=str(error))
+            log.warning(
+                "cannot write the server list cache; retrying after the next change",
+                file=str(self.cache),
+                reason=str(error),
+            )
 
     def start(self) -> None:
         self.wanted = True
@@ -110,12 +122,12 @@
             if self.stream:
                 self.stream.close()
         elif self.stream is None:
-            wait = RETRY_S[min(self.tries, len(RETRY_S) - 1)]
-            self.tries += 1
-            self.loop.call_later(wait + self.extra_delay_s(), self.start)
+            delay_s = RETRY_DELAYS_S[min(self.attempts, len(RETRY_DELAYS_S) - 1)]
+            self.attempts += 1
+            self.loop.call_later(delay_s + self.extra_delay_s(), self.start)
 
     def reload(self, _: i.Reload | None) -> None:
-        """The whole list anew: a new GET brings it."""
+        """Requests the full list by a new GET, whose response starts with it."""
         if self.stream:
             self.stream.close()
         else:
@@ -128,7 +140,7 @@
         if self.cache_due:
             self.save_cache()
 
-    # the stream's side
+    # callbacks of the stream
 
     def connected(self) -> None:
         assert self.stream
@@ -142,19 +154,23 @@
         try:
             self.parser.feed_data(view)
         except (httptools.HttpParserError, ValueError) as error:
-            log.warning("box list not understood", why=str(error))
+            log.warning(
+                "invalid response of the server list service; closing the connection", reason=str(error)
+            )
             self.stream.abort()
 
     def on_body(self, body: bytes) -> None:
-        """httptools: a piece of the body."""
+        """Callback of httptools for a part of the response body."""
         assert self.parser
         if self.parser.get_status_code() != 200:
             return
         for update in self.messages.feed(body):
-            older, event = self.server_list.older_updates, self.server_list.apply(update)
-            if self.server_list.older_updates > older:
+            older_before, event = self.server_list.older_updates, self.server_list.apply(update)
+            if self.server_list.older_updates > older_before:
                 log.warning(
-                    "older box list left aside", version=update.version, known=self.server_list.version
+                    "ignoring a server list that is older than the current one",
+                    version=update.version,
+                    current_version=self.server_list.version,
                 )
             if self.server_list.needs_full_list:
                 self.server_list.needs_full_list = False
@@ -163,11 +179,11 @@
                 self.on_list_alive(update.as_of_ms)
             if event is None:
                 continue
-            self.tries, self.fresh = 0, True
+            self.attempts, self.fresh = 0, True
             self.on_event(event)
             if not self.cache_due:
                 self.cache_due = True
-                self.loop.call_later(CACHE_EVERY_S, self.save_cache)
+                self.loop.call_later(CACHE_DELAY_S, self.save_cache)
 
     def closed(self, reason: str) -> None:
         self.stream = None
