--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -1,4 +1,4 @@
-"""The capture of a running front: what it was told, saved after the fact, replayed to the same decisions."""
+"""The capture of a running front: saved on request or to files, and replayed to the same decisions."""
 
 from __future__ import annotations
 
@@ -30,34 +30,34 @@
     return list(Replay(why=True).run(read_capture(data).records))
 
 
-def test_what_a_front_decided_is_decided_again(world: Build) -> None:
+def test_replay_of_a_capture_repeats_the_decisions(world: Build) -> None:
     w = world()
     client, session = w.playing("/browse/a")
     w.playing("/claims/a")
     client.send("TEARDOWN", "/browse/a", ("Session", session))
     w.until(lambda: w.module.told(i.AttemptEnded))
     assert w.daemon.capture
-    made = steps_of(w.daemon.capture.save())
-    steps = [s for s in made if isinstance(s, Step)]
+    replayed = steps_of(w.daemon.capture.save())
+    steps = [s for s in replayed if isinstance(s, Step)]
     assert len(steps) == w.daemon.bridge.calls and all(s.same for s in steps)
-    said = [s.record.word for s in made if isinstance(s, Told) and s.record.WhichOneof("what") == "word"]
-    assert any(session in word.text and word.session == 1 for word in said)
+    notes = [s.record.word for s in replayed if isinstance(s, Told) and s.record.WhichOneof("what") == "word"]
+    assert any(session in note.text and note.session == 1 for note in notes)
 
 
-def run(*words: object) -> subprocess.CompletedProcess[str]:
-    command = [sys.executable, "-m", "lemonhall", *map(str, words)]
+def run(*arguments: object) -> subprocess.CompletedProcess[str]:
+    command = [sys.executable, "-m", "lemonhall", *map(str, arguments)]
     return subprocess.run(command, capture_output=True, text=True, stdin=subprocess.DEVNULL)
 
 
-def test_the_command_line(world: Build, tmp_path: Path) -> None:
+def test_commands_show_replay_and_explain_a_capture(world: Build, tmp_path: Path) -> None:
     w = world()
     _, session = w.playing("/browse/a")
     assert w.daemon.capture
     path = tmp_path / "one.lhc"
     path.write_bytes(w.daemon.capture.save())
     shown = run("capture", "show", path, "--json", "--calls")
-    told = json.loads(shown.stdout.strip().splitlines()[-1])
-    assert shown.returncode == 0 and told["call"] == w.daemon.bridge.calls and "set up at" in shown.stdout
+    summary = json.loads(shown.stdout.strip().splitlines()[-1])
+    assert shown.returncode == 0 and summary["call"] == w.daemon.bridge.calls and "set up at" in shown.stdout
     again = run("replay", path)
     assert again.returncode == 0 and "the same decisions" in again.stdout
     for name in (session, "1"):
@@ -80,101 +80,101 @@
     assert run("replay", tmp_path / "none.lhc").returncode == 2
 
 
-def capturer(tmp_path: Path, **more: Any) -> CaptureWriter:
-    chosen = {"folder": str(tmp_path / "caps"), "snapshots_ms": 1e12, **more}
+def new_writer(tmp_path: Path, **settings: Any) -> CaptureWriter:
+    chosen = {"folder": str(tmp_path / "caps"), "snapshots_ms": 1e12, **settings}
     return CaptureWriter(CaptureSettings(**chosen), Header(front="f0"))
 
 
-def call(to: CaptureWriter, number: int, now: float) -> None:
-    to.add_call(number, now, [i.TimerDue(number)], [i.SetTimer(0, 500.0)])
+def add_call(writer: CaptureWriter, number: int, now: float) -> None:
+    writer.add_call(number, now, [i.TimerDue(number)], [i.SetTimer(0, 500.0)])
 
 
-def test_files_rotate_and_the_oldest_go(tmp_path: Path) -> None:
-    to = capturer(tmp_path, size=65536, files=3)
+def test_files_rotate_and_the_oldest_are_deleted(tmp_path: Path) -> None:
+    writer = new_writer(tmp_path, size=65536, files=3)
     front = decide.Front.__new__(decide.Front)
     for n in range(6000):
-        to.before_call(front, n, 10.0 * n)
-        call(to, n, 10.0 * n)
+        writer.before_call(front, n, 10.0 * n)
+        add_call(writer, n, 10.0 * n)
         if n % 500 == 0:
-            to.drain()
+            writer.drain()
         if n % 1000 == 999:
-            to.drain()
-            assert to.folder
-            to.folder.written = 1 << 30  # as if it were full: the next call begins another
-            to.can_snapshot = True
-            to.next_snapshot = float("-inf")
-    to.close()
+            writer.drain()
+            assert writer.folder
+            writer.folder.written = 1 << 30  # simulates a full file: the next call starts another
+            writer.can_snapshot = True
+            writer.next_snapshot = float("-inf")
+    writer.close()
     names = sorted(p.name for p in (tmp_path / "caps").glob("*.lhc"))
     assert len(names) == 3 and names[-1] == "f0-000006.lhc"
-    held = [r for n in names for r in read_capture((tmp_path / "caps" / n).read_bytes()).records]
-    assert held[0].WhichOneof("what") == "header"
-    assert held[-1].call.number == 5999
+    records = [r for n in names for r in read_capture((tmp_path / "caps" / n).read_bytes()).records]
+    assert records[0].WhichOneof("what") == "header"
+    assert records[-1].call.number == 5999
 
 
-def test_what_the_queue_cannot_take_is_a_gap_and_never_silent(
+def test_calls_beyond_the_queue_are_recorded_as_a_gap(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(capture_writer, "DRAIN_PERIOD_S", 60.0)
     monkeypatch.setattr(capture_writer, "QUEUE_MAX_RECORDS", 50)
-    to = capturer(tmp_path)
+    writer = new_writer(tmp_path)
     for n in range(80):
-        call(to, n, float(n))
-    to.drain()
-    call(to, 80, 80.0)
-    made = read_capture(to.save())
-    gaps = [r.gap for r in made.records if r.WhichOneof("what") == "gap"]
+        add_call(writer, n, float(n))
+    writer.drain()
+    add_call(writer, 80, 80.0)
+    capture = read_capture(writer.save())
+    gaps = [r.gap for r in capture.records if r.WhichOneof("what") == "gap"]
     assert [(g.calls, g.why) for g in gaps] == [(30, "too much waited")]
-    assert [r.call.number for r in made.records if r.WhichOneof("what") == "call"] == [*range(50), 80]
-    to.close()
+    assert [r.call.number for r in capture.records if r.WhichOneof("what") == "call"] == [*range(50), 80]
+    writer.close()
 
 
-def test_a_disk_that_fills_costs_the_file_not_the_front(tmp_path: Path) -> None:
-    to = capturer(tmp_path)
-    assert to.folder
+def test_full_disk_loses_blocks_of_the_file_but_not_of_the_ring(tmp_path: Path) -> None:
+    writer = new_writer(tmp_path)
+    assert writer.folder
 
     def fails(block: Any, begins: bool) -> None:
         raise OSError(28, "No space left on device")
 
-    to.folder.write_block = fails  # type: ignore[method-assign]
+    writer.folder.write_block = fails  # type: ignore[method-assign]
     for n in range(300):
-        call(to, n, 20.0 * n)
-    to.drain()
-    assert to.failures > 0
-    made = read_capture(to.save())  # the ring has it all
-    assert sum(r.WhichOneof("what") == "call" for r in made.records) == 300
-    assert any("No space left" in r.gap.why for r in made.records if r.WhichOneof("what") == "gap")
-    to.close()
+        add_call(writer, n, 20.0 * n)
+    writer.drain()
+    assert writer.failures > 0
+    capture = read_capture(writer.save())  # the ring holds every call
+    assert sum(r.WhichOneof("what") == "call" for r in capture.records) == 300
+    assert any("No space left" in r.gap.why for r in capture.records if r.WhichOneof("what") == "gap")
+    writer.close()
 
 
-def test_a_stepped_clock_is_told(tmp_path: Path) -> None:
+def test_step_of_the_wall_clock_is_recorded(tmp_path: Path) -> None:
     wall = [1000.0]
-    to = CaptureWriter(CaptureSettings(), Header(front="f0"), lambda: wall[0])
-    call(to, 0, 0.0)
+    writer = CaptureWriter(CaptureSettings(), Header(front="f0"), lambda: wall[0])
+    add_call(writer, 0, 0.0)
     wall[0] += 7200.5
-    call(to, 1, 500.0)
-    words = [r.word.text for r in read_capture(to.save()).records if r.WhichOneof("what") == "word"]
-    assert words == ["stepped by 7200.0 s"]
-    to.close()
+    add_call(writer, 1, 500.0)
+    notes = [r.word.text for r in read_capture(writer.save()).records if r.WhichOneof("what") == "word"]
+    assert notes == ["stepped by 7200.0 s"]
+    writer.close()
 
 
-def test_viewers_are_hidden_by_a_key_and_a_missing_key_is_named(world: Build, tmp_path: Path) -> None:
+def test_viewers_are_hashed_with_a_key_and_a_missing_key_is_reported(world: Build, tmp_path: Path) -> None:
     key = tmp_path / "key"
     key.write_bytes(b"k" * 32)
     w = world()
-    told = i.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
-    made = []
+    new_session = i.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
+    encoded = []
     for path in (str(key), ""):
-        to = CaptureWriter(CaptureSettings(key=path), capture_header(w.settings))
-        to.add_call(0, 1.0, [told], [])
-        records = read_capture(to.save()).records
-        made.append(next(r.call.events for r in records if r.WhichOneof("what") == "call"))
-        to.close()
-    assert (4711).to_bytes(8, "little") not in made[0] and (4711).to_bytes(8, "little") in made[1]
+        writer = CaptureWriter(CaptureSettings(key=path), capture_header(w.settings))
+        writer.add_call(0, 1.0, [new_session], [])
+        records = read_capture(writer.save()).records
+        encoded.append(next(r.call.events for r in records if r.WhichOneof("what") == "call"))
+        writer.close()
+    assert (4711).to_bytes(8, "little") not in encoded[0] and (4711).to_bytes(8, "little") in encoded[1]
     with pytest.raises(BadInput, match="key cannot be read"):
         CaptureWriter(CaptureSettings(key=str(tmp_path / "none")), capture_header(w.settings))
 
 
-def test_a_running_front_is_asked_for_its_last_minutes(world: Build, tmp_path: Path) -> None:
+def test_capture_page_returns_the_ring(world: Build, tmp_path: Path) -> None:
     w = world()
     w.playing("/browse/a")
     from lemonhall.front.process import status
@@ -182,14 +182,14 @@
 
     pages = {"/capture": w.daemon.shown.capture_page}
     at = listen(w.loop, ("127.0.0.1", 0), status.serve(w.loop, pages)).getsockname()
-    got: list[bytes] = []
+    received: list[bytes] = []
 
     def fetch() -> None:
         with urllib.request.urlopen(f"http://127.0.0.1:{at[1]}/capture", timeout=5) as answer:
-            got.append(answer.read())
+            received.append(answer.read())
 
     thread = Thread(target=fetch)
     thread.start()
-    w.until(lambda: got)
+    w.until(lambda: received)
     thread.join()
-    assert [s.same for s in steps_of(got[0]) if isinstance(s, Step)]
+    assert [s.same for s in steps_of(received[0]) if isinstance(s, Step)]
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -1,4 +1,5 @@
-"""Imported nginx files through the real front: the same pool, the same path, the same redirections."""
+"""Settings imported from nginx files at a running front: the same pools, paths and redirections as in
+nginx."""
 
 from __future__ import annotations
 
@@ -33,6 +34,8 @@
 
 
 class Site:
+    """One front with imported settings and four scripted servers, on one loop."""
+
     def __init__(self, folder: Path) -> None:
         self.loop = Loop()
         self.faults: list[Exception] = []
@@ -45,32 +48,33 @@
         self.daemon = Daemon(read_settings(folder / "front.kdl"), loop=self.loop)
         self.loop.on_error = self.faults.append
         self.at = self.daemon.open()
-        lines = [
+        boxes = [
             Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
         ]
-        event = self.daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=lines))
+        event = self.daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=boxes))
         assert event
         self.daemon.bridge.enqueue(event)
         self.clients: list[Client] = []
 
-    def ask(self, path: str) -> tuple[int, str]:
-        """Status of SETUP or PLAY, and Location."""
+    def play(self, path: str) -> tuple[int, str]:
+        """Sends SETUP and PLAY. Returns the status and the Location header of the last response."""
         client = Client(self.loop, self.at)
         self.clients.append(client)
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
         for request in (("SETUP", f"{path}/trackID=0", transport), ("PLAY", path)):
             session = [("Session", client.answers[-1].session)] if client.answers else []
             cseq = client.send(request[0], request[1], *request[2:], *session)
-            over: list[bool] = []
-            timer = self.loop.call_later(WAIT_S, over.append, True)
-            self.loop.run(until=lambda c=cseq, o=over: bool(o) or bool(client.answers_to(c)))  # type: ignore
+            expired: list[bool] = []
+            timer = self.loop.call_later(WAIT_S, expired.append, True)
+            self.loop.run(until=lambda c=cseq, e=expired: bool(e) or bool(client.answers_to(c)))  # type: ignore
             timer.cancel()
-            assert not over and not self.faults, self.faults
+            assert not expired and not self.faults, self.faults
             if client.answers[-1].status != 200:
                 break
         return client.answers[-1].status, client.answers[-1].headers.get("Location")
 
-    def asked_at(self) -> list[tuple[int, str]]:
+    def set_ups(self) -> list[tuple[int, str]]:
+        """The server's position and the path of each SETUP that reached a server."""
         found = []
         for n, box in enumerate(self.boxes):
             for request in box.requests:
@@ -99,29 +103,29 @@
 
 def test_requests_reach_their_pools_by_weight_and_path(site: Site) -> None:
     for n in range(8):
-        assert site.ask(f"/v1/{n}")[0] == 200
-    assert site.ask("/notes/abc.mp3")[0] == 200
-    seen = site.asked_at()
-    assert Counter(n for n, path in seen if path.startswith("/clips/")) == {0: 6, 1: 2}
-    assert (2, "/audio/abc") in seen
-    assert not any(n == 3 for n, _ in seen)
+        assert site.play(f"/v1/{n}")[0] == 200
+    assert site.play("/notes/abc.mp3")[0] == 200
+    set_ups = site.set_ups()
+    assert Counter(n for n, path in set_ups if path.startswith("/clips/")) == {0: 6, 1: 2}
+    assert (2, "/audio/abc") in set_ups
+    assert not any(n == 3 for n, _ in set_ups)
 
 
-def test_answers_of_the_routes_are_given(site: Site) -> None:
-    status, location = site.ask("/old/x")
+def test_routes_answer_with_redirects_and_errors(site: Site) -> None:
+    status, location = site.play("/old/x")
     assert (status, location) == (301, f"rtsp://127.0.0.1:{site.at[1]}/clips/old/x")
-    assert site.ask("/shut/x")[0] == 403
-    assert site.ask("/nowhere")[0] == 404
-    assert site.asked_at() == []
+    assert site.play("/shut/x")[0] == 403
+    assert site.play("/nowhere")[0] == 404
+    assert site.set_ups() == []
 
 
-def test_a_pool_without_a_listed_server_is_counted_and_the_module_places_it(site: Site) -> None:
-    assert site.ask("/gone/x")[0] == 200
+def test_pool_without_listed_server_is_counted_and_the_module_chooses_the_server(site: Site) -> None:
+    assert site.play("/gone/x")[0] == 200
     assert site.daemon.counts["pool_empty"] == 1
 
 
-def test_a_full_server_is_passed_over_within_and_beyond_the_pool(site: Site) -> None:
-    """The wish is no more than one: what was a pool's alone at nginx may be played elsewhere here."""
+def test_full_server_of_a_pool_is_replaced_by_one_outside(site: Site) -> None:
+    """A pool is a preference only: unlike in nginx, a session may be played outside its pool."""
     site.boxes[2].script["SETUP"] = lambda conn, request: conn.reply(request, 453)
-    assert site.ask("/notes/abc.mp3")[0] == 200
-    assert {n for n, _ in site.asked_at()} - {2}
+    assert site.play("/notes/abc.mp3")[0] == 200
+    assert {n for n, _ in site.set_ups()} - {2}
--- a/tests/front/test_reload.py
+++ b/tests/front/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings loaded while sessions play: all or nothing, differences told, old sessions untouched."""
+"""Reloading the settings while sessions play: all or nothing, and without effect on existing sessions."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 Build = Callable[..., World]
 
 
-def test_routes_change_and_what_plays_goes_on(reloaded: Build) -> None:
+def test_routes_change_without_interrupting_sessions(reloaded: Build) -> None:
     w, load = reloaded(TERMS)
     client, session = w.playing("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/other/" class="browse-clip"'))
@@ -29,7 +29,7 @@
     assert client.answers_to(cseq) == [200]
 
 
-def test_a_class_by_route_changes_for_new_sessions_alone(reloaded: Build) -> None:
+def test_class_of_a_route_changes_for_new_sessions_only(reloaded: Build) -> None:
     w, load = reloaded(TERMS)
     w.playing("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/browse/" class="claim-view"'))
@@ -47,7 +47,7 @@
     ],
     ids=["wrong", "a class", "a kind"],
 )
-def test_what_is_wrong_or_fixed_changes_nothing(reloaded: Build, old: str, new: str) -> None:
+def test_invalid_or_fixed_settings_are_rejected_as_a_whole(reloaded: Build, old: str, new: str) -> None:
     w, load = reloaded(TERMS)
     before = w.daemon.settings
     assert not load(TERMS.replace(old, new).replace("/browse/", "/other/"))
@@ -55,7 +55,7 @@
     w.playing("/browse/a")
 
 
-def test_nothing_changed_is_taken_and_nothing_is_told(reloaded: Build) -> None:
+def test_reload_without_changes_is_accepted(reloaded: Build) -> None:
     w, load = reloaded(TERMS)
     w.playing("/browse/a")
     assert load(TERMS)
