--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -1,4 +1,4 @@
-"""Hooks in a front on real sockets: what the module is told, what viewers see, and loading under way."""
+"""Hook scripts in a front on real sockets: their effect on the module and on viewers, and reloading."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 @pytest.fixture
 def hooked(world: Build, tmp_path: Path) -> Build:
-    """A world whose front has these scripts in a folder, which `put` fills anew."""
+    """Builds a world whose front runs the scripts `texts` from a folder, which `write_scripts` rewrites."""
 
     def build(*texts: str, node: str = "", terms: str = HALLS, **options: Any) -> World:
-        put(tmp_path, *texts)
+        write_scripts(tmp_path, *texts)
         terms = terms + f'hooks {node} {{ folder "hooks.d"; }}\n'
         return world(terms=terms, **options)
 
     return build
 
 
-def put(folder: Path, *texts: str) -> None:
+def write_scripts(folder: Path, *texts: str) -> None:
     hooks = folder / "hooks.d"
     hooks.mkdir(exist_ok=True)
     for old in hooks.glob("*.hook"):
@@ -41,6 +41,7 @@
 
 
 def reload(w: World) -> bool:
+    """Reloads the scripts and returns whether they were accepted."""
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
     w.daemon.hooks.reload()
@@ -48,24 +49,24 @@
     return ended[0]
 
 
-def in_halls(w: World) -> None:
-    """The first half of the boxes in hall-a, the others in hall-b."""
+def split_into_zones(w: World) -> None:
+    """Lists the first half of the servers in hall-a, the others in hall-b."""
     lines = [w.box_line(b) for b in w.boxes]
     for n, line in enumerate(lines):
         line.zone = int(n >= len(lines) / 2)
     w.tell_list(2, True, lines)
 
 
-def test_a_hall_is_preferred_while_it_has_room(hooked: Build) -> None:
+def test_servers_of_a_preferred_zone_are_chosen(hooked: Build) -> None:
     w = hooked('on arrival { prefer hall "hall-b" }', boxes=4)
-    in_halls(w)
+    split_into_zones(w)
     for _ in range(8):
         w.playing("/browse/a")
     assert {p.server for p in w.module.told(i.Playing)} <= {3, 4}
 
 
-def test_a_preference_does_not_refuse(hooked: Build) -> None:
-    """Preferred servers that drain are not used, and the others serve."""
+def test_draining_servers_of_a_preferred_zone_are_passed_over(hooked: Build) -> None:
+    """The session is placed in the other zone instead of being refused."""
     w = hooked('on arrival { prefer hall "hall-b" }', boxes=4)
     lines = [w.box_line(b) for b in w.boxes[:2]]
     lines += [w.box_line(b, State.DRAINING, zone=1) for b in w.boxes[2:]]
@@ -74,7 +75,7 @@
     assert w.boxes[2].count("SETUP") + w.boxes[3].count("SETUP") == 0
 
 
-def test_a_refusal_by_a_hook_is_at_once_and_has_its_reason(hooked: Build) -> None:
+def test_refusal_by_a_hook_is_immediate_and_carries_its_reason(hooked: Build) -> None:
     w = hooked('on arrival when class == "browse-clip" { refuse "closed for the night" }')
     client, _, cseq = w.play("/browse/a")
     w.until(lambda: client.answers_to(cseq))
@@ -84,7 +85,7 @@
     w.playing("/claims/a", client=w.client())
 
 
-def test_the_lowest_rung_for_a_paid_view_is_overruled(hooked: Build) -> None:
+def test_rung_below_the_floor_of_a_paid_class_is_overruled(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0\n ask rung 0 }\non change { cap rung 0 }")
     w.playing("/claims/a")
     told = w.module.told(i.NewSession)[-1]
@@ -95,23 +96,23 @@
     assert bits and min(bits) >= 20 * 8000
 
 
-def test_a_cap_holds_for_the_whole_session(hooked: Build) -> None:
+def test_rung_cap_holds_for_the_whole_session(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 1 }")
     w.playing("/browse/a")
     assert max(a.rung for a in w.module.actions if isinstance(a, i.SetRung)) == 1
 
 
-def test_a_class_is_counted_as_another_with_the_true_deadline(hooked: Build) -> None:
-    terms_cls = 'on arrival when class == "browse-clip" { count as "claim-view" }'
-    w = hooked(terms_cls)
+def test_session_counted_as_another_class_keeps_its_deadline(hooked: Build) -> None:
+    script = 'on arrival when class == "browse-clip" { count as "claim-view" }'
+    w = hooked(script)
     w.playing("/browse/a")
     told = w.module.told(i.NewSession)[-1]
     assert told.cls == 0 and 1000 < told.left_ms <= 1400
 
 
-def test_a_break_is_heard_before_the_module_tries_again(hooked: Build) -> None:
+def test_break_hook_runs_before_the_module_retries(hooked: Build) -> None:
     w = hooked('on break { avoid hall "hall-a"\n log "outcome" = outcome }', boxes=2)
-    in_halls(w)
+    split_into_zones(w)
     for box in w.boxes:
         box.script["SETUP"] = lambda conn, request: conn.reply(request, 500)
     client, _, cseq = w.play("/browse/a")
@@ -121,12 +122,12 @@
     assert w.module.told(i.Advised)[0].advice.avoid == (("zone", 0),)
 
 
-def test_a_paid_session_is_never_sent_again_by_a_hook(hooked: Build) -> None:
+def test_hook_cannot_cause_a_retry_of_a_paid_session(hooked: Build) -> None:
     w = hooked(
         'on break { prefer hall "hall-b"\n avoid hall "hall-a" }\non arrival { prefer hall "hall-a" }',
         boxes=2,
     )
-    in_halls(w)
+    split_into_zones(w)
     for box in w.boxes:
         box.script["SETUP"] = lambda conn, request: conn.stream.abort()
     client, _, cseq = w.play("/claims/a")
@@ -134,18 +135,18 @@
     assert client.answers_to(cseq) == [502] and w.set_ups() == 1
 
 
-def test_a_change_of_rung_stands_and_the_next_obeys(hooked: Build) -> None:
+def test_cap_set_on_a_rung_change_applies_to_the_next_change(hooked: Build) -> None:
     w = hooked("on change when rung == 2 { cap rung 1 }")
     w.playing("/browse/a")
-    ask = next(iter(w.daemon.set_up_requests.open_requests))
-    w.module.extra.append(i.SetRung(ask, 2))
+    request_id = next(iter(w.daemon.set_up_requests.open_requests))
+    w.module.extra.append(i.SetRung(request_id, 2))
     w.daemon.bridge.enqueue(i.TimerDue(99))
     w.until(lambda: w.module.told(i.Advised))
     w.until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
     assert w.module.told(i.Advised)[0].advice.cap == 1
 
 
-def test_refusals_are_heard_and_counted(hooked: Build) -> None:
+def test_refusal_hook_runs_and_refusals_are_counted(hooked: Build) -> None:
     text = 'on refusal { metric "heard" }\non arrival when refusals(10s) > 1 { metric "busy" }'
     w = hooked(text, boxes=0)
     for _ in range(4):
@@ -155,15 +156,16 @@
     assert b'lemonhall_hook_total{name="heard"} 4.0' in w.daemon.shown.metrics_page()[2]
 
 
-def test_scripts_are_swapped_in_the_middle_of_a_set_up(hooked: Build, tmp_path: Path) -> None:
-    patient = HALLS.replace("deadline=(ms)1200", "deadline=(s)30")  # a load may take a while
-    w = hooked('on arrival { log "v" = 1 }\non break { metric "old" }', terms=patient)
+def test_scripts_are_replaced_during_a_set_up(hooked: Build, tmp_path: Path) -> None:
+    # a long deadline, since reloading may take a while
+    terms = HALLS.replace("deadline=(ms)1200", "deadline=(s)30")
+    w = hooked('on arrival { log "v" = 1 }\non break { metric "old" }', terms=terms)
     held: list[Any] = []
     for box in w.boxes:
         box.script["SETUP"] = lambda conn, request: held.append((conn, request))
     client, _, cseq = w.play("/claims/a")
     w.until(lambda: held)
-    put(tmp_path, 'on break { metric "new" }')
+    write_scripts(tmp_path, 'on break { metric "new" }')
     assert reload(w)
     for conn, request in held:
         if conn.stream.open:
@@ -172,33 +174,33 @@
     assert set(w.daemon.hooks.engine.metrics) == {"new"}
 
 
-def test_a_bad_set_is_refused_whole_and_the_old_one_stays(hooked: Build, tmp_path: Path) -> None:
+def test_invalid_set_of_scripts_is_rejected_as_a_whole(hooked: Build, tmp_path: Path) -> None:
     w = hooked("on arrival { cap rung 1 }")
     client, _ = w.playing("/browse/a")
-    put(tmp_path, "on arrival { cap rung 2 }", "on arival { }")
+    write_scripts(tmp_path, "on arrival { cap rung 2 }", "on arival { }")
     assert not reload(w)
     w.playing("/browse/b")
     assert w.module.told(i.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.rejected_loads == 1 and client.stream.open
-    put(tmp_path, "on arrival { cap rung 2 }")
+    write_scripts(tmp_path, "on arrival { cap rung 2 }")
     assert reload(w)
     w.playing("/browse/c")
     assert w.module.told(i.NewSession)[-1].advice.cap == 2
 
 
-def test_reloads_that_come_too_fast_end_with_the_last(hooked: Build, tmp_path: Path) -> None:
+def test_reload_requested_during_a_reload_loads_the_last_scripts(hooked: Build, tmp_path: Path) -> None:
     w = hooked("on arrival { cap rung 1 }")
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
     for rung in (0, 2):
-        put(tmp_path, f"on arrival {{ cap rung {rung} }}")
+        write_scripts(tmp_path, f"on arrival {{ cap rung {rung} }}")
         w.daemon.hooks.reload()
     w.until(lambda: len(ended) == 2, 30)
     w.playing("/browse/a")
     assert w.module.told(i.NewSession)[-1].advice.cap == 2
 
 
-def test_a_build_that_dies_changes_nothing(hooked: Build) -> None:
+def test_killed_compiler_process_keeps_the_scripts(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 1 }")
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
@@ -208,19 +210,19 @@
     child.kill()
     w.until(lambda: ended, 30)
     assert ended == [False]
-    assert reload(w)  # and the next one works
+    assert reload(w)  # the next reload works
 
 
-def test_a_front_comes_up_without_scripts_that_are_bad(hooked: Build) -> None:
+def test_front_starts_without_invalid_scripts(hooked: Build) -> None:
     w = hooked("on arival { }")
     w.playing("/browse/a")
     assert w.daemon.hooks.rejected_loads == 1 and not w.daemon.hooks.engine.scripts
 
 
-def test_a_script_that_never_ends_stalls_nobody(hooked: Build) -> None:
+def test_script_over_its_fuel_is_cut_off_and_disabled(hooked: Build) -> None:
     nine = "{1, 2, 3, 4, 5, 6, 7, 8, 9}"
-    spin = f'for a in {nine} {{ for b in {nine} {{ for c in {nine} {{ metric "x" }} }} }}'
-    w = hooked(f"on arrival {{ {spin} }}", "on arrival { cap rung 1 }")
+    loops = f'for a in {nine} {{ for b in {nine} {{ for c in {nine} {{ metric "x" }} }} }}'
+    w = hooked(f"on arrival {{ {loops} }}", "on arrival { cap rung 1 }")
     for _ in range(5):
         w.playing("/browse/a")
         assert w.module.told(i.NewSession)[-1].advice.cap == 1
@@ -228,7 +230,7 @@
     assert w.daemon.hooks.engine.scripts[0].calls == 3
 
 
-def test_the_page_tells_how_scripts_behave(hooked: Build) -> None:
+def test_hooks_page_shows_scripts_and_overruled_advice(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0 }")
     w.playing("/claims/a")
     status, kind, body = w.daemon.hooks.page()
@@ -236,15 +238,15 @@
     assert b'"script": "s0.hook"' in body and b"the floor of the class is 1" in body
 
 
-# supervision and limits
+# draining, memory limit and crash report
 
 
-def test_over_its_memory_a_front_takes_nothing_new_and_plays_on(world: Build) -> None:
+def test_front_over_its_memory_limit_refuses_new_sessions_and_keeps_playing(world: Build) -> None:
     w = world(limits="memory=(MB)1")
     client = w.client()
     transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
     w.until(lambda: w.daemon.worker.over_memory)
-    w.until(lambda: client.reason)  # a new connection is refused early
+    w.until(lambda: client.reason)  # a new connection is refused on accept
     assert [a.status for a in client.answers] == [503]
     assert w.daemon.shown.ready_page()[0] == 503
     w.daemon.worker.over_memory = False
@@ -258,7 +260,7 @@
     w.until(lambda: len(player.media) > before)
 
 
-def test_a_drain_lets_what_plays_come_to_its_end(world: Build) -> None:
+def test_drain_waits_for_the_end_of_playing_sessions(world: Build) -> None:
     w = world()
     player, session = w.playing("/browse/a")
     w.daemon.drain()
@@ -271,10 +273,10 @@
     w.until(lambda: w.daemon.stopping)
 
 
-def test_a_crash_leaves_a_report(tmp_path: Path) -> None:
+def test_crash_writes_a_report(tmp_path: Path) -> None:
     path = tmp_path / "front.kdl"
     report = tmp_path / "crash.json"
     path.write_text(HALLS + f'front "f" hall="hall-a" listen="127.0.0.1:0" crash-report="{report}"\n')
     daemon = Daemon(read_settings(path), loop=Loop())
-    made = daemon.crashed(ValueError("boom"))
-    assert made["error"] == "ValueError('boom')" and '"front": "f"' in report.read_text()
+    written = daemon.crashed(ValueError("boom"))
+    assert written["error"] == "ValueError('boom')" and '"front": "f"' in report.read_text()
--- a/tests/front/test_pools.py
+++ b/tests/front/test_pools.py
@@ -67,9 +67,8 @@
 
 def test_random_two_picks_the_less_loaded_of_two() -> None:
     picked = draw(picker("random-two"), 2000, loads={"a": 100.0, "b": 0.0, "c": 0.0})
-    assert (
-        picked["a"] == 0 and picked["b"] > 800 and picked["c"] > 800
-    )  # drawn most often, but always the more loaded of the two
+    # server a is drawn most often, but is always the more loaded of the two
+    assert picked["a"] == 0 and picked["b"] > 800 and picked["c"] > 800
     equal = draw(picker("random-two"), 2000)
     assert equal["a"] > equal["b"] + equal["c"]  # equal loads: picked in proportion to the weights
 
