--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -40,8 +40,8 @@
 class ClaimResolver:
     """Each `then` is called once: with `GO`, `RAN` or `UNKNOWN`."""
 
-    def __init__(self, loop: Loop, store_service: StoreService | None, carrier: Carrier | None) -> None:
-        self.loop, self.store_service, self.messenger = loop, store_service, carrier
+    def __init__(self, loop: Loop, store_service: StoreService | None, messenger: Carrier | None) -> None:
+        self.loop, self.store_service, self.messenger = loop, store_service, messenger
         self.waiting: dict[Token, Waiting] = {}
         self.counts = Counter[str]()
 
--- a/lemonhall/front/decider/limits.py
+++ b/lemonhall/front/decider/limits.py
@@ -39,16 +39,16 @@
         self,
         loop: Loop,
         machine: Limits,
-        carrier: Carrier | None,
+        messenger: Carrier | None,
         clock: Callable[[], float] = clock_ms,
-        said: Callable[[str, int], object] = lambda words, ask: None,
+        record_event: Callable[[str, int], object] = lambda words, ask: None,
     ) -> None:
         self.loop, self.machine, self.messenger, self.now, self.record_event = (
             loop,
             machine,
-            carrier,
+            messenger,
             clock,
-            said,
+            record_event,
         )
         self.timer: Timer | None = None
         self.stopped = True
--- a/lemonhall/front/decider/recovery.py
+++ b/lemonhall/front/decider/recovery.py
@@ -82,8 +82,8 @@
         machine: Recovery,
         members: Membership | None,
         store_service: StoreService | None,
-        let: Callable[[int, float | None], object],
-        said: Callable[[str], object],
+        on_admitted: Callable[[int, float | None], object],
+        record_event: Callable[[str], object],
     ) -> None:
         self.loop, self.now, self.machine, self.members, self.store_service = (
             loop,
@@ -92,7 +92,7 @@
             members,
             store_service,
         )
-        self.on_admitted, self.record_event = let, said
+        self.on_admitted, self.record_event = on_admitted, record_event
         self.timer: Timer | None = None
         self.stopped = False
         self.greet_ms = GREET_MS
@@ -186,10 +186,10 @@
     # time
 
     def on_tick(self) -> None:
-        words, lets = self.machine.tick(self.now())
+        words, admissions = self.machine.tick(self.now())
         self.send(words)
-        for let in lets:
-            self.on_admitted(let.number, let.pause_ms)
+        for admission in admissions:
+            self.on_admitted(admission.number, admission.pause_ms)
         self.report_progress()
 
     def report_progress(self) -> None:
--- a/lemonhall/front/decider/zones.py
+++ b/lemonhall/front/decider/zones.py
@@ -42,12 +42,12 @@
         machine: Halls,
         cells: int,
         wall: Callable[[], float],
-        carrier: Carrier | None,
-        disk: Disk | None,
-        said: Callable[[str], object] = lambda words: None,
+        messenger: Carrier | None,
+        store: Disk | None,
+        record_event: Callable[[str], object] = lambda words: None,
     ) -> None:
         self.loop, self.now, self.machine, self.cells, self.wall = loop, now, machine, cells, wall
-        self.messenger, self.store, self.record_event = carrier, disk, said
+        self.messenger, self.store, self.record_event = messenger, store, record_event
         self.timer: Timer | None = None
         self.stopped = True
         self.on_move_home: Callable[[int], object] = lambda ask: None
--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -48,7 +48,7 @@
     """The worker, as a viewer's connection sees it."""
 
     settings: FrontSettings
-    catalogue: DescriptionCache
+    descriptions: DescriptionCache
     router: Router
     host: str
     stopping: bool
