--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/members --pyi_out=lemonhall/members proto/members.proto
 	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/store --pyi_out=lemonhall/store proto/store.proto
 	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/capture --pyi_out=lemonhall/capture proto/capture.proto
-	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/halls --pyi_out=lemonhall/halls proto/halls.proto
+	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/zones --pyi_out=lemonhall/zones proto/halls.proto
 	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/recovery --pyi_out=lemonhall/recovery proto/recovery.proto
 	$(PY) -m grpc_tools.protoc -Iproto --python_out=lemonhall/limits --pyi_out=lemonhall/limits proto/limits.proto
 
--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -24,9 +24,9 @@
 
 from lemonhall.audit.halls import of_halls  # noqa: E402
 from lemonhall.config.day import Day, read_day  # noqa: E402
-from lemonhall.halls import Sight  # noqa: E402
 from lemonhall.model.played.world import play  # noqa: E402
 from lemonhall.model.stats import bar  # noqa: E402
+from lemonhall.zones import ZoneMonitor  # noqa: E402
 
 LARGE = Path(__file__).parents[1] / "examples" / "days" / "large.kdl"
 NODES = """
@@ -80,13 +80,13 @@
     fronts, servers, fault, apart, version, seed = job
     day = day_of(fronts, servers, fault, apart, version)
     told = day if version != "without" else day_of(fronts, servers, fault, apart, "halls")
-    pace = Sight.pace
+    pace = ZoneMonitor.pace
     if version == "no ramp":
-        Sight.pace = lambda self, now: 1e9  # type: ignore[method-assign]
+        ZoneMonitor.pace = lambda self, now: 1e9  # type: ignore[method-assign]
     try:
         played = play(day, seed)
     finally:
-        Sight.pace = pace  # type: ignore[method-assign]
+        ZoneMonitor.pace = pace  # type: ignore[method-assign]
     # without the machine nothing is limited: what it would have been held against is the same
     found = of_halls(played.trace, replace(told, faults=day.faults))
     assert found
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -28,8 +28,8 @@
 
 from benchmarks import front as bench_front  # noqa: E402
 from lemonhall import interface as i  # noqa: E402
-from lemonhall.limits import Hold, Limit, Limits, Plan, Unit  # noqa: E402
-from lemonhall.limits.escrow import TICKS  # noqa: E402
+from lemonhall.limits import FleetLimits, Limit, LimitKind, LimitSettings, LimitUnit  # noqa: E402
+from lemonhall.limits.escrow import TICKS_PER_PERIOD  # noqa: E402
 
 PERIOD = 500.0
 CLASSES = (i.SessionClass(1.0, i.Repeat.SAFE, 1000, 4000),)
@@ -46,9 +46,11 @@
     """`shared`: they speak to one another; else each has its own part alone."""
 
     def __init__(self, fronts: int, amount: int, loss: float, shared: bool) -> None:
-        plan = Plan((Limit("all", Hold.EXACT, Unit.SESSIONS, amount),), CLASSES, (1.0,), PERIOD)
+        plan = LimitSettings(
+            (Limit("all", LimitKind.EXACT, LimitUnit.SESSIONS, amount),), CLASSES, (1.0,), PERIOD
+        )
         self.now, self.loss, self.shared, self.random = 1000.0, loss, shared, Random(1)
-        self.fronts = [Limits(plan, n, fronts, 0, 1, Random(n), self.now) for n in range(fronts)]
+        self.fronts = [FleetLimits(plan, n, fronts, 0, 1, Random(n), self.now) for n in range(fronts)]
         self.words = self.bytes = 0
         self.flying: list[tuple[int, int, bytes]] = []
         for front in self.fronts:
@@ -73,7 +75,7 @@
             front.hear(self.now, sender, data)
             if front.escrow.answer or front.escrow.recalled:
                 self.say(to)
-        if round(self.now / (PERIOD / 10)) % (10 // TICKS) == 0 and self.shared:
+        if round(self.now / (PERIOD / 10)) % (10 // TICKS_PER_PERIOD) == 0 and self.shared:
             for number in range(len(self.fronts)):
                 self.say(number)
         for _ in range(self.draw(per_s * PERIOD / 10_000)):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -23,7 +23,7 @@
 sys.path.insert(0, str(ROOT))
 
 from benchmarks.front import TERMS  # noqa: E402
-from lemonhall.members.machine import Member, State  # noqa: E402
+from lemonhall.members.machine import Member, MemberState  # noqa: E402
 from tests.members.network import Network  # noqa: E402
 
 
@@ -31,7 +31,7 @@
     """Gives every front the whole view at once: at a thousand, finding one another takes minutes here."""
     for node in net.nodes.values():
         node.machine.members = {
-            n: Member(n, other.machine.address, 1, other.machine.boot, State.ALIVE, net.now)
+            n: Member(n, other.machine.address, 1, other.machine.boot, MemberState.ALIVE, net.now)
             for n, other in net.nodes.items()
             if other is not node
         }
@@ -59,7 +59,7 @@
             net.run(200.0)
             for n in net.up():
                 known = net.nodes[n].machine.members.get(victim)
-                if n not in seen and (known is None or known.state is State.DEAD):
+                if n not in seen and (known is None or known.state is MemberState.DEAD):
                     seen[n] = net.now - at
         first.append(min(seen.values()) / 1000)
         everybody.append(max(seen.values()) / 1000)
--- a/lemonhall/audit/limits.py
+++ b/lemonhall/audit/limits.py
@@ -12,7 +12,7 @@
 from lemonhall.audit.rules import ENDS_SLACK_MS, SLACK_MS
 from lemonhall.audit.trace import Ask, Attempt, Trace
 from lemonhall.config.day import Day
-from lemonhall.limits import Hold, Limit, Unit
+from lemonhall.limits import Limit, LimitKind, LimitUnit
 
 STARTED_MS = 3000.0  # of a day: until its viewers have come
 
@@ -61,7 +61,7 @@
     if attempt.never_ran:
         return []
     end = max(attempt.at, min(last, attempt.end) - ENDS_SLACK_MS)
-    if limit.unit is not Unit.RATE:
+    if limit.unit is not LimitUnit.RATE:
         return [(attempt.at, 1.0), (end, -1.0)]
     marks = [(at, bits / 8000) for at, bits in attempt.rates if at < end] + [(end, 0.0)]
     found = []
@@ -133,8 +133,8 @@
     if not limits:
         return None
     over, by_limit = 0.0, {}
-    paced = [m for m in limits if m.hold is Hold.PACED]
-    held = [m for m in limits if m.hold is not Hold.PACED]
+    paced = [m for m in limits if m.kind is LimitKind.PACED]
+    held = [m for m in limits if m.kind is not LimitKind.PACED]
     for limit in held:
         by_limit[limit.name] = held_most(trace, day, limit)
         over = max(over, by_limit[limit.name] - limit.amount)
@@ -145,12 +145,12 @@
     shares = [
         used_share(trace, day, m)
         for m in held
-        if m.hold is Hold.EXACT and m.unit is Unit.SESSIONS and not m.each_title
+        if m.kind is LimitKind.EXACT and m.unit is LimitUnit.SESSIONS and not m.each_title
     ]
     share = max(shares, key=lambda pair: pair[1], default=(-1.0, 0.0))[0]
     ages = [float(str(t["soft_oldest_s"])) for t in told if t.get("soft_oldest_s") is not None]
     bounds = [float(str(t["soft_bound_s"])) for t in told if t.get("soft_bound_s") is not None]
-    soft = bool(ages) and any(m.hold is Hold.SOFT for m in limits)
+    soft = bool(ages) and any(m.kind is LimitKind.SOFT for m in limits)
     return LimitsReport(
         max(0.0, over),
         begun,
--- a/lemonhall/config/rules.py
+++ b/lemonhall/config/rules.py
@@ -11,7 +11,7 @@
 from lemonhall.config.dayschema import ENDS, FAULTS, LINK_FAULTS
 from lemonhall.config.routing import BadPattern, compile_pattern
 from lemonhall.config.units import show
-from lemonhall.limits.plan import DRIFT, LEASE_PERIODS, LIMITS_MOST, PERIOD_MOST_MS, back_ms
+from lemonhall.limits.settings import DRIFT, LEASE_PERIODS, LIMITS_MOST, PERIOD_MOST_MS, back_ms
 from lemonhall.problem import Problem, nearest
 
 Hosts = tuple[str, ...]
--- a/lemonhall/config/settings.py
+++ b/lemonhall/config/settings.py
@@ -12,7 +12,7 @@
 from lemonhall.config.load import Loader, Tree, set_field
 from lemonhall.config.routing import Condition, Match, Pool, PoolServer, Route, Step
 from lemonhall.config.schema import SETTINGS, TERMS, Spec
-from lemonhall.limits.plan import PERIOD_MOST_MS, Hold, Limit, Plan, Unit
+from lemonhall.limits.settings import PERIOD_MOST_MS, Limit, LimitKind, LimitSettings, LimitUnit
 from lemonhall.problem import BadInput
 
 __all__ = ["BadInput"]
@@ -411,7 +411,7 @@
         return []
     terms = make_terms(typed)
     members = [m for f in top(typed, "front") if "index" in f.values and (m := f.one("members"))]
-    plan = Plan.of(terms, members[0]["period"] if members else PERIOD_MOST_MS)
+    plan = LimitSettings.of(terms, members[0]["period"] if members else PERIOD_MOST_MS)
     return [f'limit "{m.name}": {plan.bound(m)}' for m in plan.limits]
 
 
@@ -428,8 +428,8 @@
     keeps = node["on-silence"] == "keep" and node["hold"] == "exact"
     return Limit(
         node.name,
-        Hold(node["hold"]),
-        Unit(unit),
+        LimitKind(node["hold"]),
+        LimitUnit(unit),
         amounts[unit],
         place("partner"),
         place("class"),
--- a/lemonhall/front/deciding/halls.py
+++ b/lemonhall/front/deciding/halls.py
@@ -9,11 +9,11 @@
 import structlog
 
 from lemonhall import interface as i
-from lemonhall.halls import Halls, Order
 from lemonhall.interface import Outcome
 from lemonhall.loop import Loop, Timer
-from lemonhall.members.machine import View
+from lemonhall.members.machine import MembershipView
 from lemonhall.members.members_pb2 import HALLS, Message
+from lemonhall.zones import OperatorOverride, ZoneFailover
 
 log = structlog.get_logger("lemonhall.front")
 TICK_PART = 0.5  # of a period of words: evidence is looked at this often
@@ -39,7 +39,7 @@
         self,
         loop: Loop,
         now: Callable[[], float],
-        machine: Halls,
+        machine: ZoneFailover,
         cells: int,
         wall: Callable[[], float],
         carrier: Carrier | None,
@@ -67,7 +67,7 @@
         self.machine.listed(self.now(), servers, fresh)
         self.tell_changes()
 
-    def view(self, view: View) -> None:
+    def view(self, view: MembershipView) -> None:
         self.machine.members = view.members
 
     def seen(self, server: int, outcome: Outcome) -> None:
@@ -144,7 +144,7 @@
         shown = self.machine.show(self.now())
         return 200, "application/json", json.dumps(shown).encode() + b"\n"
 
-    def order(self, hall: str, what: Order) -> tuple[int, str, bytes]:
+    def order(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
         """An operator's order, which goes to all fronts and is kept over a restart."""
         names = self.machine.plan.halls
         if hall not in names:
--- a/lemonhall/front/deciding/limits.py
+++ b/lemonhall/front/deciding/limits.py
@@ -9,14 +9,14 @@
 
 import structlog
 
-from lemonhall.limits import Limits, Out, Plan, Ruling
-from lemonhall.limits.escrow import TICKS
+from lemonhall.limits import AdmissionDecision, FleetLimits, LimitSettings, OutgoingMessage
+from lemonhall.limits.escrow import TICKS_PER_PERIOD
 from lemonhall.loop import Loop, Timer
-from lemonhall.members.machine import View
+from lemonhall.members.machine import MembershipView
 from lemonhall.members.members_pb2 import LIMITS, Message
 
 log = structlog.get_logger("lemonhall.front")
-RELIEVED = Ruling("changing guard", 200.0)  # the successor holds the front's parts
+RELIEVED = AdmissionDecision("changing guard", 200.0)  # the successor holds the front's parts
 
 
 def clock_ms() -> float:
@@ -38,7 +38,7 @@
     def __init__(
         self,
         loop: Loop,
-        machine: Limits,
+        machine: FleetLimits,
         carrier: Carrier | None,
         clock: Callable[[], float] = clock_ms,
         said: Callable[[str, int], object] = lambda words, ask: None,
@@ -58,22 +58,22 @@
         if self.timer:
             self.timer.cancel()
 
-    def view(self, view: View, twin: bool) -> None:
+    def view(self, view: MembershipView, twin: bool) -> None:
         escrow = self.machine.escrow
         escrow.members = view.members
         if escrow.twin != twin:
             escrow.twin = twin
             escrow.agree()
 
-    def settle(self, plan: Plan) -> None:
+    def settle(self, plan: LimitSettings) -> None:
         self.machine.settle(plan)
 
     # asks
 
-    def ask(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> Ruling:
+    def ask(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> AdmissionDecision:
         """`moved`: the session, if it has left a server and asks again."""
         if moved and self.machine.unpark(self.now(), ask, moved):
-            return Ruling()
+            return AdmissionDecision()
         if self.stopped:
             return RELIEVED
         ruling = self.machine.ask(self.now(), ask, partner, cls, title, top)
@@ -107,7 +107,7 @@
     def tick(self) -> None:
         self.leave(self.machine.tick(self.now()))
         self.obey()
-        self.timer = self.loop.call_later(self.machine.plan.period_ms / TICKS / 1000, self.tick)
+        self.timer = self.loop.call_later(self.machine.plan.period_ms / TICKS_PER_PERIOD / 1000, self.tick)
 
     def heard(self, message: Any) -> None:
         if self.stopped:
@@ -117,7 +117,7 @@
             self.leave(self.machine.tick(self.now()))
         self.obey()
 
-    def leave(self, words: list[Out]) -> None:
+    def leave(self, words: list[OutgoingMessage]) -> None:
         if self.carrier is None or self.stopped:
             return
         for out in words:
--- a/lemonhall/front/deciding/membership.py
+++ b/lemonhall/front/deciding/membership.py
@@ -16,11 +16,10 @@
 from lemonhall import interface as i
 from lemonhall.loop import Loop, Timer
 from lemonhall.loop.core import READ
-from lemonhall.members import BadSeal, Config, Keys, Machine, Send
-from lemonhall.members.machine import State as MemberState
-from lemonhall.members.machine import View
+from lemonhall.members import DatagramError, KeyRing, MembershipMachine, OutgoingDatagram, SwimConfig
+from lemonhall.members.front_count import FrontCount
+from lemonhall.members.machine import MembershipView, MemberState
 from lemonhall.members.members_pb2 import ASK_CLAIM, CLAIM, HALLS, LIMITS, RECOVERY, Message
-from lemonhall.members.share import Share
 from lemonhall.problem import BadInput, Problem
 
 log = structlog.get_logger("lemonhall.front")
@@ -69,7 +68,7 @@
         keys: dict[int, bytes],
         tell: Callable[[i.Event], None],
         random: Random,
-        config: Config | None = None,
+        config: SwimConfig | None = None,
         sock: socket.socket | None = None,
         told: tuple[int, int] | None = None,
         via: tuple[tuple[tuple[str, int], tuple[str, int]], ...] = (),
@@ -87,11 +86,13 @@
         self.sock.setblocking(False)
         self.at: tuple[str, int] = self.sock.getsockname()
         boot = random.getrandbits(32)
-        self.keys = Keys(keys, boot)
+        self.keys = KeyRing(keys, boot)
         addresses = [packed(s) for s in seeds]
         own = packed(self.at)
-        self.machine = Machine(number, own, boot, addresses, config or Config(), Random(random.random()))
-        self.share = Share(number, fronts, self.now_ms())
+        self.machine = MembershipMachine(
+            number, own, boot, addresses, config or SwimConfig(), Random(random.random())
+        )
+        self.share = FrontCount(number, fronts, self.now_ms())
         if told:
             self.share.told = told
             tell(i.Fleet(*told))
@@ -104,7 +105,7 @@
         self.on_return: Callable[[Any], object] = lambda message: None
         self.on_share: Callable[[int], object] = lambda fronts: None  # that shares go by
         self.deaf_to: set[int] = set()  # for tests: ports that nothing is heard from
-        self.on_view: Callable[[View], object] = lambda view: None
+        self.on_view: Callable[[MembershipView], object] = lambda view: None
         loop.watch(self.sock, READ, self.on_ready)
         self.send(self.machine.start(self.now_ms()))
         self.arm()
@@ -126,7 +127,7 @@
                 sender = self.known_as[sender]
             try:
                 message = self.keys.open(data)
-            except BadSeal as error:
+            except DatagramError as error:
                 self.bad += 1
                 if self.bad & (self.bad - 1) == 0:  # once, twice, four times, ...
                     log.warning(
@@ -164,7 +165,7 @@
         member = self.machine.members.get(number)
         if member is None or member.state is MemberState.DEAD:
             return False  # one that has left may still drain, and speak for its claims
-        self.send([Send(member.address, message.SerializeToString())])
+        self.send([OutgoingDatagram(member.address, message.SerializeToString())])
         return True
 
     def on_due(self) -> None:
@@ -186,7 +187,7 @@
             self.tell(i.Fleet(*told))
             self.on_share(told[0])
 
-    def send(self, out: list[Send]) -> None:
+    def send(self, out: list[OutgoingDatagram]) -> None:
         for each in out:
             at = str(ipaddress.IPv4Address(each.to[0])), each.to[1]
             try:
--- a/lemonhall/front/deciding/returning.py
+++ b/lemonhall/front/deciding/returning.py
@@ -15,11 +15,11 @@
 from lemonhall.front.keeping.keeper import Keeper
 from lemonhall.front.servers.listed import BoxList
 from lemonhall.loop import Loop, Timer
-from lemonhall.members.machine import View
+from lemonhall.members.machine import MembershipView
 from lemonhall.members.members_pb2 import RECOVERY, Message
-from lemonhall.recovery import Let, Out, Phase, Recovery, Trust
-from lemonhall.recovery.handed import pages
+from lemonhall.recovery import AdmissionResult, OutgoingMessage, Phase, Recovery, StoreTrust
 from lemonhall.recovery.recovery_pb2 import Entry
+from lemonhall.recovery.server_pages import pages
 
 log = structlog.get_logger("lemonhall.front")
 WITNESS_PERIODS = 2.0  # in which others are waited for, at the start, to speak of the store
@@ -112,18 +112,18 @@
         self.machine.question(began, max(WITNESS_LEAST_MS, WITNESS_PERIODS * period_ms))
         self.loop.call_soon(self.tick)
         self.greet()
-        self.loop.run(until=lambda: self.machine.trust is not Trust.WAITING)
+        self.loop.run(until=lambda: self.machine.trust is not StoreTrust.WAITING)
         witnesses = self.machine.witnesses
         assert witnesses
         answers, waited = len(witnesses.answers), round(self.now() - began)
         log.info("store asked about", trust=self.machine.trust.value, answers=answers, waited_ms=waited)
-        if self.machine.trust is not Trust.SOUND:
+        if self.machine.trust is not StoreTrust.SOUND:
             later = max((m for m in witnesses.answers.values() if m), default=None)
-            self.keeper.disown(later if self.machine.trust is Trust.OLDER else None)
+            self.keeper.disown(later if self.machine.trust is StoreTrust.OLDER else None)
 
     def greet(self) -> None:
         """A fleet that starts together finds itself sooner than by the members' periods."""
-        if self.members and self.machine.trust is Trust.WAITING and not self.machine.asked_at:
+        if self.members and self.machine.trust is StoreTrust.WAITING and not self.machine.asked_at:
             self.members.greet()
             self.loop.call_later(self.greet_ms * (0.5 + self.machine.random.random()) / 1000, self.greet)
             self.greet_ms = min(GREET_MOST_MS, 2 * self.greet_ms)
@@ -144,7 +144,7 @@
         self.machine.listed(self.now(), as_of_ms or self.now(), servers)
         self.went()
 
-    def view(self, view: View) -> None:
+    def view(self, view: MembershipView) -> None:
         self.machine.view(self.now(), view.members)
         if self.timer:
             self.tick()
@@ -160,7 +160,7 @@
 
     # asks
 
-    def ask(self, number: int, worth: float, left_ms: float) -> Let | None:
+    def ask(self, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `let` will be told."""
         made = self.machine.ask(self.now(), number, worth, left_ms)
         if made is None:
@@ -209,7 +209,7 @@
             wait_s = max(0.001, (self.machine.due() - self.now()) / 1000)
             self.timer = self.loop.call_later(wait_s, self.tick)
 
-    def send(self, words: list[Out]) -> None:
+    def send(self, words: list[OutgoingMessage]) -> None:
         if self.members is None or self.stopped:
             return
         for out in words:
--- a/lemonhall/front/keeping/keeper.py
+++ b/lemonhall/front/keeping/keeper.py
@@ -15,7 +15,7 @@
 from lemonhall import interface as i
 from lemonhall.config.settings import StoreSettings
 from lemonhall.loop import Loop, Timer
-from lemonhall.recovery import Mark
+from lemonhall.recovery import StoreCheckpoint
 from lemonhall.store import (
     BadRecord,
     Hold,
@@ -158,11 +158,11 @@
         self.writer = Writer(self.loop, self.store)
 
     @property
-    def mark(self) -> Mark:
+    def mark(self) -> StoreCheckpoint:
         """How far the store is written; a later mark of this front's is greater."""
-        return Mark(int(self.store.about.made_ms), self.store.commits)
+        return StoreCheckpoint(int(self.store.about.made_ms), self.store.commits)
 
-    def disown(self, later: Mark | None) -> None:
+    def disown(self, later: StoreCheckpoint | None) -> None:
         """The store is not the last one (others heard of `later`), or nobody can say so: nothing of its
         ledger is used, before anything was. What may be believed by its age is kept; an older file is put
         aside."""
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/beside.py
@@ -22,13 +22,12 @@
 from lemonhall.front.deciding.returning import ReturnDesk, known, list_of, memory_of
 from lemonhall.front.keeping.capturing import Capturer
 from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.halls import Halls, Plan
-from lemonhall.limits import Limits
-from lemonhall.limits import Plan as LimitsPlan
-from lemonhall.limits.plan import PERIOD_MOST_MS
+from lemonhall.limits import FleetLimits, LimitSettings
+from lemonhall.limits.settings import PERIOD_MOST_MS
 from lemonhall.loop import Loop
-from lemonhall.members.machine import View
-from lemonhall.recovery import Recovery, Waits
+from lemonhall.members.machine import MembershipView
+from lemonhall.recovery import PhaseTimeouts, Recovery
+from lemonhall.zones import ZoneFailover, ZoneSettings
 
 log = structlog.get_logger("lemonhall.front")
 HEAR_S = 0.03  # a front that starts waits so long before its call for the list
@@ -52,7 +51,7 @@
 
     def now_ms(self) -> float: ...
     def memory(self) -> i.Memory | None: ...
-    def seen(self, view: View) -> None: ...
+    def seen(self, view: MembershipView) -> None: ...
 
 
 class Beside:
@@ -68,7 +67,7 @@
             s.index,
             s.fronts,
             Random(SystemRandom().getrandbits(64)),
-            Waits(period=s.members.period_ms) if s.members else Waits(),
+            PhaseTimeouts(period=s.members.period_ms) if s.members else PhaseTimeouts(),
             terms.max_pause_ms or PAUSE_MS,
             (lambda: self.front.keeper.mark if self.front.keeper else None),
             sum(t.quota_per_s for t in terms.tenants),
@@ -130,8 +129,8 @@
         """The machine of halls, with what was kept of its parts; without a store it has to ask for them."""
         kept = self.front.keeper.load_halls() if self.front.keeper else None
         s, now = self.front.settings, self.front.now_ms()
-        machine = Halls(
-            Plan.of(s.terms),
+        machine = ZoneFailover(
+            ZoneSettings.of(s.terms),
             s.index,
             s.fronts,
             s.hall,
@@ -161,9 +160,9 @@
         if self.front.capture:
             self.front.capture.word(self.front.now_ms(), "halls", words)
 
-    def limits_plan(self) -> LimitsPlan:
+    def limits_plan(self) -> LimitSettings:
         s = self.front.settings
-        return LimitsPlan.of(s.terms, s.members.period_ms if s.members else PERIOD_MOST_MS)
+        return LimitSettings.of(s.terms, s.members.period_ms if s.members else PERIOD_MOST_MS)
 
     def open_limits(self) -> None:
         """The machine of the fleet's limits: as the process that is relieved had it, or as one that remembers
@@ -171,7 +170,7 @@
         s, now = self.front.settings, clock_ms()
         random = Random(SystemRandom().getrandbits(64))
         life, fresh = int(self.front.wall() * 1000), s.workers == 0
-        machine = Limits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
+        machine = FleetLimits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
         if (
             self.front.taken
             and self.front.taken.message
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -41,8 +41,8 @@
 from lemonhall.loop import Loop, listen
 from lemonhall.loop.core import READ
 from lemonhall.loop.stream import accept_on
-from lemonhall.members import Config
-from lemonhall.members.machine import View
+from lemonhall.members import SwimConfig
+from lemonhall.members.machine import MembershipView
 from lemonhall.problem import BadInput
 from lemonhall.seam import VERSION, Message, Redirect, Retire, Stored, Welcome
 
@@ -255,7 +255,7 @@
                 read_keys(s.members.keys),
                 self.bridge.tell,
                 SystemRandom(),
-                Config(period_ms=s.members.period_ms, answer_ms=0.3 * s.members.period_ms),
+                SwimConfig(period_ms=s.members.period_ms, answer_ms=0.3 * s.members.period_ms),
                 taken.members,
                 tuple(taken.message["fleet"]) if taken.message and taken.message["fleet"] else None,
                 s.members.via,
@@ -346,7 +346,7 @@
             self.listeners.append(listen(self.loop, self.settings.status, accept))
         self.serve_status = accept
 
-    def seen(self, view: View) -> None:
+    def seen(self, view: MembershipView) -> None:
         """Another view of who is there."""
         if self.asks.limits and self.membership:
             self.asks.limits.view(view, self.membership.machine.conflict)
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/shown.py
@@ -20,9 +20,9 @@
 from lemonhall.front.keeping.keeper import Keeper
 from lemonhall.front.process import status
 from lemonhall.front.viewers.worker import Worker
-from lemonhall.halls import Order
 from lemonhall.loop import Loop
 from lemonhall.recovery import Phase
+from lemonhall.zones import OperatorOverride
 
 SET_UP_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)  # the steps of the histogram
 
@@ -73,8 +73,8 @@
             "/limits": self.limits_page,
         }
         acts: dict[str, status.Act] = {
-            "/halls/hold": lambda hall: self.order_hall(hall, Order.HOLD),
-            "/halls/release": lambda hall: self.order_hall(hall, Order.NONE),
+            "/halls/hold": lambda hall: self.order_hall(hall, OperatorOverride.HOLD),
+            "/halls/release": lambda hall: self.order_hall(hall, OperatorOverride.NONE),
             "/limits/forget": self.forget_front,
         }
         return status.serve(self.front.loop, pages, acts)
@@ -117,7 +117,7 @@
             return 404, "text/plain", b"no spill in the settings\n"
         return self.front.asks.halls.page()
 
-    def order_hall(self, hall: str, what: Order) -> tuple[int, str, bytes]:
+    def order_hall(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
         if self.front.asks.halls is None:
             return 404, "text/plain", b"no spill in the settings\n"
         return self.front.asks.halls.order(unquote(hall.removeprefix("hall=")), what)
--- a/lemonhall/limits/__init__.py
+++ b/lemonhall/limits/__init__.py
@@ -1,7 +1,15 @@
 """Limits that hold for all fronts together: escrow with leases, paced shares, soft counters. No I/O."""
 
-from lemonhall.limits.escrow import Out
-from lemonhall.limits.machine import Limits, Ruling
-from lemonhall.limits.plan import Hold, Limit, Plan, Unit
+from lemonhall.limits.escrow import OutgoingMessage
+from lemonhall.limits.machine import AdmissionDecision, FleetLimits
+from lemonhall.limits.settings import Limit, LimitKind, LimitSettings, LimitUnit
 
-__all__ = ["Hold", "Limit", "Limits", "Out", "Plan", "Ruling", "Unit"]
+__all__ = [
+    "LimitKind",
+    "Limit",
+    "FleetLimits",
+    "OutgoingMessage",
+    "LimitSettings",
+    "AdmissionDecision",
+    "LimitUnit",
+]
--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -21,13 +21,22 @@
 from google.protobuf.message import DecodeError
 
 from lemonhall.limits.limits_pb2 import State, Words
-from lemonhall.limits.parts import Loan, Parts
-from lemonhall.limits.plan import FANOUT, LENDERS_MOST, PAIR_MOST, RENEWALS, Hold, Limit, Plan, owners
-from lemonhall.limits.rooms import SPAN_PERIODS, Demand, Room
-from lemonhall.limits.soft import Counters, Entry
+from lemonhall.limits.local_limit import SPAN_PERIODS, Demand, LocalLimit
+from lemonhall.limits.settings import (
+    FANOUT,
+    LENDERS_MOST,
+    PAIR_MOST,
+    RENEWALS,
+    Limit,
+    LimitKind,
+    LimitSettings,
+    owners,
+)
+from lemonhall.limits.shares import LimitShare, Loan
+from lemonhall.limits.soft_counters import Counters, Entry
 
 Key = tuple[int, int]  # of a limit, of a title
-TICKS = 5  # in a period: needs are told, and leases looked at, this often
+TICKS_PER_PERIOD = 5  # in a period: needs are told, and leases looked at, this often
 NEEDS_MOST = 8  # named in one word, beside loans
 COUNTS_MOST = 8  # of others' counters, in one word
 NEWS = 2  # fronts that are spoken to each period, whoever they are
@@ -36,7 +45,7 @@
 
 
 @dataclass(frozen=True)
-class Out:
+class OutgoingMessage:
     """Words to another front, by its number."""
 
     to: int
@@ -65,7 +74,7 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: LimitSettings,
         number: int,
         fronts: int,
         life: int,
@@ -79,7 +88,7 @@
         self.numbers = [0]
         self.unheard = set(range(fronts)) - {number}
         self.open_at = now + plan.open_ms
-        self.rooms: dict[Key, Room] = {}
+        self.rooms: dict[Key, LocalLimit] = {}
         self.links: dict[int, set[Key]] = {}  # by front: what is lent or held between it and this one
         self.peers: dict[int, Peer] = {}
         self.stale: set[int] = set()  # lenders on whose loans nothing new may be set up
@@ -102,7 +111,7 @@
 
     # settings
 
-    def settle(self, plan: Plan) -> None:
+    def settle(self, plan: LimitSettings) -> None:
         """Other settings: of two amounts the smaller one holds until every front has the new one."""
         before = {limit.ident: limit.amount for limit in self.plan.limits}
         for front in set(range(self.own_fronts)) - {self.number}:
@@ -114,13 +123,13 @@
         for key, room in self.rooms.items():
             room.limit = self.by_ident.get(key[0], room.limit)  # one that is gone is paid back as it was
         for m in plan.limits:
-            if m.hold is Hold.SOFT:
+            if m.kind is LimitKind.SOFT:
                 counters = self.soft.setdefault(m.ident, Counters(m, plan.period_ms))
                 counters.limit = m
         self.soft = {ident: c for ident, c in self.soft.items() if ident in self.by_ident}
         self.agree()
         for m in plan.limits:
-            if m.hold is Hold.PACED:
+            if m.kind is LimitKind.PACED:
                 self.room(m, 0)
 
     def agree(self) -> None:
@@ -144,7 +153,7 @@
         """Forgotten, and silent since."""
         return {f for f in self.forgotten if f not in self.peers or self.peers[f].heard_at == -inf}
 
-    def cut(self, room: Room) -> None:
+    def cut(self, room: LocalLimit) -> None:
         """Its own part, by what all have said."""
         room.amount = self.amounts.get(room.limit.ident, room.limit.amount)
         room.owners = self.owners(room.limit, room.title, room.amount)
@@ -160,13 +169,13 @@
                 self.drawn[limit.ident] = found
         return found
 
-    def room(self, limit: Limit, title: int) -> Room:
+    def room(self, limit: Limit, title: int) -> LocalLimit:
         key = limit.ident, title if limit.each_title else 0
         found = self.rooms.get(key)
         if found is None:
-            parts = Parts(0, self.unheard, self.numbers)
+            parts = LimitShare(0, self.unheard, self.numbers)
             span = SPAN_PERIODS * self.plan.period_ms
-            found = Room(limit, key[1], parts, Demand(span), self.plan.period_ms, limit.amount)
+            found = LocalLimit(limit, key[1], parts, Demand(span), self.plan.period_ms, limit.amount)
             self.rooms[key] = found
             self.cut(found)
         return found
@@ -231,18 +240,18 @@
                 del self.links[front]
                 self.stale.discard(front)
 
-    def pace(self, now: float, room: Room) -> None:
+    def pace(self, now: float, room: LocalLimit) -> None:
         if room.paced:
             room.settle_pace(now, self.usable(room))
 
-    def usable(self, room: Room) -> int:
+    def usable(self, room: LocalLimit) -> int:
         """What new sessions may be set up on, used or not."""
         lapsing = sum(room.parts.held[f].amount for f in self.stale if f in room.parts.held)
         return room.parts.mine() - lapsing - room.owed
 
     # words out
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """Each moment; a round of words each period, needs and answers at once."""
         self.wake(now)
         to: dict[int, bool] = dict.fromkeys(self.answer, False)
@@ -263,7 +272,7 @@
         for front, wants in to.items():
             if front in self.members or not self.members:
                 self.budget -= wants
-                out.append(Out(front, self.words(now, front, wants)))
+                out.append(OutgoingMessage(front, self.words(now, front, wants)))
         return out
 
     def round(self, now: float) -> dict[int, bool]:
@@ -407,7 +416,7 @@
             self.answer.add(sender)
         self.due = -inf
 
-    def serve(self, now: float, key: Key, room: Room) -> None:
+    def serve(self, now: float, key: Key, room: LocalLimit) -> None:
         """Lends to those who lack, in the order in which they said so; then what is free of the rest of this
         front's part is asked back, for those who lack more."""
         for front, units in list(room.called.items()):
@@ -422,7 +431,7 @@
                 del room.called[front]
             else:
                 room.called[front] = units - given
-        if room.called and now - room.called_at >= self.plan.period_ms / TICKS:
+        if room.called and now - room.called_at >= self.plan.period_ms / TICKS_PER_PERIOD:
             room.called_at = now
             lent = [f for f, loan in room.parts.lent.items() if loan.amount]
             self.recalled |= {f for f in lent if room.called_from(f)}
--- a/lemonhall/limits/rooms.py
+++ b/lemonhall/limits/local_limit.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from math import ceil, exp
 
-from lemonhall.limits.parts import Parts
-from lemonhall.limits.plan import MILLI, Hold, Limit
 from lemonhall.limits.reserve import Reserve
+from lemonhall.limits.settings import MILLI, Limit, LimitKind
+from lemonhall.limits.shares import LimitShare
 
 SPAN_PERIODS = 1  # of what was asked for, as it is remembered
 KEEP_PERIODS = 2  # of own demand, that are not lent
@@ -58,10 +58,10 @@
 
 
 @dataclass
-class Room:
+class LocalLimit:
     limit: Limit
     title: int
-    parts: Parts
+    parts: LimitShare
     demand: Demand
     period_ms: float
     amount: int  # that it goes by: the least that any front has said
@@ -80,7 +80,7 @@
 
     @property
     def paced(self) -> bool:
-        return self.limit.hold is Hold.PACED
+        return self.limit.kind is LimitKind.PACED
 
     def periods(self, now: float, count: float) -> int:
         """Units that own demand takes in so many periods; of a paced limit the pace that it asks for."""
--- a/lemonhall/limits/machine.py
+++ b/lemonhall/limits/machine.py
@@ -17,17 +17,17 @@
 from typing import Any
 
 from lemonhall import interface as i
-from lemonhall.limits.escrow import ROOMS_MOST, Escrow, Key, Out
-from lemonhall.limits.plan import STALE_PERIODS, Hold, Limit, Plan, Unit, title_digest
-from lemonhall.limits.rooms import Bucket, Room
-from lemonhall.limits.soft import Estimate
+from lemonhall.limits.escrow import ROOMS_MOST, Escrow, Key, OutgoingMessage
+from lemonhall.limits.local_limit import Bucket, LocalLimit
+from lemonhall.limits.settings import STALE_PERIODS, Limit, LimitKind, LimitSettings, LimitUnit, title_digest
+from lemonhall.limits.soft_counters import Estimate
 
 PARK_PERIODS = 8  # a session that moves has its room kept for so long
 WIDE_PART = 0.5  # of what is free: a session is let over its floor only for less, and while nobody lacks room
 
 
 @dataclass(frozen=True)
-class Ruling:
+class AdmissionDecision:
     """`refused`: the name of the limit that has no room, `pause_ms`: when to come again; `cap`: best rung."""
 
     refused: str = ""
@@ -35,7 +35,7 @@
     cap: int = 99
 
 
-FREE = Ruling()
+FREE = AdmissionDecision()
 
 
 @dataclass
@@ -51,7 +51,7 @@
     parked_until: float = inf
 
 
-class Limits:
+class FleetLimits:
     """`hall`: where this front stands. The others as of `Escrow`.
 
     `ends` holds sessions whose room has lapsed: whoever runs the machine ends them, and then says `over`.
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: LimitSettings,
         number: int,
         fronts: int,
         hall: int,
@@ -79,14 +79,14 @@
         self.settle(plan)
 
     @property
-    def plan(self) -> Plan:
+    def plan(self) -> LimitSettings:
         return self.escrow.plan
 
     @property
     def counts(self) -> Counter[str]:
         return self.escrow.counts
 
-    def settle(self, plan: Plan) -> None:
+    def settle(self, plan: LimitSettings) -> None:
         """Other settings, while sessions stand: those that a new limit would cover count from here on."""
         self.escrow.settle(plan)
         self.covering: dict[tuple[int, int], tuple[Limit, ...]] = {}
@@ -106,7 +106,7 @@
         self.escrow.hear(now, sender, data)
         self.wake(now)
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         self.wake(now)
         for ask in [a for a, c in self.sessions.items() if c.parked_until < now]:
             self.over(now, ask)
@@ -134,7 +134,7 @@
         """What stands on room that has lapsed ends: the least worth first, of these the youngest. That a
         limit was made smaller ends nothing."""
         room = self.escrow.rooms[key]
-        if room.limit.hold is not Hold.EXACT or room.parts.unheard:
+        if room.limit.kind is not LimitKind.EXACT or room.parts.unheard:
             return
         here = [(ask, c) for ask, c in self.sessions.items() if key in c.units]
         over = min(lapsed, -room.parts.free() - sum(c.units[key] for _, c in here if c.ending))
@@ -149,7 +149,9 @@
 
     # sessions
 
-    def ask(self, now: float, ask: int, partner: int, cls: int, title: str, top: int = 99) -> Ruling:
+    def ask(
+        self, now: float, ask: int, partner: int, cls: int, title: str, top: int = 99
+    ) -> AdmissionDecision:
         """Takes room under every limit that covers a session, or under none."""
         self.wake(now)
         limits = self.limits_of(partner, cls)
@@ -157,16 +159,16 @@
             return FREE
         terms = self.plan.classes[cls]
         premium, digest = terms.worth > self.cheapest, title_digest(title)
-        rooms = [self.escrow.room(m, digest) for m in limits if m.hold is not Hold.SOFT]
+        rooms = [self.escrow.room(m, digest) for m in limits if m.kind is not LimitKind.SOFT]
         if len(self.escrow.rooms) > ROOMS_MOST:
             self.escrow.sweep(now)
             if len(self.escrow.rooms) > ROOMS_MOST:
-                return Ruling("too many titles at once", self.plan.period_ms)
+                return AdmissionDecision("too many titles at once", self.plan.period_ms)
         for room in rooms:
             room.reserve.came(now, premium)
-        rated = any(m.unit is Unit.RATE for m in limits)
+        rated = any(m.unit is LimitUnit.RATE for m in limits)
         best = max(terms.floor, min(terms.top, top, len(self.plan.ladder_kb) - 1))
-        short: list[Room] = []
+        short: list[LocalLimit] = []
         for rung in range(best, terms.floor - 1, -1) if rated else (terms.floor,):
             units = {id(r): self.units(r.limit, terms, rung) for r in rooms}
             wide = rung > terms.floor
@@ -175,13 +177,13 @@
                 break
         for room in rooms:
             room.demand.came(now, 1 if room.paced else units[id(room)])
-        tight = next((m for m in limits if m.hold is Hold.SOFT and not self.fits_soft(now, m)), None)
+        tight = next((m for m in limits if m.kind is LimitKind.SOFT and not self.fits_soft(now, m)), None)
         if short or tight:
             for room in short:
                 room.want(now, units[id(room)])
             name = short[0].limit.name if short else tight.name if tight else ""
             self.refused[name] += 1
-            return Ruling(name, self.pause(now, short[0] if short else None))
+            return AdmissionDecision(name, self.pause(now, short[0] if short else None))
         charge = Charge({}, terms.worth, premium, now)
         for room in rooms:
             key, took = (room.limit.ident, room.title), units[id(room)]
@@ -192,19 +194,19 @@
                 room.parts.used += took
                 room.reserve.take(took, premium, 1)
         for m in limits:
-            if m.hold is Hold.SOFT:
+            if m.kind is LimitKind.SOFT:
                 self.rises[m.ident].begin(False)
                 self.escrow.soft_used[m.ident] += 1
                 charge.units[m.ident, 0] = 1
         self.sessions[ask] = charge
-        return Ruling(cap=rung if rated else 99)
+        return AdmissionDecision(cap=rung if rated else 99)
 
     def units(self, limit: Limit, terms: i.SessionClass, rung: int) -> int:
-        if limit.unit is Unit.RATE:
+        if limit.unit is LimitUnit.RATE:
             return ceil(self.plan.ladder_kb[rung] * terms.scale)
         return 1
 
-    def fits(self, now: float, room: Room, units: int, premium: bool, wide: bool) -> bool:
+    def fits(self, now: float, room: LocalLimit, units: int, premium: bool, wide: bool) -> bool:
         usable = self.escrow.usable(room)
         if room.paced:
             room.settle_pace(now, usable)
@@ -227,7 +229,7 @@
         e = self.escrow
         return e.soft[limit.ident].estimate(now, e.number, e.fronts, e.amounts[limit.ident])
 
-    def pause(self, now: float, room: Room | None) -> float:
+    def pause(self, now: float, room: LocalLimit | None) -> float:
         """Room that others have is here within two periods; a token by its pace."""
         if room is None or not room.paced:
             return 2 * self.plan.period_ms
@@ -299,10 +301,10 @@
         terms, digest = self.plan.classes[cls], title_digest(title)
         charge = Charge({}, terms.worth, terms.worth > self.cheapest, now, begun=True)
         for m in self.limits_of(partner, cls):
-            if m.hold is Hold.SOFT:
+            if m.kind is LimitKind.SOFT:
                 charge.units[m.ident, 0] = 1
                 self.escrow.soft_used[m.ident] += 1
-            elif m.hold is Hold.EXACT:
+            elif m.kind is LimitKind.EXACT:
                 room, units = self.escrow.room(m, digest), self.units(m, terms, rung)
                 charge.units[m.ident, room.title] = units
                 room.parts.used += units
@@ -333,13 +335,13 @@
         fronts = self.lenders(rooms)
         shown: dict[str, Any] = {
             "limit": m.name,
-            "hold": m.hold.value,
+            "hold": m.kind.value,
             "of": m.unit.value,
             "amount": m.amount,
             "goes_by": self.escrow.amounts[m.ident],
             "refused": self.refused[m.name],
         }
-        if m.hold is Hold.SOFT:
+        if m.kind is LimitKind.SOFT:
             told = self.estimate(now, m)
             shown["used"] = self.escrow.soft_used[m.ident]
             shown["others"] = told.known
@@ -354,7 +356,7 @@
         shown["needed"] = sum(r.parts.need for r in rooms)
         oldest = max((now - self.escrow.peers[f].asked / 1000 for f in fronts), default=0.0)
         shown["oldest_s"] = round(oldest / 1000, 3)
-        if m.hold is Hold.EXACT:
+        if m.kind is LimitKind.EXACT:
             shown["over_most"] = 0
             shown["back_s"] = round(self.plan.back_ms(m) / 1000, 1)
         else:
@@ -363,5 +365,5 @@
             shown["titles"] = len(rooms)
         return shown
 
-    def lenders(self, rooms: Iterable[Room]) -> set[int]:
+    def lenders(self, rooms: Iterable[LocalLimit]) -> set[int]:
         return {f for r in rooms for f, loan in r.parts.held.items() if loan.amount}
--- a/lemonhall/limits/plan.py
+++ b/lemonhall/limits/settings.py
@@ -34,13 +34,13 @@
     return (LEASE_PERIODS * period_ms + longest_ms) * (1 + DRIFT) + deadline_ms
 
 
-class Hold(StrEnum):
+class LimitKind(StrEnum):
     EXACT = "exact"
     PACED = "paced"
     SOFT = "soft"
 
 
-class Unit(StrEnum):
+class LimitUnit(StrEnum):
     SESSIONS = "sessions"
     RATE = "rate"  # kB a second
     SET_UPS = "set-ups"  # thousandths of one a second
@@ -55,8 +55,8 @@
     """
 
     name: str
-    hold: Hold
-    unit: Unit
+    kind: LimitKind
+    unit: LimitUnit
     amount: int
     partner: int = -1
     cls: int = -1
@@ -87,7 +87,7 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class LimitSettings:
     """Limits stand in the order of their names, which is the order in which a session takes its room."""
 
     limits: tuple[Limit, ...]
@@ -96,13 +96,13 @@
     period_ms: float
 
     @classmethod
-    def of(cls, terms: Terms, period_ms: float) -> Plan:
+    def of(cls, terms: Terms, period_ms: float) -> LimitSettings:
         made = tuple(sorted(terms.fleet_limits, key=lambda limit: limit.name))
         return cls(made, terms.classes, terms.ladder_kb, min(PERIOD_MOST_MS, period_ms))
 
     def bound(self, limit: Limit) -> str:
         """What holds, in figures."""
-        if limit.hold is Hold.EXACT:
+        if limit.kind is LimitKind.EXACT:
             lease, back = self.lease_ms / 1000, self.back_ms(limit) / 1000
             keeps = f", what stands on it ends after {limit.longest_ms / 1000:g} s more" * bool(
                 limit.longest_ms
@@ -111,7 +111,7 @@
                 f"never over {limit.amount}; cut off, a front begins nothing on lent room after {lease:g} s"
                 f"{keeps}; room of one that is gone is back after {back:.3g} s"
             )
-        if limit.hold is Hold.PACED:
+        if limit.kind is LimitKind.PACED:
             rate = limit.amount / MILLI
             return f"all fronts begin at most {rate:g} t + {limit.burst:g} in any t seconds"
         stale = STALE_PERIODS * self.period_ms / 1000
--- a/lemonhall/limits/parts.py
+++ b/lemonhall/limits/shares.py
@@ -34,12 +34,12 @@
     open: bool = True
 
 
-def own_part(number: int, fronts: int, whole: int = MILLION) -> int:
+def equal_share(number: int, fronts: int, whole: int = MILLION) -> int:
     """Whole numbers that add up to the whole over all fronts; the first ones by number have one more."""
     return whole // fronts + (number < whole % fronts)
 
 
-class Parts:
+class LimitShare:
     """This front's side of one limit, in whole units of it; `used` is the owner's to tell.
 
     `own`: its part by the settings. `unheard`: fronts that may hold some of it, of which nothing is known.
--- a/lemonhall/limits/soft.py
+++ b/lemonhall/limits/soft_counters.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from lemonhall.limits.plan import Limit
+from lemonhall.limits.settings import Limit
 
 
 @dataclass(frozen=True, order=True)
--- a/lemonhall/members/__init__.py
+++ b/lemonhall/members/__init__.py
@@ -1,6 +1,14 @@
 """Fronts that find and watch one another: a state machine after SWIM and Lifeguard, without I/O."""
 
-from lemonhall.members.machine import Config, Machine, Member, Send, View
-from lemonhall.members.seal import BadSeal, Keys
+from lemonhall.members.encryption import DatagramError, KeyRing
+from lemonhall.members.machine import Member, MembershipMachine, MembershipView, OutgoingDatagram, SwimConfig
 
-__all__ = ["BadSeal", "Config", "Keys", "Machine", "Member", "Send", "View"]
+__all__ = [
+    "DatagramError",
+    "SwimConfig",
+    "KeyRing",
+    "MembershipMachine",
+    "Member",
+    "OutgoingDatagram",
+    "MembershipView",
+]
--- a/lemonhall/members/seal.py
+++ b/lemonhall/members/encryption.py
@@ -24,11 +24,11 @@
 KEY_BYTES = 16
 
 
-class BadSeal(Exception):
+class DatagramError(Exception):
     """A datagram that is not ours, was changed, or came before: why."""
 
 
-class Keys:
+class KeyRing:
     """`keys`: by their number (0 to 255), 16 bytes each; the first seals, all open. Raises `ValueError`."""
 
     def __init__(self, keys: dict[int, bytes], boot: int) -> None:
@@ -50,17 +50,17 @@
     def open(self, data: bytes) -> bytes:
         """The message. Raises `BadSeal`."""
         if len(data) < OVERHEAD:
-            raise BadSeal("too short")
+            raise DatagramError("too short")
         number, boot, counter = HEAD.unpack_from(data)
         key = self.keys.get(number)
         if key is None:
-            raise BadSeal(f"key {number} is not known")
+            raise DatagramError(f"key {number} is not known")
         try:
             message = key.decrypt(data[1 : HEAD.size], data[HEAD.size :], data[: HEAD.size])
         except InvalidTag:
-            raise BadSeal("made with another key, or changed") from None
+            raise DatagramError("made with another key, or changed") from None
         if boot == self.boot:
-            raise BadSeal("our own")
+            raise DatagramError("our own")
         self.take(boot, counter)
         return message
 
@@ -77,7 +77,7 @@
             return
         behind = highest - counter
         if behind >= WINDOW:
-            raise BadSeal("too old")
+            raise DatagramError("too old")
         if bits >> behind & 1:
-            raise BadSeal("came before")
+            raise DatagramError("came before")
         known[1] |= 1 << behind
--- a/lemonhall/members/share.py
+++ b/lemonhall/members/front_count.py
@@ -8,14 +8,14 @@
 
 from __future__ import annotations
 
-from lemonhall.members.machine import View
+from lemonhall.members.machine import MembershipView
 
 FALL_MS = 10_000.0  # for which a fall waits before it begins
 STEP_MS = 1000.0  # then a sixteenth of it, at least one, each step
 STEP_PART = 16
 
 
-class Share:
+class FrontCount:
     """`told`: fronts and this front's rank among them, as the module last heard."""
 
     def __init__(self, number: int, fronts: int, now: float) -> None:
@@ -24,7 +24,7 @@
         self.fallen_since = now
         self.stepped_at = now
 
-    def look(self, view: View, now: float) -> tuple[int, int] | None:
+    def look(self, view: MembershipView, now: float) -> tuple[int, int] | None:
         """What the module is to be told now; None: nothing new."""
         seen = len(view.members)
         fronts = self.told[0]
--- a/lemonhall/members/machine.py
+++ b/lemonhall/members/machine.py
@@ -17,6 +17,7 @@
 
 from google.protobuf.message import DecodeError
 
+from lemonhall.members.encryption import OVERHEAD
 from lemonhall.members.members_pb2 import (
     ACK,
     JOIN,
@@ -27,7 +28,6 @@
     Message,
     Update,
 )
-from lemonhall.members.seal import OVERHEAD
 
 DATAGRAM_MOST = 256  # bytes, sealed
 SPREAD_FACTOR = 3.0  # news is sent so many times log(members)
@@ -39,7 +39,7 @@
 Address = tuple[int, int]  # IPv4 as a number, port
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Config:
+class SwimConfig:
     """Times in ms. `suspect_least`: periods times log(members); `most`: that times a factor."""
 
     period_ms: float = 1000.0
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Send:
+class OutgoingDatagram:
     to: Address
     data: bytes
 
@@ -72,13 +72,13 @@
     address: Address
     incarnation: int
     boot: int
-    state: State
+    state: MemberState
     since: float
     confirmed: set[int] = field(default_factory=set)
 
 
 @dataclass(frozen=True)
-class View:
+class MembershipView:
     """Fronts that are taken to be there, this one among them; `cut_off`: most fell silent at once."""
 
     members: tuple[int, ...]
@@ -106,7 +106,7 @@
     nacks: int = 0
 
 
-class Machine:
+class MembershipMachine:
     """One front's part. `random` is its own; `boot` is drawn at its start."""
 
     def __init__(
@@ -115,7 +115,7 @@
         address: Address,
         boot: int,
         seeds: Iterable[Address],
-        config: Config,
+        config: SwimConfig,
         random: Random,
     ) -> None:
         self.number, self.address, self.boot, self.config, self.random = number, address, boot, config, random
@@ -134,13 +134,13 @@
         self.leaving = self.conflict = False
         self.twins: dict[int, float] = {}  # boots that speak under our number: since when
         self.heard_at = 0.0  # of anybody
-        self.out: list[Send] = []
+        self.out: list[OutgoingDatagram] = []
         self.fell_silent: list[float] = []
         self.counts: dict[str, int] = {}
 
     # in
 
-    def start(self, now: float) -> list[Send]:
+    def start(self, now: float) -> list[OutgoingDatagram]:
         """Joins by the seeds; asks again each period while nobody is known."""
         self.now = now
         self.next_period = now + self.config.period_ms * self.random.random()
@@ -148,14 +148,14 @@
         self.join()
         return self.out
 
-    def greet(self, now: float) -> list[Send]:
+    def greet(self, now: float) -> list[OutgoingDatagram]:
         """Asks the seeds again, for whoever cannot wait for the next period."""
         self.now, self.out = max(now, self.now), []
         if not self.leaving:
             self.join()
         return self.out
 
-    def receive(self, now: float, sender: Address, data: bytes) -> list[Send]:
+    def receive(self, now: float, sender: Address, data: bytes) -> list[OutgoingDatagram]:
         """One opened message. What cannot be read is counted and passed over."""
         self.now, self.out = max(now, self.now), []
         try:
@@ -169,14 +169,16 @@
         if message.sender == self.number or self.leaving:
             return []
         self.heard_at = self.now
-        self.hear(message.sender, State.ALIVE, message.incarnation, sender, message.boot, message.sender)
+        self.hear(
+            message.sender, MemberState.ALIVE, message.incarnation, sender, message.boot, message.sender
+        )
         for update in message.updates:
             self.on_update(update, message.sender)
         if act := ACTS.get(message.kind):
             act(self, message, sender)
         return self.out
 
-    def tick(self, now: float) -> list[Send]:
+    def tick(self, now: float) -> list[OutgoingDatagram]:
         """To be called at `due` or later."""
         woke_late = now - self.due() > 2 * self.config.period_ms and self.now > 0
         self.now, self.out = max(now, self.now), []
@@ -198,15 +200,15 @@
         if self.probe and not self.probe.answered:
             times.append(self.probe.until if self.probe.helpers else self.probe.direct_until)
         times += [until for *_, until in self.relayed.values()]
-        times += [self.suspect_until(m) for m in self.members.values() if m.state is State.SUSPECT]
+        times += [self.suspect_until(m) for m in self.members.values() if m.state is MemberState.SUSPECT]
         return min(times)
 
-    def leave(self, now: float) -> list[Send]:
+    def leave(self, now: float) -> list[OutgoingDatagram]:
         """Tells some that it goes on purpose; after that it says nothing more."""
         self.now, self.out = max(now, self.now), []
         self.incarnation += 1
-        self.note(self.own(State.LEFT))
-        alive = [m for m in self.members.values() if m.state is State.ALIVE]
+        self.note(self.own(MemberState.LEFT))
+        alive = [m for m in self.members.values() if m.state is MemberState.ALIVE]
         self.random.shuffle(alive)
         for member in alive[: 2 * self.config.helpers]:
             self.send(member.address, PING, self.next_sequence(), member.number)
@@ -215,14 +217,16 @@
 
     # out
 
-    def view(self) -> View:
+    def view(self) -> MembershipView:
         """Suspects count as there: only who is dead or has left is gone."""
-        there = [m.number for m in self.members.values() if m.state in (State.ALIVE, State.SUSPECT)]
-        return View(tuple(sorted([*there, self.number])), self.cut_off(), self.version)
+        there = [
+            m.number for m in self.members.values() if m.state in (MemberState.ALIVE, MemberState.SUSPECT)
+        ]
+        return MembershipView(tuple(sorted([*there, self.number])), self.cut_off(), self.version)
 
     def cut_off(self) -> bool:
         """Nobody speaks, or most that we knew fell silent in a little time: more likely it is us."""
-        known = sum(1 for m in self.members.values() if m.state in (State.ALIVE, State.SUSPECT))
+        known = sum(1 for m in self.members.values() if m.state in (MemberState.ALIVE, MemberState.SUSPECT))
         if known >= 2 and self.now - self.heard_at > SILENT_PERIODS * self.config.period_ms:
             return True
         span = max(30_000.0, 2 * self.suspicion_ms(1.0) + 4 * self.config.period_ms)
@@ -231,7 +235,7 @@
 
     # messages
 
-    def own(self, state: State = State.ALIVE) -> Update:
+    def own(self, state: MemberState = MemberState.ALIVE) -> Update:
         host, port = self.address
         return Update(
             member=self.number,
@@ -282,7 +286,7 @@
             news.left -= 1
             if news.left <= 0:
                 self.news.pop(news.update.member, None)
-        self.out.append(Send(to, message.SerializeToString()))
+        self.out.append(OutgoingDatagram(to, message.SerializeToString()))
 
     def note(self, update: Update) -> None:
         """News, to be sent some times to whoever is spoken to."""
@@ -303,14 +307,16 @@
             self.on_own(update)
         elif update.state in (1, 2, 3, 4):
             address = (update.host, update.port)
-            self.hear(update.member, State(update.state), update.incarnation, address, update.boot, source)
+            self.hear(
+                update.member, MemberState(update.state), update.incarnation, address, update.boot, source
+            )
 
     def on_own(self, update: Update) -> None:
         """We are said to be suspect or dead: not so (a higher incarnation), and we were slow to answer."""
         if update.boot != self.boot and update.incarnation >= self.incarnation:  # of our earlier life
             self.incarnation = update.incarnation + 1
             self.note(self.own())
-        elif update.state != State.ALIVE and update.incarnation >= self.incarnation:
+        elif update.state != MemberState.ALIVE and update.incarnation >= self.incarnation:
             self.incarnation = update.incarnation + 1
             self.health = min(HEALTH_MOST, self.health + 1)
             self.count("refuted")
@@ -325,40 +331,40 @@
             self.version += 1
 
     def hear(
-        self, number: int, state: State, incarnation: int, address: Address, boot: int, source: int
+        self, number: int, state: MemberState, incarnation: int, address: Address, boot: int, source: int
     ) -> None:
         """SWIM's order: a higher incarnation wins; within one, dead over suspect over alive. A new boot of a
         member that is gone is a return."""
         known = self.members.get(number)
         if known is None:
-            if state in (State.ALIVE, State.SUSPECT):
+            if state in (MemberState.ALIVE, MemberState.SUSPECT):
                 self.members[number] = Member(number, address, incarnation, boot, state, self.now, {source})
                 self.version += 1
                 self.note(self.as_update(self.members[number]))
             return
         if incarnation < known.incarnation:
-            if source == number and known.state in (State.SUSPECT, State.DEAD):
+            if source == number and known.state in (MemberState.SUSPECT, MemberState.DEAD):
                 self.tell_back(known, address)
             return
         if incarnation == known.incarnation:
-            if state is State.SUSPECT and known.state is State.SUSPECT:
+            if state is MemberState.SUSPECT and known.state is MemberState.SUSPECT:
                 self.confirm(known, source)
                 return
             if state <= known.state:
-                if source == number and known.state is not State.ALIVE and state is State.ALIVE:
+                if source == number and known.state is not MemberState.ALIVE and state is MemberState.ALIVE:
                     self.tell_back(known, address)
                 return
-        gone_before = known.state in (State.DEAD, State.LEFT)
+        gone_before = known.state in (MemberState.DEAD, MemberState.LEFT)
         was = known.state
         known.incarnation, known.boot = incarnation, boot
         known.state, known.since = state, self.now
         known.confirmed = {source}
-        if state is State.ALIVE:
+        if state is MemberState.ALIVE:
             known.address = address
-        gone = state in (State.DEAD, State.LEFT)
+        gone = state in (MemberState.DEAD, MemberState.LEFT)
         if gone != gone_before:
             self.version += 1
-        if state is State.DEAD and was is not State.DEAD:
+        if state is MemberState.DEAD and was is not MemberState.DEAD:
             self.fell_silent.append(self.now)
             del self.fell_silent[:-1000]
         self.note(self.as_update(known))
@@ -376,7 +382,7 @@
 
     def begin_period(self) -> None:
         self.forget()
-        alive = [m for m in self.members.values() if m.state in (State.ALIVE, State.SUSPECT)]
+        alive = [m for m in self.members.values() if m.state in (MemberState.ALIVE, MemberState.SUSPECT)]
         if not alive:
             self.join()
             return
@@ -387,7 +393,7 @@
                 self.round = [m.number for m in alive]
                 self.random.shuffle(self.round)
             target = self.members.get(self.round.pop())
-            if target and target.state in (State.ALIVE, State.SUSPECT):
+            if target and target.state in (MemberState.ALIVE, MemberState.SUSPECT):
                 break
         c = self.config
         scale = 1 + self.health
@@ -399,7 +405,7 @@
             self.now + c.answer_ms * scale,
             self.now + c.period_ms * scale * 0.95,
         )
-        first = [self.as_update(target)] if target.state is State.SUSPECT else []
+        first = [self.as_update(target)] if target.state is MemberState.SUSPECT else []
         self.send(target.address, PING, sequence, target.number, first)
 
     def watch_probe(self) -> None:
@@ -407,10 +413,12 @@
         if probe is None or probe.answered:
             return
         target = self.members.get(probe.target)
-        if target is None or target.state in (State.DEAD, State.LEFT):
+        if target is None or target.state in (MemberState.DEAD, MemberState.LEFT):
             self.probe = None
         elif not probe.helpers and self.now >= probe.direct_until:
-            others = [m for m in self.members.values() if m.state is State.ALIVE and m.number != probe.target]
+            others = [
+                m for m in self.members.values() if m.state is MemberState.ALIVE and m.number != probe.target
+            ]
             self.random.shuffle(others)
             chosen = others[: self.config.helpers]
             probe.helpers = max(1, len(chosen))
@@ -421,17 +429,17 @@
             self.probe = None
             missing = max(0, probe.helpers - probe.nacks) if probe.helpers > 1 else 0
             self.health = min(HEALTH_MOST, self.health + (1 if missing or probe.helpers == 1 else 0))
-            if target.state is State.ALIVE:
+            if target.state is MemberState.ALIVE:
                 self.count("suspected")
                 self.hear(
                     target.number,
-                    State.SUSPECT,
+                    MemberState.SUSPECT,
                     target.incarnation,
                     target.address,
                     target.boot,
                     self.number,
                 )
-            elif target.state is State.SUSPECT:
+            elif target.state is MemberState.SUSPECT:
                 self.confirm(target, self.number)
 
     def watch_relays(self) -> None:
@@ -453,11 +461,11 @@
 
     def watch_suspects(self) -> None:
         for member in list(self.members.values()):
-            if member.state is State.SUSPECT and self.now >= self.suspect_until(member):
+            if member.state is MemberState.SUSPECT and self.now >= self.suspect_until(member):
                 self.count("declared_dead")
                 self.hear(
                     member.number,
-                    State.DEAD,
+                    MemberState.DEAD,
                     member.incarnation,
                     member.address,
                     member.boot,
@@ -471,12 +479,12 @@
         self.probe = None
         self.relayed.clear()
         for member in self.members.values():
-            if member.state is State.SUSPECT:
+            if member.state is MemberState.SUSPECT:
                 member.since = self.now
 
     def forget(self) -> None:
         for member in list(self.members.values()):
-            gone = member.state in (State.DEAD, State.LEFT)
+            gone = member.state in (MemberState.DEAD, MemberState.LEFT)
             if gone and self.now - member.since > self.config.forget_ms:
                 del self.members[member.number]
 
@@ -511,7 +519,7 @@
 
     def on_join(self, message: Message, sender: Address) -> None:
         """As many members as fit in a few datagrams, at random: the rest comes by news and by pings."""
-        known = [m for m in self.members.values() if m.state in (State.ALIVE, State.SUSPECT)]
+        known = [m for m in self.members.values() if m.state in (MemberState.ALIVE, MemberState.SUSPECT)]
         known = [m for m in known if m.number != message.sender]
         self.random.shuffle(known)
         for n in range(0, max(1, min(len(known), 48)), 6):
@@ -520,9 +528,9 @@
 
 
 ACTS = {
-    int(PING): Machine.on_ping,
-    int(ACK): Machine.on_ack,
-    int(PING_REQ): Machine.on_ping_req,
-    int(NACK): Machine.on_nack,
-    int(JOIN): Machine.on_join,
+    int(PING): MembershipMachine.on_ping,
+    int(ACK): MembershipMachine.on_ack,
+    int(PING_REQ): MembershipMachine.on_ping_req,
+    int(NACK): MembershipMachine.on_nack,
+    int(JOIN): MembershipMachine.on_join,
 }
--- a/lemonhall/model/played/fronts.py
+++ b/lemonhall/model/played/fronts.py
@@ -13,13 +13,13 @@
 
 from lemonhall import interface as i
 from lemonhall.audit.trace import Attempt as Seen
-from lemonhall.halls import Halls, Plan
 from lemonhall.interface import NoteKind, Outcome, ServerState
 from lemonhall.model.played import deciders
 from lemonhall.model.played.fleet import Box
 from lemonhall.model.played.limited import Limited
 from lemonhall.model.played.parts import Stage, Watcher
-from lemonhall.recovery import Phase, Recovery, Waits
+from lemonhall.recovery import Phase, PhaseTimeouts, Recovery
+from lemonhall.zones import ZoneFailover, ZoneSettings
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 MARGIN_MS = 100.0  # of a deadline: the answer travels
@@ -148,7 +148,7 @@
         self.make: Make
         self.decider = 0  # how many of its deciders have ended
         self.headless = False  # none is there
-        self.halls: Halls | None = None
+        self.halls: ZoneFailover | None = None
         self.halls_kept = b""
         self.limits: Limited | None = None
         self.apart = False  # hears none that are not, nor do these hear it
@@ -183,7 +183,7 @@
             self.index,
             len(day.fronts),
             Random(f"{self.world.seed}/{self.index}/{self.life}"),
-            Waits(period=PERIOD_MS),
+            PhaseTimeouts(period=PERIOD_MS),
             terms.max_pause_ms or MOST_PAUSE_MS,
             quota_per_s=sum(t.quota_per_s for t in terms.tenants),
         )
@@ -232,8 +232,8 @@
     def start_halls(self) -> None:
         """The same machine as at a running front; what it keeps is on disk where the day says so."""
         day, sim = self.world.day, self.world.sim
-        self.halls = Halls(
-            Plan.of(day.terms),
+        self.halls = ZoneFailover(
+            ZoneSettings.of(day.terms),
             self.index,
             len(day.fronts),
             self.hall,
--- a/lemonhall/model/played/limited.py
+++ b/lemonhall/model/played/limited.py
@@ -7,11 +7,11 @@
 from typing import Any, Protocol
 
 from lemonhall import interface as i
-from lemonhall.limits import Limits, Plan, Ruling
-from lemonhall.limits.escrow import TICKS
+from lemonhall.limits import AdmissionDecision, FleetLimits, LimitSettings
+from lemonhall.limits.escrow import TICKS_PER_PERIOD
 
 PERIOD_MS = 500.0  # of members, as days on sockets have it
-MOVES = Ruling()
+MOVES = AdmissionDecision()
 
 
 class Front(Protocol):
@@ -36,10 +36,10 @@
         world = front.world
         self.front, self.world, self.hop_ms, self.loss = front, world, hop_ms, loss
         self.life = front.life
-        plan = Plan.of(world.day.terms, PERIOD_MS)
+        plan = LimitSettings.of(world.day.terms, PERIOD_MS)
         random = Random(world.seed * 1000 + front.index + 7 * front.life)
         fronts, now = len(world.day.fronts), world.sim.now
-        self.machine = Limits(plan, front.index, fronts, front.hall, front.life, random, now)
+        self.machine = FleetLimits(plan, front.index, fronts, front.hall, front.life, random, now)
         self.machine.escrow.members = tuple(range(fronts))
         self.bytes = 0
         self.tick()
@@ -53,7 +53,7 @@
         if self.front.limits in (None, self) and self.front.life == self.life:
             if self.runs:
                 self.say()
-            self.world.sim.after(self.machine.plan.period_ms / TICKS, self.tick)
+            self.world.sim.after(self.machine.plan.period_ms / TICKS_PER_PERIOD, self.tick)
 
     def say(self) -> None:
         for out in self.machine.tick(self.world.sim.now):
--- a/lemonhall/recovery/__init__.py
+++ b/lemonhall/recovery/__init__.py
@@ -1,8 +1,17 @@
 """Coming back after many fronts were restarted at once, or what they had stored is lost. No I/O, no clock."""
 
-from lemonhall.recovery.gate import Let
-from lemonhall.recovery.machine import Out, Recovery
-from lemonhall.recovery.marks import Mark, Trust
-from lemonhall.recovery.phases import Entered, Phase, Waits
+from lemonhall.recovery.admission import AdmissionResult
+from lemonhall.recovery.checkpoints import StoreCheckpoint, StoreTrust
+from lemonhall.recovery.machine import OutgoingMessage, Recovery
+from lemonhall.recovery.phases import Phase, PhaseEntry, PhaseTimeouts
 
-__all__ = ["Entered", "Let", "Mark", "Out", "Phase", "Recovery", "Trust", "Waits"]
+__all__ = [
+    "PhaseEntry",
+    "AdmissionResult",
+    "StoreCheckpoint",
+    "OutgoingMessage",
+    "Phase",
+    "Recovery",
+    "StoreTrust",
+    "PhaseTimeouts",
+]
--- a/lemonhall/recovery/gate.py
+++ b/lemonhall/recovery/admission.py
@@ -13,7 +13,7 @@
 from math import inf
 from random import Random
 
-from lemonhall.recovery.pace import SPAN_S
+from lemonhall.recovery.rates import SPAN_S
 
 HOLD_PART = 0.6  # of the time that a request has: the rest is for its attempts
 EASE_MS = 1000.0  # past its end the pace doubles each so often: it cannot last, whatever is asked
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Let:
+class AdmissionResult:
     """An ask that may go on now (`pause_ms` None), or is to come again after that."""
 
     number: int
@@ -71,12 +71,12 @@
             self.strained_at = now
         return now - self.strained_at >= for_ms
 
-    def ask(self, now: float, number: int, worth: float, left_ms: float) -> Let | None:
+    def ask(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `take` will say."""
         self.fill(now)
         if not (self.shut or self.held) and self.tokens >= 1:
             self.tokens -= 1
-            return Let(number)
+            return AdmissionResult(number)
         hold = HOLD_PART * left_ms
         ahead = sum(h.worth >= worth for h in self.held.values())
         if ahead + 1 > max(1.0, self.rate(now) * hold / 1000):
@@ -86,7 +86,7 @@
         heapq.heappush(self.order, (-worth, now + hold, number))
         return None
 
-    def later(self, now: float, number: int) -> Let:
+    def later(self, now: float, number: int) -> AdmissionResult:
         """Turns are given away one after the other, behind those that wait."""
         self.strained_at = now
         self.counts["told_to_wait"] += 1
@@ -95,13 +95,13 @@
         pause = self.turn - now
         if pause > self.pause_most:
             pause = self.pause_most * (SPREAD + (1 - SPREAD) * self.random.random())
-        return Let(number, pause)
+        return AdmissionResult(number, pause)
 
     def drop(self, number: int) -> bool:
         """It is not wanted any more. Whether it waited."""
         return self.held.pop(number, None) is not None
 
-    def take(self, now: float) -> list[Let]:
+    def take(self, now: float) -> list[AdmissionResult]:
         """Whoever may go by now, the worthiest first, and whose wait is over."""
         self.fill(now)
         out = []
@@ -112,7 +112,7 @@
                 if now - held.since > SPAN_MS:
                     self.strained_at = now
                 self.counts["paced"] += 1
-                out.append(Let(number))
+                out.append(AdmissionResult(number))
         for late in [h for h in self.held.values() if h.until <= now]:
             del self.held[late.number]
             out.append(self.later(now, late.number))
--- a/lemonhall/recovery/marks.py
+++ b/lemonhall/recovery/checkpoints.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, order=True)
-class Mark:
+class StoreCheckpoint:
     """Of two marks of one front the greater is the later: a store that was made later, or one written
     further."""
 
@@ -34,7 +34,7 @@
     count: int
 
 
-class Trust(Enum):
+class StoreTrust(Enum):
     WAITING = "waiting"
     SOUND = "sound"  # nobody who answered knows a later one
     OLDER = "older"  # somebody does
@@ -45,10 +45,10 @@
     """The marks of other fronts, as they told them."""
 
     def __init__(self) -> None:
-        self.marks: dict[int, Mark] = {}
+        self.marks: dict[int, StoreCheckpoint] = {}
         self.fresh = False  # something is not written down yet
 
-    def hear(self, front: int, mark: Mark) -> None:
+    def hear(self, front: int, mark: StoreCheckpoint) -> None:
         known = self.marks.get(front)
         if known is None and len(self.marks) >= SEEN_MOST:
             return
@@ -68,29 +68,29 @@
 class Witnesses:
     """Asks whether the store, at `mark` when it was opened, is the last. `until`: when it has to know."""
 
-    def __init__(self, mark: Mark, until: float) -> None:
+    def __init__(self, mark: StoreCheckpoint, until: float) -> None:
         self.mark, self.until = mark, until
-        self.trust = Trust.WAITING
-        self.answers: dict[int, Mark | None] = {}
+        self.trust = StoreTrust.WAITING
+        self.answers: dict[int, StoreCheckpoint | None] = {}
 
-    def answer(self, front: int, seen: Mark | None) -> None:
-        if self.trust is not Trust.WAITING:
+    def answer(self, front: int, seen: StoreCheckpoint | None) -> None:
+        if self.trust is not StoreTrust.WAITING:
             return
         self.answers[front] = seen
         if seen is not None and seen > self.mark:
-            self.trust = Trust.OLDER
+            self.trust = StoreTrust.OLDER
 
-    def look(self, now: float, asked: int, others: int) -> Trust:
+    def look(self, now: float, asked: int, others: int) -> StoreTrust:
         """`asked`: fronts that are known to be there and asked; `others`: fronts that there may be beside
         us."""
-        if self.trust is Trust.WAITING:
+        if self.trust is StoreTrust.WAITING:
             knew = sum(seen is not None for seen in self.answers.values())
             all_there = asked >= min(others, ASKED_MOST) and len(self.answers) >= asked
             if knew >= min(ENOUGH, others) or (all_there and knew):
-                self.trust = Trust.SOUND
+                self.trust = StoreTrust.SOUND
             elif now >= self.until:
-                self.trust = Trust.SOUND if knew else Trust.UNKNOWN
+                self.trust = StoreTrust.SOUND if knew else StoreTrust.UNKNOWN
         return self.trust
 
     def due(self) -> float:
-        return self.until if self.trust is Trust.WAITING else inf
+        return self.until if self.trust is StoreTrust.WAITING else inf
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -17,12 +17,20 @@
 
 from google.protobuf.message import DecodeError
 
-from lemonhall.recovery import pace
-from lemonhall.recovery.gate import Gate, Let
-from lemonhall.recovery.handed import WITHIN_MS, Asking, Giving
-from lemonhall.recovery.marks import ASKED_MOST, WITNESSES, Mark, Seen, Trust, Witnesses, successors
-from lemonhall.recovery.phases import WOKE_MS, Entered, Phase, Phases, Waits
+from lemonhall.recovery import rates
+from lemonhall.recovery.admission import AdmissionResult, Gate
+from lemonhall.recovery.checkpoints import (
+    ASKED_MOST,
+    WITNESSES,
+    Seen,
+    StoreCheckpoint,
+    StoreTrust,
+    Witnesses,
+    successors,
+)
+from lemonhall.recovery.phases import WOKE_MS, Phase, PhaseEntry, Phases, PhaseTimeouts
 from lemonhall.recovery.recovery_pb2 import Kept, Words
+from lemonhall.recovery.server_pages import WITHIN_MS, Asking, Giving
 
 SAY_IDLE = 5  # periods after which words are said though the mark is the same
 ASK_MS = 50.0  # a question is asked again after, at first; then twice as long each time
@@ -35,7 +43,7 @@
 
 
 @dataclass(frozen=True)
-class Out:
+class OutgoingMessage:
     """Words to another front, by its number."""
 
     to: int
@@ -52,8 +60,8 @@
     usual: float
 
 
-def to_mark(message: Any) -> Mark:
-    return Mark(message.made_ms, message.count)
+def to_mark(message: Any) -> StoreCheckpoint:
+    return StoreCheckpoint(message.made_ms, message.count)
 
 
 class Recovery:
@@ -66,9 +74,9 @@
         number: int,
         fronts: int,
         random: Random,
-        waits: Waits,
+        waits: PhaseTimeouts,
         pause_most_ms: float,
-        mark: Callable[[], Mark | None] = lambda: None,
+        mark: Callable[[], StoreCheckpoint | None] = lambda: None,
         quota_per_s: float = 0.0,
         members: bool = True,
     ) -> None:
@@ -78,7 +86,7 @@
         self.born = self.now = now
         self.phases = Phases(now, waits, fronts - 1 if members else 0)
         self.gate = Gate(random, pause_most_ms)
-        self.usual = pace.Usual(now)
+        self.usual = rates.Usual(now)
         self.seen = Seen()
         self.witnesses: Witnesses | None = None
         self.kept = Kept(usual=-1.0)
@@ -86,14 +94,14 @@
         self.members: tuple[int, ...] = (number,)
         self.servers = 0
         self.asked_at: dict[int, tuple[float, int]] = {}  # front: when it is asked again, how often it was
-        self.said: Mark | None = None
+        self.said: StoreCheckpoint | None = None
         self.next_words = now
         self.idle = 0
         self.counts: Counter[str] = Counter()
         self.giving = Giving(lambda: [])
         self.asking: Asking | None = None
         self.handed: list[Any] = []  # what others knew, until somebody takes it from here
-        self.entered: list[Entered] = []  # phases, until somebody takes them from here
+        self.entered: list[PhaseEntry] = []  # phases, until somebody takes them from here
         self.settle()
 
     # what is kept
@@ -122,7 +130,7 @@
         return bytes(made.SerializeToString())
 
     @staticmethod
-    def as_words_mark(mark: Mark) -> Any:
+    def as_words_mark(mark: StoreCheckpoint) -> Any:
         return Words(own={"made_ms": mark.made_ms, "count": mark.count}).own
 
     def question(self, now: float, within_ms: float) -> None:
@@ -135,8 +143,8 @@
         self.asking = Asking(now + WITHIN_MS)
 
     @property
-    def trust(self) -> Trust:
-        return self.witnesses.trust if self.witnesses else Trust.SOUND
+    def trust(self) -> StoreTrust:
+        return self.witnesses.trust if self.witnesses else StoreTrust.SOUND
 
     # what is usual
 
@@ -168,8 +176,8 @@
         if mean <= 0 and self.quota > 0:
             own = mean = self.quota / self.fronts
             before = self.fronts
-        per_s = pace.part(max(0.0, own if own >= 0 else mean), mean, before, self.fronts, self.servers)
-        gate.per_s = per_s or pace.unknown(self.fronts, self.servers)
+        per_s = rates.part(max(0.0, own if own >= 0 else mean), mean, before, self.fronts, self.servers)
+        gate.per_s = per_s or rates.unknown(self.fronts, self.servers)
 
     # evidence
 
@@ -190,7 +198,7 @@
         self.fronts = max(1, fronts)
         self.settle()
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[Out]:
+    def hear(self, now: float, sender: int, data: bytes) -> list[OutgoingMessage]:
         """A front's words; the answer, if it asked."""
         self.pass_on(now)
         try:
@@ -225,12 +233,12 @@
 
     # asks
 
-    def ask(self, now: float, number: int, worth: float, left_ms: float) -> Let | None:
+    def ask(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `tick` will say."""
         self.pass_on(now)
         self.usual.count += self.ordinary
         if self.phases.phase is Phase.FULL:
-            return Let(number)
+            return AdmissionResult(number)
         return self.gate.ask(now, number, worth, left_ms)
 
     def drop(self, number: int) -> None:
@@ -253,7 +261,7 @@
         phase = self.phases.phase
         return phase is Phase.FULL or (phase is Phase.AGREED and self.phases.calm)
 
-    def tick(self, now: float) -> tuple[list[Out], list[Let]]:
+    def tick(self, now: float) -> tuple[list[OutgoingMessage], list[AdmissionResult]]:
         """To be called at `due` or sooner: words, and what becomes of asks that waited."""
         self.pass_on(now)
         self.look(now)
@@ -273,7 +281,7 @@
 
     def due(self) -> float:
         times = [self.next_words, self.phases.due(), self.gate.due(self.now), self.now + WOKE_MS / 4]
-        if (asked := self.witnesses) and asked.trust is Trust.WAITING:
+        if (asked := self.witnesses) and asked.trust is StoreTrust.WAITING:
             again = (
                 at
                 for n, (at, so_often) in self.asked_at.items()
@@ -286,7 +294,9 @@
 
     # words
 
-    def say(self, to: int, ask: bool = False, answer: bool = False, want: int = 0, page: Any = None) -> Out:
+    def say(
+        self, to: int, ask: bool = False, answer: bool = False, want: int = 0, page: Any = None
+    ) -> OutgoingMessage:
         usual = self.usual.per_s()
         if usual is None:
             usual = self.kept.usual if self.kept.usual >= 0 else -1.0
@@ -300,9 +310,9 @@
         if page is not None:
             words.page.MergeFrom(page)
         words.want = want
-        return Out(to, words.SerializeToString())
+        return OutgoingMessage(to, words.SerializeToString())
 
-    def words(self) -> list[Out]:
+    def words(self) -> list[OutgoingMessage]:
         """A mark goes to the same few, so that they are found again; and what is said to one at random, so
         that in time everybody has heard of everybody."""
         mark, self.idle = self.mark(), self.idle + 1
@@ -313,9 +323,9 @@
         rest = [m for m in self.members if m != self.number and m not in near]
         return [self.say(to) for to in near + ([self.random.choice(rest)] if rest else [])]
 
-    def questions(self, now: float) -> list[Out]:
+    def questions(self, now: float) -> list[OutgoingMessage]:
         """Those that would have heard of us are asked, each again and again with growing waits."""
-        if self.witnesses is None or self.trust is not Trust.WAITING:
+        if self.witnesses is None or self.trust is not StoreTrust.WAITING:
             return []
         out = []
         for front in successors(self.number, self.members, ASKED_MOST):
@@ -328,7 +338,7 @@
             out.append(self.say(front, ask=True))
         return out
 
-    def wanted(self, now: float) -> list[Out]:
+    def wanted(self, now: float) -> list[OutgoingMessage]:
         """Pages are asked for until others have given all, or their time is over."""
         if self.asking is None:
             return []
--- a/lemonhall/recovery/phases.py
+++ b/lemonhall/recovery/phases.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True)
-class Waits:
+class PhaseTimeouts:
     """In ms; `period`: of the members."""
 
     period: float = 1000.0
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True)
-class Entered:
+class PhaseEntry:
     """A phase that was entered; `lacks`: it was by the longest wait, without this evidence."""
 
     phase: Phase
@@ -70,7 +70,7 @@
 class Phases:
     """`others`: fronts that there may be beside this one. Times are of one clock, in ms."""
 
-    def __init__(self, now: float, waits: Waits, others: int) -> None:
+    def __init__(self, now: float, waits: PhaseTimeouts, others: int) -> None:
         self.waits, self.others = waits, others
         self.lives = 0
         self.members: tuple[int, ...] = (-1,)  # nobody but this one
@@ -103,7 +103,7 @@
 
     # what comes of it
 
-    def look(self, now: float) -> list[Entered]:
+    def look(self, now: float) -> list[PhaseEntry]:
         """To be called at `due` or sooner, and when evidence has come."""
         self.at = now
         out = []
@@ -115,7 +115,7 @@
             self.entered[self.phase] = now
             if came > now:
                 self.lacks[self.phase] = lack
-            out.append(Entered(self.phase, now - self.since, lack if came > now else ""))
+            out.append(PhaseEntry(self.phase, now - self.since, lack if came > now else ""))
         return out
 
     def next(self) -> tuple[float, float, str]:
--- a/lemonhall/halls/machine.py
+++ b/lemonhall/zones/machine.py
@@ -21,12 +21,12 @@
 from google.protobuf.message import DecodeError
 
 from lemonhall import interface as i
-from lemonhall.halls.halls_pb2 import Kept, Words
-from lemonhall.halls.plan import Plan, Tier
-from lemonhall.halls.sight import Change, Order, Sight, State
 from lemonhall.interface import Outcome, Repeat
-from lemonhall.limits.parts import MILLION, Loan, Parts, own_part
 from lemonhall.limits.reserve import Reserve
+from lemonhall.limits.shares import MILLION, LimitShare, Loan, equal_share
+from lemonhall.zones.halls_pb2 import Kept, Words
+from lemonhall.zones.monitor import OperatorOverride, StateChange, ZoneMonitor, ZoneState
+from lemonhall.zones.settings import SpillTier, ZoneSettings
 
 LOST = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 ALIVE = (Outcome.OK, Outcome.FULL, Outcome.ERROR)
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True)
-class Ruling:
+class ZoneDecision:
     """What a session may use: `bars` binds, `prefer` and `cap` are wishes. `spill`: it may leave its home."""
 
     bars: tuple[int, ...] = ()
@@ -48,11 +48,11 @@
     spill: int = -1
 
 
-FREE = Ruling()  # of a session that no hall has a claim on
+FREE = ZoneDecision()  # of a session that no hall has a claim on
 
 
 @dataclass(frozen=True)
-class Out:
+class OutgoingMessage:
     """Words to another front, by its number."""
 
     to: int
@@ -63,7 +63,7 @@
 class Held:
     """What a session has taken: units of limits, a turn of the return."""
 
-    tier: Tier | None = None
+    tier: SpillTier | None = None
     units: dict[int, int] = field(default_factory=dict)  # by limit
     premium: bool = False
     turn: bool = False  # of the ramp, not yet used
@@ -86,14 +86,14 @@
         return self.left
 
 
-class Halls:
+class ZoneFailover:
     """`life` grows with each start that remembers nothing; `kept`: of `to_keep`, of the life before.
 
     `remembers`: nothing can have been lent that is not in `kept`."""
 
     def __init__(
         self,
-        plan: Plan,
+        plan: ZoneSettings,
         number: int,
         fronts: int,
         home: int,
@@ -105,13 +105,13 @@
     ) -> None:
         self.plan, self.number, self.fronts, self.home = plan, number, fronts, home
         self.life, self.random = life, random
-        self.sights = [Sight(plan, n, since=now) for n in range(len(plan.halls))]
+        self.sights = [ZoneMonitor(plan, n, since=now) for n in range(len(plan.halls))]
         self.by_server: dict[int, int] = {}
         self.cells: list[set[int]] = [set() for _ in plan.halls]  # that each hall has ever had
         self.tiers = [t for t in plan.tiers if t.hall == home]
-        own = own_part(number, fronts) if number < fronts else 0
+        own = equal_share(number, fronts) if number < fronts else 0
         unheard = set() if remembers else set(range(fronts)) - {number}
-        self.parts = [Parts(own, unheard) for _ in plan.limits]
+        self.parts = [LimitShare(own, unheard) for _ in plan.limits]
         self.reserves = [Reserve() for _ in plan.limits]
         self.rates = [Bucket(at=now) for _ in plan.limits]
         self.ramp = Bucket(at=now)
@@ -122,7 +122,7 @@
         self.members: tuple[int, ...] = ()
         self.next_words = now + self.period() * random.random()
         self.spilled_at = float("-inf")
-        self.changes: list[Change] = []
+        self.changes: list[StateChange] = []
         self.wanted: dict[int, float] = {}  # limits that others lack room under: when that was heard
         self.moves: list[int] = []  # sessions that had better come home
         self.counts = Counter[str]()
@@ -174,12 +174,12 @@
                 if sight.hall == self.home:
                     self.ramp = Bucket(at=now)
 
-    def order(self, hall: int, what: Order, at_ms: float) -> bool:
+    def order(self, hall: int, what: OperatorOverride, at_ms: float) -> bool:
         """An operator's, or one that was heard of. False: a later one holds."""
         sight = self.sights[hall]
         if at_ms <= sight.order_at:
             return False
-        if sight.order is Order.HOLD and what is Order.NONE:
+        if sight.order is OperatorOverride.HOLD and what is OperatorOverride.NONE:
             sight.flaps = 0
         sight.order, sight.order_at = what, at_ms
         self.parts[0].dirty = True
@@ -187,7 +187,7 @@
 
     # sessions
 
-    def ask(self, now: float, ask: int, cls: int, row: frozenset[int] | None = None) -> Ruling:
+    def ask(self, now: float, ask: int, cls: int, row: frozenset[int] | None = None) -> ZoneDecision:
         """What a session of a class may use; `row`: the cells that hold its title, if not all do."""
         self.look(now)
         home, sight = self.home, self.sights[self.home]
@@ -197,9 +197,9 @@
         held = Held(since=now, safe=terms.repeat is Repeat.SAFE)
         held.premium = terms.worth > self.cheapest
         allowed: set[int] = set()
-        if sight.state in (State.UP, State.FAILING):
+        if sight.state in (ZoneState.UP, ZoneState.FAILING):
             allowed.add(home)
-        elif sight.state is State.RETURNING:
+        elif sight.state is ZoneState.RETURNING:
             if self.ramp.fill(now, sight.pace(now) / self.sharers()) >= 1.0:
                 self.ramp.left -= 1.0
                 held.turn = True
@@ -211,8 +211,8 @@
         cap, to = 99, -1
         if cls not in self.plan.no_spill:
             for tier in self.tiers:
-                wanted = sight.state is not State.UP or tier.overflow
-                if wanted and self.sights[tier.to].state is State.UP:
+                wanted = sight.state is not ZoneState.UP or tier.overflow
+                if wanted and self.sights[tier.to].state is ZoneState.UP:
                     cap = self.take(now, held, tier, terms)
                     if held.tier:
                         to = tier.to
@@ -223,14 +223,14 @@
             self.sessions[ask] = held
         bars = tuple(h for h in range(len(self.plan.halls)) if h not in allowed)
         wish = (("zone", home),) if home in allowed and len(allowed) > 1 else ()
-        return Ruling(bars, wish, cap, to)
+        return ZoneDecision(bars, wish, cap, to)
 
     def sharers(self) -> int:
         """Fronts that a return is shared by: those of its hall, and those that have never said theirs. Who
         falls silent is counted on: it may still be sending."""
         return self.fronts - sum(home != self.home for home in self.homes.values())
 
-    def take(self, now: float, held: Held, tier: Tier, terms: i.SessionClass) -> int:
+    def take(self, now: float, held: Held, tier: SpillTier, terms: i.SessionClass) -> int:
         """Room under all limits of a tier, at the best rung that leaves some to others. The rung, or 99."""
         self.spilled_at = now
         links, scale = self.sights[tier.to].links_kb(), terms.scale
@@ -278,7 +278,7 @@
     def set_up(self, now: float, ask: int, server: int) -> None:
         """An attempt leaves. One more at a hall that returns, or beyond the first, is paid for later."""
         held, hall = self.sessions.get(ask), self.by_server.get(server)
-        if hall == self.home and self.sights[hall].state is State.RETURNING:
+        if hall == self.home and self.sights[hall].state is ZoneState.RETURNING:
             if held and held.turn:
                 held.turn = False
             else:
@@ -327,7 +327,7 @@
 
     # other fronts
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """Each moment; words go out each period, and at once to who has asked."""
         self.look(now)
         to = set(self.answer)
@@ -336,7 +336,7 @@
             self.next_words = now + self.period()
             to |= self.round(now)
             self.bring_home(now)
-        return [Out(other, self.words(now, other)) for other in sorted(to)]
+        return [OutgoingMessage(other, self.words(now, other)) for other in sorted(to)]
 
     def round(self, now: float) -> set[int]:
         """Who is told in this period: some at random, and who holds a part of ours or lends us one."""
@@ -360,7 +360,7 @@
         for limit, at in list(self.wanted.items()):
             if now - at > 2 * self.period():
                 del self.wanted[limit]
-            elif sight.state is State.UP and self.ramp.fill(now, sight.pace(now) / self.sharers()) >= 1.0:
+            elif sight.state is ZoneState.UP and self.ramp.fill(now, sight.pace(now) / self.sharers()) >= 1.0:
                 for ask, held in self.sessions.items():
                     if limit in held.units and held.plays and held.safe:
                         held.safe = False  # once
@@ -380,8 +380,8 @@
                 names = ("grant_seq", "grant", "held_seq", "held", "need", "tell")
                 made.parts.add(limit=n, **dict(zip(names, told, strict=True)))
         for sight in self.sights:
-            if sight.order is not Order.HOLD and (sight.state or sight.heard_list):
-                state = sight.state if self.own_sight(now, sight) else State.UP
+            if sight.order is not OperatorOverride.HOLD and (sight.state or sight.heard_list):
+                state = sight.state if self.own_sight(now, sight) else ZoneState.UP
                 made.sights.add(hall=sight.hall, state=state, progress=int(1000 * sight.progress(now)))
             if sight.order_at:
                 made.orders.add(hall=sight.hall, what=sight.order, at_ms=int(sight.order_at))
@@ -389,7 +389,7 @@
         return data
 
     @staticmethod
-    def own_sight(now: float, sight: Sight) -> bool:
+    def own_sight(now: float, sight: ZoneMonitor) -> bool:
         """Rumours are not passed on: a state that rests on others' words alone is no evidence."""
         return "other fronts" not in sight.why
 
@@ -404,8 +404,8 @@
             self.counts["other_plan"] += 1
             return
         for order in words.orders:
-            if order.hall < len(self.sights) and order.what in (Order.NONE, Order.HOLD):
-                self.order(order.hall, Order(order.what), float(order.at_ms))
+            if order.hall < len(self.sights) and order.what in (OperatorOverride.NONE, OperatorOverride.HOLD):
+                self.order(order.hall, OperatorOverride(order.what), float(order.at_ms))
         known = self.lives.get(sender, 0)
         if words.life < known:
             self.counts["old_life"] += 1
@@ -419,8 +419,8 @@
                     parts.reborn(sender)
             self.answer.add(sender)
         for told in words.sights:
-            if told.hall < len(self.sights) and told.state <= State.RETURNING:
-                self.sights[told.hall].said(now, sender, State(told.state), told.progress / 1000)
+            if told.hall < len(self.sights) and told.state <= ZoneState.RETURNING:
+                self.sights[told.hall].said(now, sender, ZoneState(told.state), told.progress / 1000)
         if words.to_life != self.life:
             self.answer.add(sender)  # it does not know us yet, or speaks to who we were
             return
@@ -463,9 +463,9 @@
         except DecodeError as error:
             raise ValueError(f"what was kept of halls cannot be read: {error}") from error
         for order in kept.orders:
-            if order.hall < len(self.sights) and order.what in (Order.NONE, Order.HOLD):
+            if order.hall < len(self.sights) and order.what in (OperatorOverride.NONE, OperatorOverride.HOLD):
                 sight = self.sights[order.hall]
-                sight.order, sight.order_at = Order(order.what), float(order.at_ms)
+                sight.order, sight.order_at = OperatorOverride(order.what), float(order.at_ms)
         if kept.plan != self.plan.digest:
             return
         self.life = int(kept.life)
@@ -489,7 +489,7 @@
                     "state": sight.state.name.lower(),
                     "since_s": round((now - sight.since) / 1000, 1),
                     "why": sight.why,
-                    "held_out": sight.order is Order.HOLD,
+                    "held_out": sight.order is OperatorOverride.HOLD,
                     "servers_ready": sight.ready(),
                     "servers_most": sight.most,
                     "progress": round(sight.progress(now), 3),
--- a/lemonhall/halls/sight.py
+++ b/lemonhall/zones/monitor.py
@@ -18,8 +18,8 @@
 from enum import IntEnum
 
 from lemonhall import interface as i
-from lemonhall.halls.plan import Plan
 from lemonhall.interface import ServerState
+from lemonhall.zones.settings import ZoneSettings
 
 BAD_PART = 0.5  # of the racks, and of the servers seen lately, on which attempts fail
 VOTES_LEAST = 3  # of other fronts, before most of them count
@@ -28,24 +28,24 @@
 SLOW_PACE = 1.3  # the pace of a return lies by this under what cold servers can take
 
 
-class State(IntEnum):
+class ZoneState(IntEnum):
     UP = 0
     FAILING = 1
     DARK = 2
     RETURNING = 3
 
 
-class Order(IntEnum):
+class OperatorOverride(IntEnum):
     NONE = 0
     HOLD = 1  # nothing is sent there until it is let in
 
 
 @dataclass(frozen=True)
-class Change:
+class StateChange:
     """A hall has come into another state here, and why."""
 
     hall: str
-    state: State
+    state: ZoneState
     why: str
 
 
@@ -61,13 +61,13 @@
 
 
 @dataclass
-class Sight:
+class ZoneMonitor:
     """One hall, here. `now` in ms; nothing goes back."""
 
-    plan: Plan
+    plan: ZoneSettings
     hall: int
     servers: dict[int, Server] = field(default_factory=dict)
-    state: State = State.UP
+    state: ZoneState = ZoneState.UP
     since: float = 0.0
     why: str = ""
     bad_at: float = float("-inf")  # the last that failed
@@ -87,12 +87,12 @@
     trials: int = 0
     ramp_from: float = 0.0
     head_start: float = 0.0  # of the ramp, done before this front came
-    words: dict[int, tuple[State, float, float]] = field(
+    words: dict[int, tuple[ZoneState, float, float]] = field(
         default_factory=dict
     )  # by front: state, progress, at
-    votes: Counter[State] = field(default_factory=Counter)
+    votes: Counter[ZoneState] = field(default_factory=Counter)
     counted_at: float = float("-inf")
-    order: Order = Order.NONE
+    order: OperatorOverride = OperatorOverride.NONE
     order_at: float = 0.0
 
     # what is seen
@@ -146,7 +146,7 @@
         if known := self.servers.get(server):
             known.bad_at = self.bad_at = now
 
-    def said(self, now: float, front: int, state: State, progress: float) -> None:
+    def said(self, now: float, front: int, state: ZoneState, progress: float) -> None:
         self.words[front] = (state, progress, now)
 
     # what it comes to
@@ -168,7 +168,7 @@
             return ""
         return f"attempts failed on {len(bad)} servers of {len(bad_racks)} racks of {len(racks)}"
 
-    def others_say(self, now: float, states: tuple[State, ...]) -> bool:
+    def others_say(self, now: float, states: tuple[ZoneState, ...]) -> bool:
         """Most of those who have spoken lately, and enough of them."""
         if now - self.counted_at >= VOTES_PART * self.plan.spilling.notice_ms:
             self.counted_at, since = now, now - self.word_ms()
@@ -179,39 +179,45 @@
     def word_ms(self) -> float:
         return WORD_NOTICES * self.plan.spilling.notice_ms
 
-    def look(self, now: float) -> Change | None:
+    def look(self, now: float) -> StateChange | None:
         """To be called each moment: the state that follows from what is seen."""
         s = self.plan.spilling
         why = self.failing(now)
         seen = self.good_at > now - s.notice_ms
-        blind = not why and not seen and self.state is not State.RETURNING
-        if blind and self.others_say(now, (State.DARK,)):
+        blind = not why and not seen and self.state is not ZoneState.RETURNING
+        if blind and self.others_say(now, (ZoneState.DARK,)):
             why = "most other fronts have lost it"
         self.bad_since = (now if self.bad_since is None else self.bad_since) if why else None
         held = self.bad_since is not None and now - self.bad_since >= s.notice_ms
-        if self.order is Order.HOLD:
-            return self.turn(now, State.DARK, "held out by order") if self.state is not State.DARK else None
-        if self.state is State.UP:
+        if self.order is OperatorOverride.HOLD:
+            return (
+                self.turn(now, ZoneState.DARK, "held out by order")
+                if self.state is not ZoneState.DARK
+                else None
+            )
+        if self.state is ZoneState.UP:
             if why:
-                return self.turn(now, State.DARK if self.gone and not self.most else State.FAILING, why)
+                return self.turn(
+                    now, ZoneState.DARK if self.gone and not self.most else ZoneState.FAILING, why
+                )
             new = self.came_at is not None and now - self.came_at < 2 * s.notice_ms
-            if new and self.others_say(now, (State.DARK, State.RETURNING)):
+            if new and self.others_say(now, (ZoneState.DARK, ZoneState.RETURNING)):
                 return self.join_return(now)
             if self.flaps and now - max(self.flap_at, self.since) > s.forget_ms:
                 self.flaps, self.flap_at = self.flaps - 1, now
-        elif self.state is State.FAILING:
+        elif self.state is ZoneState.FAILING:
             if held:
-                return self.turn(now, State.DARK, why)
+                return self.turn(now, ZoneState.DARK, why)
             if not why and now - self.since >= s.notice_ms:
-                return self.turn(now, State.UP, "the signs have passed")
-        elif self.state is State.DARK:
+                return self.turn(now, ZoneState.UP, "the signs have passed")
+        elif self.state is ZoneState.DARK:
             if not why and not self.gone and self.ready() and self.life(now):
-                return self.turn(now, State.RETURNING, f"{self.ready()} servers are there of {self.most}")
+                return self.turn(now, ZoneState.RETURNING, f"{self.ready()} servers are there of {self.most}")
         elif held and why:
             self.flaps, self.flap_at = self.flaps + 1, now
-            return self.turn(now, State.DARK, why)
+            return self.turn(now, ZoneState.DARK, why)
         elif self.progress(now) >= 1.0 and self.warm(now):
-            return self.turn(now, State.UP, "the ramp is done")
+            return self.turn(now, ZoneState.UP, "the ramp is done")
         return None
 
     def life(self, now: float) -> bool:
@@ -220,22 +226,22 @@
         asked = any(s.bad_at > float("-inf") for s in self.servers.values())
         return self.good_at > self.since or (new and not asked) or not asked
 
-    def join_return(self, now: float) -> Change:
+    def join_return(self, now: float) -> StateChange:
         """A front that has just come: the others know how far the return is."""
         fresh = [(s, p) for s, p, at in self.words.values() if now - at < self.word_ms()]
-        self.head_start = min([p for s, p in fresh if s is State.RETURNING], default=0.0)
-        return self.turn(now, State.RETURNING, "other fronts say that it returns")
+        self.head_start = min([p for s, p in fresh if s is ZoneState.RETURNING], default=0.0)
+        return self.turn(now, ZoneState.RETURNING, "other fronts say that it returns")
 
-    def turn(self, now: float, state: State, why: str) -> Change:
-        if state is State.RETURNING:
+    def turn(self, now: float, state: ZoneState, why: str) -> StateChange:
+        if state is ZoneState.RETURNING:
             self.ramp_from = now - self.head_start * self.ramp_ms()
             self.head_start = 0.0
-        if state is State.DARK:
+        if state is ZoneState.DARK:
             self.trials, self.trial_at = 0, now
-        if state in (State.UP, State.RETURNING):
+        if state in (ZoneState.UP, ZoneState.RETURNING):
             self.bad_since = None
         self.state, self.since, self.why, self.came_at = state, now, why, None
-        return Change(self.plan.halls[self.hall], state, why)
+        return StateChange(self.plan.halls[self.hall], state, why)
 
     # the return
 
@@ -248,9 +254,9 @@
 
     def progress(self, now: float) -> float:
         """Of the return, 0 to 1; 1 when it is up."""
-        if self.state is State.UP or self.state is State.FAILING:
+        if self.state is ZoneState.UP or self.state is ZoneState.FAILING:
             return 1.0
-        if self.state is State.DARK:
+        if self.state is ZoneState.DARK:
             return 0.0
         return min(1.0, max(0.0, (now - self.ramp_from) / max(1.0, self.ramp_ms())))
 
@@ -281,7 +287,7 @@
         """One session may try a dark hall whose servers are listed; less often with each that failed."""
         wait = self.plan.spilling.trial_ms * min(self.plan.spilling.slowest, 2.0 ** min(30, self.trials))
         wait *= self.slowness()
-        listed = self.state is State.DARK and self.ready() > 0 and self.order is Order.NONE
+        listed = self.state is ZoneState.DARK and self.ready() > 0 and self.order is OperatorOverride.NONE
         return listed and now - self.trial_at >= wait
 
     def tried(self, now: float) -> None:
--- a/lemonhall/halls/plan.py
+++ b/lemonhall/zones/settings.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class Tier:
+class SpillTier:
     """Sessions of `hall` may take `share` of the links of `to`. Tiers of a hall stand in their order.
 
     `overflow`: also while `hall` is up, when it is full."""
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Intake:
+class IntakeLimit:
     """What a hall takes in from all others: part of its links, set-ups a second; 0: no limit of that kind."""
 
     hall: int
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True)
-class Spilling:
+class FailoverTiming:
     """How the loss and the return of a hall are told. Times in ms.
 
     `notice`: evidence must hold so long; `trial`: a dark hall is tried this often; `ramp`: a return takes so
@@ -74,16 +74,16 @@
 
 
 @dataclass(frozen=True)
-class Plan:
+class ZoneSettings:
     """`limits`: of each place the hall that takes in, and the share of its links: tiers first, then intakes.
 
     Raises nothing: what cannot be is refused with the settings."""
 
     halls: tuple[str, ...]
     classes: tuple[i.SessionClass, ...]
-    tiers: tuple[Tier, ...]
-    intakes: tuple[Intake, ...]
-    spilling: Spilling
+    tiers: tuple[SpillTier, ...]
+    intakes: tuple[IntakeLimit, ...]
+    spilling: FailoverTiming
     no_spill: frozenset[int]
     ladder_kb: tuple[float, ...]
     places_by_kind: tuple[int, ...]
@@ -92,13 +92,13 @@
     warm_ms: float
 
     @classmethod
-    def of(cls, terms: Terms) -> Plan:
+    def of(cls, terms: Terms) -> ZoneSettings:
         return cls(
             halls=terms.halls,
             classes=terms.classes,
-            tiers=tuple(Tier(t.hall, t.to, t.share, t.overflow) for t in terms.spills),
-            intakes=tuple(Intake(t.hall, t.links, t.per_s) for t in terms.takes_in),
-            spilling=Spilling(
+            tiers=tuple(SpillTier(t.hall, t.to, t.share, t.overflow) for t in terms.spills),
+            intakes=tuple(IntakeLimit(t.hall, t.links, t.per_s) for t in terms.takes_in),
+            spilling=FailoverTiming(
                 terms.spilling.notice_ms,
                 terms.spilling.trial_ms,
                 terms.spilling.ramp_ms,
@@ -122,7 +122,7 @@
         """Parts are of one whole only among fronts that go by the same tiers and intakes."""
         return zlib.crc32(repr((self.halls, self.tiers, self.intakes)).encode())
 
-    def limits_of(self, tier: Tier) -> tuple[int, ...]:
+    def limits_of(self, tier: SpillTier) -> tuple[int, ...]:
         """Places of the limits that a session under a tier counts against."""
         own = [self.tiers.index(tier)]
         return tuple(own + [len(self.tiers) + n for n, t in enumerate(self.intakes) if t.hall == tier.to])
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -18,12 +18,12 @@
 from lemonhall.config.day import read_day
 from lemonhall.day import play_day
 from lemonhall.front.deciding.limits import LimitsDesk
-from lemonhall.limits import Limits, Plan
+from lemonhall.limits import FleetLimits, LimitSettings
 from lemonhall.loop import Loop
 from lemonhall.model.played.world import World
 from tests.front.world import TERMS
 from tests.front.world import World as Front
-from tests.limits.worlds import PERIOD, exact, plan
+from tests.limits.fleet import PERIOD, exact, plan
 
 Build = Callable[..., Front]
 
@@ -53,12 +53,12 @@
         return self.at
 
 
-def desks(made: Plan) -> tuple[Loop, Clock, list[LimitsDesk]]:
+def desks(made: LimitSettings) -> tuple[Loop, Clock, list[LimitsDesk]]:
     clock = Clock()
     loop, found = Loop(lambda: clock.at / 1000), []
     lines = [Line(0), Line(1)]
     for n, carrier in enumerate(lines):
-        machine = Limits(made, n, 2, 0, 1, Random(n), clock.at)
+        machine = FleetLimits(made, n, 2, 0, 1, Random(n), clock.at)
         machine.escrow.members = (0, 1)
         found.append(LimitsDesk(loop, machine, carrier, clock))
     lines[0].other, lines[1].other = found[1], found[0]
@@ -107,7 +107,7 @@
         run(loop, clock, 0.5)
     one.stop()
     state = one.machine.escrow.state()
-    made = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
+    made = FleetLimits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
     made.take_over(clock.at, state)
     assert one.ask(50, 0, 0, "/a", 99, "").refused == "changing guard"
     assert made.ask(clock.at, 51, 0, 0, "/a").refused == "seats"  # what stands there counts
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -15,12 +15,12 @@
 from lemonhall.front.deciding.membership import Membership, read_keys
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Loop
-from lemonhall.members import Config
+from lemonhall.members import SwimConfig
 from lemonhall.problem import BadInput
 from tests.front.world import TERMS
 
 KEYS = {1: b"k" * 16}
-FAST = Config(period_ms=40.0, answer_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
+FAST = SwimConfig(period_ms=40.0, answer_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
 
 
 class Fronts:
--- a/tests/limits/worlds.py
+++ b/tests/limits/fleet.py
@@ -7,7 +7,7 @@
 from random import Random
 
 from lemonhall import interface as i
-from lemonhall.limits import Hold, Limit, Limits, Plan, Unit
+from lemonhall.limits import FleetLimits, Limit, LimitKind, LimitSettings, LimitUnit
 from lemonhall.limits.escrow import Escrow
 
 VIEW, CLAIM = 0, 1
@@ -19,28 +19,30 @@
 )
 
 
-def plan(*limits: Limit) -> Plan:
-    return Plan(tuple(sorted(limits, key=lambda m: m.name)), CLASSES, (4.0, 8.0, 14.0, 24.0), PERIOD)
+def plan(*limits: Limit) -> LimitSettings:
+    return LimitSettings(tuple(sorted(limits, key=lambda m: m.name)), CLASSES, (4.0, 8.0, 14.0, 24.0), PERIOD)
 
 
 def exact(amount: int, name: str = "seats", longest_ms: float = 0.0, **more: object) -> Limit:
-    made = Limit(name, Hold.EXACT, Unit.SESSIONS, amount, longest_ms=longest_ms)
+    made = Limit(name, LimitKind.EXACT, LimitUnit.SESSIONS, amount, longest_ms=longest_ms)
     return replace(made, **more)  # type: ignore[arg-type]
 
 
 def paced(per_s: float, burst: float, name: str = "pace") -> Limit:
-    return Limit(name, Hold.PACED, Unit.SET_UPS, round(1000 * per_s), burst=burst)
+    return Limit(name, LimitKind.PACED, LimitUnit.SET_UPS, round(1000 * per_s), burst=burst)
 
 
 def soft(amount: int, rise: float, name: str = "near") -> Limit:
-    return Limit(name, Hold.SOFT, Unit.SESSIONS, amount, rise=rise)
+    return Limit(name, LimitKind.SOFT, LimitUnit.SESSIONS, amount, rise=rise)
 
 
 class Fleet:
     """`now` is true time; `rates` are those of the fronts' clocks. What a front has begun and not ended
     stands, also while it does not run: `stands` is the truth that a server would see."""
 
-    def __init__(self, made: Plan, fronts: int, seed: int = 1, rates: tuple[float, ...] = ()) -> None:
+    def __init__(
+        self, made: LimitSettings, fronts: int, seed: int = 1, rates: tuple[float, ...] = ()
+    ) -> None:
         self.plan, self.count, self.now = made, fronts, 1000.0
         self.rates = rates or (1.0,) * fronts
         self.offsets = [1e6 * n for n in range(fronts)]  # clocks that have nothing in common
@@ -57,14 +59,16 @@
     def clock(self, number: int) -> float:
         return self.offsets[number] + self.rates[number] * self.now
 
-    def born(self, number: int, made: Plan | None = None) -> Limits:
+    def born(self, number: int, made: LimitSettings | None = None) -> FleetLimits:
         self.life += 1
         seed = self.random.getrandbits(32)
-        front = Limits(made or self.plan, number, self.count, 0, self.life, Random(seed), self.clock(number))
+        front = FleetLimits(
+            made or self.plan, number, self.count, 0, self.life, Random(seed), self.clock(number)
+        )
         front.escrow.members = tuple(range(self.count))
         return front
 
-    def kill(self, number: int, made: Plan | None = None) -> None:
+    def kill(self, number: int, made: LimitSettings | None = None) -> None:
         """Its sessions end with it: it is there again at once and remembers nothing."""
         self.stands[number].clear()
         self.fronts[number] = self.born(number, made)
@@ -153,7 +157,7 @@
 
     def check(self) -> None:
         for limit in self.plan.limits:
-            if limit.hold is Hold.SOFT:
+            if limit.kind is LimitKind.SOFT:
                 continue
             keys = {k for f in self.fronts for k in f.escrow.rooms if k[0] == limit.ident}
             for key in keys:
@@ -161,7 +165,7 @@
                 assert most <= limit.amount, f"{limit.name}: {most} could be used"
         for n, front in enumerate(self.fronts):
             for key, room in front.escrow.rooms.items():
-                if room.limit.hold is Hold.EXACT:
+                if room.limit.kind is LimitKind.EXACT:
                     taken = sum(c.units.get(key, 0) for c in front.sessions.values())
                     assert room.parts.used == taken, f"front {n}: {room.parts.used} counted, {taken} taken"
 
@@ -169,7 +173,7 @@
         """Of fronts that all run; under limits that cover all sessions."""
         for limit in self.plan.limits:
             every = not limit.each_title and {limit.partner, limit.cls, limit.hall} == {-1}
-            if limit.hold is Hold.EXACT and every:
+            if limit.kind is LimitKind.EXACT and every:
                 assert self.standing() <= limit.amount, f"{limit.name}: {self.standing()} stand"
 
     def check_paced(self, limit: Limit) -> None:
--- a/tests/limits/test_exact.py
+++ b/tests/limits/test_exact.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from lemonhall.limits import Plan
+from lemonhall.limits import LimitSettings
 from lemonhall.limits.escrow import Escrow, Peer
-from lemonhall.limits.parts import Loan, Parts
-from tests.limits.worlds import CLAIM, PERIOD, VIEW, Fleet, exact, plan, walk
+from lemonhall.limits.shares import LimitShare, Loan
+from tests.limits.fleet import CLAIM, PERIOD, VIEW, Fleet, exact, plan, walk
 
 MIXED = plan(exact(5), exact(2, "claims", cls=CLAIM), exact(1, "title", each_title=True))
 CLOCKS = (1.0, 1.0004, 0.9996)
@@ -121,13 +121,13 @@
 
 def too_early(monkeypatch: pytest.MonkeyPatch) -> None:
     """A lender takes back what the borrower may still use."""
-    monkeypatch.setattr(Plan, "back_ms", lambda self, limit: 0.5 * self.lease_ms)
+    monkeypatch.setattr(LimitSettings, "back_ms", lambda self, limit: 0.5 * self.lease_ms)
 
 
 def one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clocks are thought to run alike."""
-    monkeypatch.setattr("lemonhall.limits.plan.DRIFT", 0.0)
-    monkeypatch.setattr(Plan, "deadline_ms", 0.0)
+    monkeypatch.setattr("lemonhall.limits.settings.DRIFT", 0.0)
+    monkeypatch.setattr(LimitSettings, "deadline_ms", 0.0)
 
 
 def any_order(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -157,13 +157,13 @@
 
 def lends_on(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is borrowed is lent on."""
-    monkeypatch.setattr(Parts, "own_free", lambda self: max(0, self.free()))
+    monkeypatch.setattr(LimitShare, "own_free", lambda self: max(0, self.free()))
 
 
 def not_gone(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is granted counts as gone when the other has seen it."""
 
-    def flawed(self: Parts, other: int, given: int) -> int:
+    def flawed(self: LimitShare, other: int, given: int) -> int:
         if given <= 0 or self.unheard:
             return 0
         loan = self.lent.setdefault(other, Loan())
@@ -171,14 +171,14 @@
         loan.seq, loan.amount, loan.open = self.numbers[0], loan.amount + given, True
         return given
 
-    monkeypatch.setattr(Parts, "grant", flawed)
+    monkeypatch.setattr(LimitShare, "grant", flawed)
 
 
 def ends_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """What stands on a loan is thought to be over with the lease, though it may outlast it."""
-    back = Plan.back_ms
+    back = LimitSettings.back_ms
     monkeypatch.setattr(
-        Plan, "back_ms", lambda self, limit: back(self, limit) - limit.longest_ms * (1 + 0.001)
+        LimitSettings, "back_ms", lambda self, limit: back(self, limit) - limit.longest_ms * (1 + 0.001)
     )
 
 
--- a/tests/limits/test_paced.py
+++ b/tests/limits/test_paced.py
@@ -9,10 +9,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from lemonhall.limits.parts import Parts
-from lemonhall.limits.rooms import Bucket, Demand, Room
-from lemonhall.limits.soft import Counters, Entry
-from tests.limits.worlds import PERIOD, Fleet, exact, paced, plan, soft, walk
+from lemonhall.limits.local_limit import Bucket, Demand, LocalLimit
+from lemonhall.limits.shares import LimitShare
+from lemonhall.limits.soft_counters import Counters, Entry
+from tests.limits.fleet import PERIOD, Fleet, exact, paced, plan, soft, walk
 
 PACE = paced(20.0, 6.0)
 
@@ -147,7 +147,7 @@
 
 
 def test_a_part_brings_no_tokens_of_the_time_before_it_was_held() -> None:
-    room = Room(WIDE, 0, Parts(0, set()), Demand(PERIOD), PERIOD, WIDE.amount)
+    room = LocalLimit(WIDE, 0, LimitShare(0, set()), Demand(PERIOD), PERIOD, WIDE.amount)
     room.settle_pace(0.0, 0)
     room.settle_pace(2000.0, 0)
     room.settle_pace(2000.0, WIDE.amount)  # all of it comes now
--- a/tests/limits/test_parts.py
+++ b/tests/limits/test_shares.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from lemonhall.halls import Halls, Plan, Spilling, Tier
-from lemonhall.limits.parts import MILLION, Loan, Parts, own_part
-from tests.halls.worlds import PLAN, server
+from lemonhall.limits.shares import MILLION, LimitShare, Loan, equal_share
+from lemonhall.zones import FailoverTiming, SpillTier, ZoneFailover, ZoneSettings
+from tests.zones.fixtures import PLAN, server
 
 FRONTS = 3
 NUMBERS = st.integers(0, FRONTS - 1)
@@ -22,7 +22,7 @@
 class Fleet:
     """Fronts with a network that keeps every word ever said, and gives it out again when it likes."""
 
-    def __init__(self, remember: list[bool], plan: Plan = PLAN) -> None:
+    def __init__(self, remember: list[bool], plan: ZoneSettings = PLAN) -> None:
         self.plan, self.remember, self.now = plan, remember, 0.0
         self.disks = [b""] * len(remember)
         self.said: list[tuple[int, int, bytes]] = []
@@ -30,10 +30,10 @@
         self.fronts = [self.born(n, True) for n in range(len(remember))]
         self.asks = 0
 
-    def born(self, number: int, first: bool) -> Halls:
+    def born(self, number: int, first: bool) -> ZoneFailover:
         self.life += 1
         keeps = self.remember[number]
-        made = Halls(
+        made = ZoneFailover(
             self.plan,
             number,
             len(self.remember),
@@ -160,31 +160,31 @@
     assert lent > 100  # parts have moved
 
 
-def no_number(self: Parts, other: int, seq: int, amount: int) -> None:
+def no_number(self: LimitShare, other: int, seq: int, amount: int) -> None:
     loan = self.held.setdefault(other, Loan())
     self.held_sum += amount - loan.amount
     loan.seq, loan.amount = seq, amount
 
 
-def any_number(self: Parts, other: int, seq: int, amount: int) -> None:
+def any_number(self: LimitShare, other: int, seq: int, amount: int) -> None:
     loan = self.lent.setdefault(other, Loan())
     self.unheard.discard(other)
     if amount < loan.amount:
         self.set_lent(other, loan, loan.seq, amount)
 
 
-def not_gone(self: Parts, other: int, asked: int) -> int:
+def not_gone(self: LimitShare, other: int, asked: int) -> int:
     given = min(asked, self.own_free() // 2)
     loan = self.lent.setdefault(other, Loan())
     self.set_lent(other, loan, loan.seq, given)
     return given
 
 
-def trusting(self: Parts, own: int, unheard: set[int], numbers: list[int] | None = None) -> None:
+def trusting(self: LimitShare, own: int, unheard: set[int], numbers: list[int] | None = None) -> None:
     INIT(self, own, set(), numbers)
 
 
-INIT = Parts.__init__
+INIT = LimitShare.__init__
 FLAWS = {
     "a grant counts whenever it comes": ("granted", no_number),
     "a holding counts whenever it is told": ("returned", any_number),
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize("flaw", FLAWS)
 def test_each_defence_is_missed(flaw: str, monkeypatch: pytest.MonkeyPatch) -> None:
     name, flawed = FLAWS[flaw]
-    monkeypatch.setattr(Parts, name, flawed)
+    monkeypatch.setattr(LimitShare, name, flawed)
     with pytest.raises(AssertionError, match="limit"):
         for seed in range(60):
             walk(Fleet([seed % 2 > 0, seed % 3 > 0, seed % 5 > 0]), seed, 400)
@@ -222,13 +222,13 @@
         settle(fleet, 1)
         fleet.check()
     alone = fleet.fronts[0].parts[0]
-    assert alone.used > 3 * own_part(0, 6)  # far more than its own part
+    assert alone.used > 3 * equal_share(0, 6)  # far more than its own part
     for ask in list(fleet.fronts[0].sessions):
         fleet.fronts[0].over(fleet.now, ask)
     fleet.now += 10 * PLAN.spilling.notice_ms
     settle(fleet, 12)
     for front in fleet.fronts:
-        assert front.parts[0].mine() == own_part(front.number, 6)
+        assert front.parts[0].mine() == equal_share(front.number, 6)
         assert all(loan.amount == 0 for loan in front.parts[0].lent.values())
 
 
@@ -238,19 +238,19 @@
     fleet.kill(0)
     assert fleet.fronts[0].parts[0].mine() == 0
     settle(fleet, 6)
-    assert fleet.fronts[0].parts[0].mine() == own_part(0, 3)
+    assert fleet.fronts[0].parts[0].mine() == equal_share(0, 3)
 
 
 def test_fronts_of_another_plan_share_nothing() -> None:
     fleet = Fleet([True, True])
-    other = replace(PLAN, tiers=(Tier(0, 1, 0.5),), spilling=Spilling())
-    fleet.fronts[1] = Halls(other, 1, 2, 0, 99, Random(1), 0.0)
+    other = replace(PLAN, tiers=(SpillTier(0, 1, 0.5),), spilling=FailoverTiming())
+    fleet.fronts[1] = ZoneFailover(other, 1, 2, 0, 99, Random(1), 0.0)
     fleet.fronts[1].members = (0, 1)
     fleet.ask(0)
     settle(fleet, 4)
-    assert fleet.fronts[1].counts["other_plan"] > 0 and fleet.fronts[1].parts[0].mine() == own_part(1, 2)
+    assert fleet.fronts[1].counts["other_plan"] > 0 and fleet.fronts[1].parts[0].mine() == equal_share(1, 2)
 
 
 @pytest.mark.parametrize("fronts", [1, 3, 7, 200, 1000])
 def test_own_parts_add_up(fronts: int) -> None:
-    assert sum(own_part(n, fronts) for n in range(fronts)) == MILLION
+    assert sum(equal_share(n, fronts) for n in range(fronts)) == MILLION
--- a/tests/members/network.py
+++ b/tests/members/network.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lemonhall.members import Config, Keys, Machine, Send
-from lemonhall.members.machine import DATAGRAM_MOST, Address, State
+from lemonhall.members import KeyRing, MembershipMachine, OutgoingDatagram, SwimConfig
+from lemonhall.members.machine import DATAGRAM_MOST, Address, MemberState
 
 KEY = {1: b"k" * 16}
 
@@ -19,8 +19,8 @@
 
 @dataclass
 class Node:
-    machine: Machine
-    keys: Keys
+    machine: MembershipMachine
+    keys: KeyRing
     up: bool = True
     paused_until: float = 0.0
     told: list[tuple[float, tuple[int, ...]]] = field(default_factory=list)
@@ -29,9 +29,9 @@
 class Network:
     """`loss`, `double`: chances of a datagram; `cut(a, b)`: whether nothing goes from a to b."""
 
-    def __init__(self, seed: int, config: Config | None = None) -> None:
+    def __init__(self, seed: int, config: SwimConfig | None = None) -> None:
         self.random = Random(seed)
-        self.config = config or Config()
+        self.config = config or SwimConfig()
         self.nodes: dict[int, Node] = {}
         self.heap: list[tuple[float, int, int, bytes, Address]] = []
         self.order = 0
@@ -46,7 +46,7 @@
     def add(self, number: int, seeds: tuple[int, ...] = (0,)) -> Node:
         """Starts a front, or starts it again with a new boot."""
         boot = self.random.getrandbits(32)
-        machine = Machine(
+        machine = MembershipMachine(
             number,
             address_of(number),
             boot,
@@ -54,11 +54,11 @@
             self.config,
             Random(self.random.random()),
         )
-        node = self.nodes[number] = Node(machine, Keys(KEY, boot))
+        node = self.nodes[number] = Node(machine, KeyRing(KEY, boot))
         self.post(number, machine.start(self.now))
         return node
 
-    def post(self, number: int, out: list[Send]) -> None:
+    def post(self, number: int, out: list[OutgoingDatagram]) -> None:
         node = self.nodes[number]
         for send in out:
             data = node.keys.seal(send.data)
@@ -96,7 +96,7 @@
         try:
             message = node.keys.open(data)
         except Exception as error:
-            assert type(error).__name__ == "BadSeal"
+            assert type(error).__name__ == "DatagramError"
             return
         self.post(target, node.machine.receive(self.now, sender, message))
         self.look(node)
@@ -129,7 +129,7 @@
         """How often somebody that is up was declared dead."""
         up = set(self.up())
         return sum(
-            m.number in up and m.state is State.DEAD
+            m.number in up and m.state is MemberState.DEAD
             for n in up
             for m in self.nodes[n].machine.members.values()
         )
--- a/tests/members/test_members.py
+++ b/tests/members/test_machine.py
@@ -8,13 +8,13 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from lemonhall.members import BadSeal, Config, Keys, Machine, View
+from lemonhall.members import DatagramError, KeyRing, MembershipMachine, MembershipView, SwimConfig
+from lemonhall.members.front_count import FrontCount
 from lemonhall.members.machine import DATAGRAM_MOST
 from lemonhall.members.members_pb2 import Message
-from lemonhall.members.share import Share
 from tests.members.network import KEY, Network, address_of
 
-PERIOD = Config().period_ms
+PERIOD = SwimConfig().period_ms
 MANY = settings(max_examples=25, deadline=None, suppress_health_check=list(HealthCheck), derandomize=True)
 
 
@@ -122,7 +122,7 @@
 def test_two_fronts_under_one_number_are_named() -> None:
     net = fleet(5)
     twin = net.add(4, (0, 1))  # while the first is still there: the network sends to the second alone
-    other = Machine(4, address_of(4), 1234, [address_of(0)], Config(), Random(1))
+    other = MembershipMachine(4, address_of(4), 1234, [address_of(0)], SwimConfig(), Random(1))
     other.start(net.now)
     late = twin.machine.start(net.now)[0].data
     other.receive(net.now, address_of(4), late)
@@ -132,7 +132,7 @@
 
 
 def test_nothing_that_comes_makes_a_machine_raise() -> None:
-    machine = Machine(1, address_of(1), 7, [address_of(0)], Config(), Random(1))
+    machine = MembershipMachine(1, address_of(1), 7, [address_of(0)], SwimConfig(), Random(1))
     machine.start(0.0)
     draws = Random(2)
     for _ in range(3000):
@@ -201,15 +201,15 @@
 # seals
 
 
-def pair() -> tuple[Keys, Keys]:
-    return Keys(KEY, 1), Keys(KEY, 2)
+def pair() -> tuple[KeyRing, KeyRing]:
+    return KeyRing(KEY, 1), KeyRing(KEY, 2)
 
 
 def test_a_datagram_is_opened_once() -> None:
     ours, theirs = pair()
     data = theirs.seal(b"hello")
     assert ours.open(data) == b"hello"
-    with pytest.raises(BadSeal, match="came before"):
+    with pytest.raises(DatagramError, match="came before"):
         ours.open(data)
 
 
@@ -222,8 +222,8 @@
         part = [n for n in order if n < 100]
         for n in part:
             assert ours.open(sealed[block + n]) == bytes([(block + n) % 250])
-    with pytest.raises(BadSeal, match="too old"):
-        Keys(KEY, 3).open(sealed[0]) and ours.open(sealed[0])
+    with pytest.raises(DatagramError, match="too old"):
+        KeyRing(KEY, 3).open(sealed[0]) and ours.open(sealed[0])
 
 
 @pytest.mark.parametrize("at", [0, 1, 5, 12, 13, 20, -1])
@@ -231,27 +231,27 @@
     ours, theirs = pair()
     data = bytearray(theirs.seal(b"a message"))
     data[at] ^= 1
-    with pytest.raises(BadSeal):
+    with pytest.raises(DatagramError):
         ours.open(bytes(data))
     assert ours.open(theirs.seal(b"next")) == b"next"
 
 
 def test_strangers_and_ourselves_are_not_heard() -> None:
     ours, _ = pair()
-    with pytest.raises(BadSeal, match="another key"):
-        ours.open(Keys({1: b"x" * 16}, 9).seal(b"poison"))
-    with pytest.raises(BadSeal, match="not known"):
-        ours.open(Keys({7: b"k" * 16}, 9).seal(b"poison"))
-    with pytest.raises(BadSeal, match="our own"):
-        ours.open(Keys(KEY, 1).seal(b"echo"))
-    with pytest.raises(BadSeal, match="too short"):
+    with pytest.raises(DatagramError, match="another key"):
+        ours.open(KeyRing({1: b"x" * 16}, 9).seal(b"poison"))
+    with pytest.raises(DatagramError, match="not known"):
+        ours.open(KeyRing({7: b"k" * 16}, 9).seal(b"poison"))
+    with pytest.raises(DatagramError, match="our own"):
+        ours.open(KeyRing(KEY, 1).seal(b"echo"))
+    with pytest.raises(DatagramError, match="too short"):
         ours.open(b"short")
 
 
 def test_a_replayed_network_changes_nothing() -> None:
     net = fleet(6)
     for target, data, _sender in list(net.captured):
-        with pytest.raises(BadSeal):
+        with pytest.raises(DatagramError):
             net.nodes[target].keys.open(data)
     net.kill(5)
     old = [c for c in net.captured if c[0] != 5]
@@ -263,7 +263,7 @@
 
 def test_keys_are_rotated_without_a_gap() -> None:
     old, new = {1: b"a" * 16}, {2: b"b" * 16}
-    first, second = Keys(old, 1), Keys(old, 2)
+    first, second = KeyRing(old, 1), KeyRing(old, 2)
     steps = [{**old, **new}, {**new, **old}, new]  # know the new one, seal with it, forget the old one
     for step in steps:
         first.set_keys(step)
@@ -273,18 +273,18 @@
     with pytest.raises(ValueError):
         first.set_keys({})
     with pytest.raises(ValueError):
-        Keys({1: b"short"}, 1)
+        KeyRing({1: b"short"}, 1)
 
 
 # what the module is told
 
 
-def view(*members: int, cut_off: bool = False) -> View:
-    return View(members, cut_off, 1)
+def view(*members: int, cut_off: bool = False) -> MembershipView:
+    return MembershipView(members, cut_off, 1)
 
 
 def test_more_fronts_are_told_at_once_and_fewer_slowly() -> None:
-    share = Share(2, 3, 0.0)
+    share = FrontCount(2, 3, 0.0)
     assert share.look(view(0, 1, 2), 0.0) is None
     assert share.look(view(*range(80)), 10.0) == (80, 2)
     few = view(1, 2, 3)
@@ -300,7 +300,7 @@
 
 
 def test_who_may_be_cut_off_does_not_take_more_for_itself() -> None:
-    share = Share(0, 40, 0.0)
+    share = FrontCount(0, 40, 0.0)
     for ms in range(0, 300_000, 1000):
         assert share.look(view(0, 1, cut_off=True), float(ms)) is None
     assert share.told == (40, 0)
--- a/tests/recovery/worlds.py
+++ b/tests/recovery/fleet.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lemonhall.recovery import Mark, Out, Phase, Recovery, Waits
+from lemonhall.recovery import OutgoingMessage, Phase, PhaseTimeouts, Recovery, StoreCheckpoint
 
 
 @dataclass
 class Front:
     machine: Recovery
-    mark: Mark
+    mark: StoreCheckpoint
     entered: dict[Phase, float] = field(default_factory=dict)
     went: list[float] = field(default_factory=list)
     told_off: int = 0
@@ -26,16 +26,16 @@
         self.count, self.now, self.order = count, 0.0, 0
         self.fronts: dict[int, Front] = {}
         self.heap: list[tuple[float, int, int, int, bytes]] = []
-        self.kept: dict[int, tuple[bytes, Mark]] = {}
+        self.kept: dict[int, tuple[bytes, StoreCheckpoint]] = {}
 
-    def start(self, number: int, ask: bool = False, mark: Mark | None = None) -> Front:
-        data, last = self.kept.get(number, (b"", Mark(1000 + number, 1)))
+    def start(self, number: int, ask: bool = False, mark: StoreCheckpoint | None = None) -> Front:
+        data, last = self.kept.get(number, (b"", StoreCheckpoint(1000 + number, 1)))
         made = Recovery(
             self.now,
             number,
             self.count,
             Random(self.random.random()),
-            Waits(period=500.0),
+            PhaseTimeouts(period=500.0),
             2000.0,
             lambda: self.fronts[number].mark,
         )
@@ -51,7 +51,7 @@
         front = self.fronts.pop(number)
         self.kept[number] = front.machine.to_keep(), front.mark
 
-    def post(self, sender: int, words: list[Out]) -> None:
+    def post(self, sender: int, words: list[OutgoingMessage]) -> None:
         for out in words:
             for _ in range(1 + (self.random.random() < self.loss)):
                 if self.random.random() >= self.loss:
--- a/tests/recovery/test_gate.py
+++ b/tests/recovery/test_admission.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonhall.recovery.gate import HOLD_PART, Gate, Let
+from lemonhall.recovery.admission import HOLD_PART, AdmissionResult, Gate
 
 ASKS = st.lists(
     st.tuples(st.floats(0, 3000), st.sampled_from([1.0, 3.0]), st.floats(10, 5000)), min_size=1, max_size=120
@@ -22,9 +22,9 @@
 
 def run(
     made: Gate, asks: list[tuple[float, float, float]], open_at: float = 0.0
-) -> dict[int, list[tuple[float, Let]]]:
+) -> dict[int, list[tuple[float, AdmissionResult]]]:
     """Asks at their times, `take` whenever it is due; what became of each, when."""
-    out: dict[int, list[tuple[float, Let]]] = {}
+    out: dict[int, list[tuple[float, AdmissionResult]]] = {}
     todo = sorted((at, n) for n, (at, _, _) in enumerate(asks))
     now, made.shut = 0.0, open_at > 0
     while todo or made.held:
@@ -98,7 +98,7 @@
 
 def test_who_has_gone_is_not_spoken_of_again() -> None:
     made = gate(1.0)
-    assert made.ask(0.0, 1, 1.0, 4000.0) == Let(1)
+    assert made.ask(0.0, 1, 1.0, 4000.0) == AdmissionResult(1)
     assert made.ask(0.0, 2, 1.0, 4000.0) is None
     assert made.drop(2) and not made.drop(2)
     assert made.take(5000.0) == [] and made.due(5000.0) == float("inf")
--- a/tests/recovery/test_machine.py
+++ b/tests/recovery/test_machine.py
@@ -8,9 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonhall.recovery import Mark, Phase, Recovery, Trust, Waits, pace
+from lemonhall.recovery import Phase, PhaseTimeouts, Recovery, StoreCheckpoint, StoreTrust
 from lemonhall.recovery.recovery_pb2 import Words
-from tests.recovery.worlds import Fleet
+from tests.recovery.fleet import Fleet
 
 
 def lived(count: int, seed: int, loss: float = 0.0, asks: float = 4.0) -> Fleet:
@@ -22,7 +22,7 @@
     for _ in range(70):
         fleet.run(fleet.now + 100)
         for n, front in fleet.fronts.items():
-            front.mark = Mark(front.mark.made_ms, front.mark.count + 1)
+            front.mark = StoreCheckpoint(front.mark.made_ms, front.mark.count + 1)
             if random.random() < asks / 10:
                 ident += 1
                 fleet.ask(n, ident)
@@ -39,25 +39,25 @@
         fleet.run(fleet.now + 20)
     fleet.run(fleet.now + 6000)
     for front in fleet.fronts.values():
-        assert front.machine.trust is Trust.SOUND
+        assert front.machine.trust is StoreTrust.SOUND
         assert front.machine.phases.phase is Phase.FULL
 
 
 def test_an_older_store_is_told_by_the_others_and_an_unknown_one_is_not_believed() -> None:
     fleet = lived(8, 2)
-    old = Mark(fleet.fronts[3].mark.made_ms, fleet.fronts[3].mark.count - 20)
+    old = StoreCheckpoint(fleet.fronts[3].mark.made_ms, fleet.fronts[3].mark.count - 20)
     fleet.kill(3)
     back = fleet.start(3, ask=True, mark=old)
     began = fleet.now
-    while back.machine.trust is Trust.WAITING:
+    while back.machine.trust is StoreTrust.WAITING:
         fleet.step(fleet.now + 10)
-    assert back.machine.trust is Trust.OLDER and fleet.now - began < 100
+    assert back.machine.trust is StoreTrust.OLDER and fleet.now - began < 100
     fleet = lived(4, 2)
     for n in range(4):
         fleet.kill(n)
     alone = fleet.start(0, ask=True)
     fleet.run(fleet.now + 1100)
-    assert alone.machine.trust is Trust.UNKNOWN
+    assert alone.machine.trust is StoreTrust.UNKNOWN
 
 
 @settings(max_examples=10, deadline=None)
@@ -69,14 +69,14 @@
     usual = [random.uniform(0, 12) for _ in range(count)]
     mean = sum(usual) / count
     for n in range(count):
-        kept = Recovery(0.0, n, count, Random(n), Waits(), 2000.0)
+        kept = Recovery(0.0, n, count, Random(n), PhaseTimeouts(), 2000.0)
         kept.kept.usual, kept.kept.mean, kept.kept.fronts = usual[n], mean, count
-        fleet.kept[n] = kept.to_keep(), Mark(1, 1)
+        fleet.kept[n] = kept.to_keep(), StoreCheckpoint(1, 1)
         fleet.start(n)
     for at in range(0, 4000, 100):
         fleet.run(float(at))
         rates = [f.machine.gate.per_s for f in fleet.fronts.values() if f.machine.phases.phase < Phase.FULL]
-        assert sum(rates) <= pace.plan(mean * count, 12) * 1.05 + 1e-6
+        assert sum(rates) <= rates.plan(mean * count, 12) * 1.05 + 1e-6
         for n in range(count):
             fleet.ask(n, at * 100 + n)
             fleet.ask(n, at * 100 + n + count)
@@ -107,7 +107,7 @@
 
 @given(st.binary(max_size=1400))
 def test_bad_words_are_counted_and_passed_over(data: bytes) -> None:
-    machine = Recovery(0.0, 0, 4, Random(1), Waits(), 2000.0)
+    machine = Recovery(0.0, 0, 4, Random(1), PhaseTimeouts(), 2000.0)
     machine.hear(1.0, 1, data)
     machine.hear(2.0, 1, Words(life=1, age_ms=2**63, usual=float("inf"), ask=True).SerializeToString())
     machine.hear(3.0, 1, Words(life=2, usual=float("nan"), answer=True).SerializeToString())
@@ -123,5 +123,5 @@
     fleet.run(1500)
     waits = [fleet.fronts[0].machine.list_wait_ms() for _ in range(200)]
     assert 40 < max(waits) <= 7 * 20
-    alone = Recovery(0.0, 0, 8, Random(1), Waits(), 2000.0)
+    alone = Recovery(0.0, 0, 8, Random(1), PhaseTimeouts(), 2000.0)
     assert alone.list_wait_ms() == 0
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonhall.recovery.phases import Phase, Phases, Waits
+from lemonhall.recovery.phases import Phase, Phases, PhaseTimeouts
 
 STEP = st.tuples(
     st.floats(0, 900), st.sampled_from(["list", "old", "hear", "view", "calm", "strain", "look"])
@@ -19,7 +19,7 @@
 def test_phases_go_forward_and_no_wait_is_longer_than_its_bound(
     steps: list[tuple[float, str]], others: int, period: float
 ) -> None:
-    waits = Waits(period=period)
+    waits = PhaseTimeouts(period=period)
     made, now, members = Phases(0.0, waits, others), 0.0, [0]
     reached = []
     for passed, what in steps:
@@ -54,7 +54,7 @@
 
 
 def test_what_was_lacking_is_named() -> None:
-    made = Phases(0.0, Waits(), 3)
+    made = Phases(0.0, PhaseTimeouts(), 3)
     said = []
     for now in (2000.0, 5000.0, 11_000.0, 60_000.0):
         said += made.look(now)
@@ -70,7 +70,7 @@
 
 
 def test_a_list_of_before_is_no_evidence() -> None:
-    made = Phases(5000.0, Waits(), 0)
+    made = Phases(5000.0, PhaseTimeouts(), 0)
     made.listed(4999.0)
     assert made.look(5001.0) == []
     made.listed(5000.0)
--- a/tests/recovery/test_handed.py
+++ b/tests/recovery/test_server_pages.py
@@ -8,7 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonhall.recovery.handed import (
+from lemonhall.recovery.recovery_pb2 import Entry, Page
+from lemonhall.recovery.server_pages import (
     GIVEN_PER_S,
     PAGE_BYTES,
     PAGES_MOST,
@@ -17,7 +18,6 @@
     Giving,
     pages,
 )
-from lemonhall.recovery.recovery_pb2 import Entry, Page
 
 LIES = st.lists(st.tuples(st.integers(1, 9), st.integers(0, 4), st.floats()), max_size=12)
 
--- a/tests/halls/test_machine.py
+++ b/tests/zones/test_machine.py
@@ -11,30 +11,40 @@
 
 from lemonhall import decide
 from lemonhall import interface as i
-from lemonhall.halls import Halls, Intake, Order, Plan, Ruling, State, Tier
 from lemonhall.interface import Outcome
-from lemonhall.limits.parts import own_part
-from tests.halls.worlds import PAID, PLAN, SAFE, STAYS, fleet
+from lemonhall.limits.shares import equal_share
+from lemonhall.zones import (
+    IntakeLimit,
+    OperatorOverride,
+    SpillTier,
+    ZoneDecision,
+    ZoneFailover,
+    ZoneSettings,
+    ZoneState,
+)
+from tests.zones.fixtures import PAID, PLAN, SAFE, STAYS, fleet
 
 NOTICE = PLAN.spilling.notice_ms
 
 
-def made(home: int = 0, fronts: int = 1, plan: Plan = PLAN, halls: tuple[int, ...] = (0, 1, 2)) -> Halls:
-    machine = Halls(plan, 0, fronts, home, 1, Random(1), 0.0)
+def made(
+    home: int = 0, fronts: int = 1, plan: ZoneSettings = PLAN, halls: tuple[int, ...] = (0, 1, 2)
+) -> ZoneFailover:
+    machine = ZoneFailover(plan, 0, fronts, home, 1, Random(1), 0.0)
     machine.listed(0.0, fleet(*halls), True)
     return machine
 
 
-def lose(machine: Halls, now: float, *stay: int) -> float:
+def lose(machine: ZoneFailover, now: float, *stay: int) -> float:
     machine.listed(now, fleet(*stay), True)
     machine.look(now + NOTICE)
-    assert machine.sights[machine.home].state is State.DARK
+    assert machine.sights[machine.home].state is ZoneState.DARK
     return now + NOTICE
 
 
 def test_while_its_hall_is_up_a_session_plays_there_alone() -> None:
     ruling = made().ask(10.0, 1, SAFE)
-    assert ruling == Ruling(bars=(1, 2))
+    assert ruling == ZoneDecision(bars=(1, 2))
 
 
 def test_overflow_is_let_out_while_the_hall_is_up_and_behind_it() -> None:
@@ -44,7 +54,7 @@
 
 def test_a_title_that_its_hall_has_never_had_is_nobodys_to_bind() -> None:
     machine = made()
-    assert machine.ask(10.0, 1, SAFE, frozenset({4})) == Ruling()
+    assert machine.ask(10.0, 1, SAFE, frozenset({4})) == ZoneDecision()
     assert machine.ask(10.0, 2, SAFE, frozenset({1, 4})).bars == (1, 2)
 
 
@@ -60,7 +70,7 @@
     used = [machine.parts[n].used / 1e6 * limit for n, (_, limit) in enumerate(PLAN.limits)]
     assert used[0] <= 0.2 and used[1] <= 0.1 and used[3] <= 0.2
     assert used[0] > 0.2 - floor / links and used[1] > 0.1 - floor / links
-    assert machine.ask(now, 999, SAFE) == Ruling(bars=(0, 1, 2))  # at once: nowhere
+    assert machine.ask(now, 999, SAFE) == ZoneDecision(bars=(0, 1, 2))  # at once: nowhere
     for n in range(200):
         machine.over(now, n)
     assert [p.used for p in machine.parts] == [0] * len(machine.parts)
@@ -102,7 +112,7 @@
 
 
 def test_set_ups_a_second_into_a_hall_are_limited() -> None:
-    plan = replace(PLAN, intakes=(Intake(1, 0.0, per_s=5.0),), tiers=(Tier(0, 1, 1.0),))
+    plan = replace(PLAN, intakes=(IntakeLimit(1, 0.0, per_s=5.0),), tiers=(SpillTier(0, 1, 1.0),))
     machine = made(plan=plan)
     now = lose(machine, 1000.0, 1, 2)
     times = [now + 10 * n for n in range(400)]
@@ -115,11 +125,11 @@
 def test_the_ramp_of_all_fronts_together_is_the_halls_however_they_are_cut_apart() -> None:
     fronts, sent = 8, []
     for number in range(fronts):
-        machine = Halls(PLAN, number, fronts, 0, 1, Random(number), 0.0)
+        machine = ZoneFailover(PLAN, number, fronts, 0, 1, Random(number), 0.0)
         machine.listed(0.0, fleet(0, 1, 2), True)
         now = lose(machine, 1000.0, 1, 2)
         machine.listed(now, fleet(0, ready_at=now, first=100), True)
-        assert machine.sights[0].state is State.RETURNING
+        assert machine.sights[0].state is ZoneState.RETURNING
         for n in range(int(PLAN.spilling.ramp_ms / 10)):
             t = now + 10 * n
             ruling = machine.ask(t, n, STAYS)
@@ -173,7 +183,7 @@
         for n in range(4):
             machine.seen(float(t), n, Outcome.TIMEOUT)
         machine.look(float(t))
-    assert machine.sights[0].state is State.DARK
+    assert machine.sights[0].state is ZoneState.DARK
     assert 0 in machine.ask(9000.0, 1, PAID).bars
     assert 0 not in machine.ask(9000.0, 2, SAFE).bars
     assert 0 in machine.ask(9010.0, 3, SAFE).bars  # one at a time
@@ -188,28 +198,28 @@
 
 
 def test_orders_reach_all_and_outlive_a_restart_and_the_later_one_holds() -> None:
-    a, b = made(fronts=2), Halls(PLAN, 1, 2, 1, 1, Random(2), 0.0)
+    a, b = made(fronts=2), ZoneFailover(PLAN, 1, 2, 1, 1, Random(2), 0.0)
     a.members = b.members = (0, 1)
-    assert a.order(2, Order.HOLD, 100.0)
+    assert a.order(2, OperatorOverride.HOLD, 100.0)
     b.hear(1.0, 0, a.words(1.0, 1))
-    assert b.sights[2].order is Order.HOLD
-    assert not b.order(2, Order.NONE, 50.0)  # an earlier one that came late
-    again = Halls(PLAN, 1, 2, 1, 2, Random(2), 0.0, kept=b.to_keep())
+    assert b.sights[2].order is OperatorOverride.HOLD
+    assert not b.order(2, OperatorOverride.NONE, 50.0)  # an earlier one that came late
+    again = ZoneFailover(PLAN, 1, 2, 1, 2, Random(2), 0.0, kept=b.to_keep())
     again.look(2.0)
-    assert again.sights[2].state is State.DARK and again.show(2.0)["halls"][2]["held_out"]
-    assert again.order(2, Order.NONE, 200.0)
+    assert again.sights[2].state is ZoneState.DARK and again.show(2.0)["halls"][2]["held_out"]
+    assert again.order(2, OperatorOverride.NONE, 200.0)
     a.hear(3.0, 1, again.words(3.0, 0))
-    assert a.sights[2].order is Order.NONE
+    assert a.sights[2].order is OperatorOverride.NONE
 
 
 def test_of_another_plan_the_orders_alone_are_remembered() -> None:
     old = made(fronts=2)
-    old.order(1, Order.HOLD, 100.0)
+    old.order(1, OperatorOverride.HOLD, 100.0)
     old.parts[0].lend(1, 1000)
     other = replace(PLAN, tiers=PLAN.tiers[:1])
-    new = Halls(other, 0, 2, 0, 7, Random(1), 0.0, kept=old.to_keep())
-    assert new.sights[1].order is Order.HOLD and new.life == 7
-    assert new.parts[0].mine() == own_part(0, 2)
+    new = ZoneFailover(other, 0, 2, 0, 7, Random(1), 0.0, kept=old.to_keep())
+    assert new.sights[1].order is OperatorOverride.HOLD and new.life == 7
+    assert new.parts[0].mine() == equal_share(0, 2)
 
 
 @pytest.mark.parametrize("data", [b"\xff\xff", b"\x0a"])
@@ -257,8 +267,8 @@
     assert [p.mine() for p in machine.parts] == before  # nothing is lent without its plan and our life
 
 
-def hear_need(machine: Halls, now: float, limit: int) -> None:
-    other = Halls(PLAN, 1, machine.fronts, 2, 1, Random(9), 0.0)
+def hear_need(machine: ZoneFailover, now: float, limit: int) -> None:
+    other = ZoneFailover(PLAN, 1, machine.fronts, 2, 1, Random(9), 0.0)
     other.lives[0] = machine.life
     other.parts[limit].need = 1000
     machine.hear(now, 1, other.words(now, 0))
@@ -274,7 +284,7 @@
     machine.tick(now + 600)
     assert machine.moves == []  # its hall is not back
     machine.listed(now, fleet(0, 1, 2, ready_at=1.0), True)
-    while machine.sights[0].state is not State.UP:
+    while machine.sights[0].state is not ZoneState.UP:
         now += 500
         machine.tick(now)
     assert machine.moves == []  # nobody lacks room
--- a/tests/halls/test_sight.py
+++ b/tests/zones/test_monitor.py
@@ -6,21 +6,21 @@
 
 import pytest
 
-from lemonhall.halls import Order, Sight, State
-from tests.halls.worlds import PLAN, fleet, server
+from lemonhall.zones import OperatorOverride, ZoneMonitor, ZoneState
+from tests.zones.fixtures import PLAN, fleet, server
 
 NOTICE = PLAN.spilling.notice_ms
 OTHERS = fleet(1, 2)
 
 
-def sight(lines: int = 4) -> Sight:
-    made = Sight(PLAN, 0)
+def sight(lines: int = 4) -> ZoneMonitor:
+    made = ZoneMonitor(PLAN, 0)
     made.listed(0.0, fleet(0)[:lines], True, True)
     made.look(0.0)
     return made
 
 
-def run(made: Sight, since: float, until: float) -> list[State]:
+def run(made: ZoneMonitor, since: float, until: float) -> list[ZoneState]:
     """Looks each tenth of a notice; the states that it turned to."""
     found, now = [], since
     while now <= until:
@@ -33,7 +33,7 @@
 def test_a_list_that_names_no_server_of_it_and_others_is_a_loss_that_must_hold() -> None:
     made = sight()
     made.listed(1000.0, [], True, True)
-    assert run(made, 1000.0, 1000.0 + 3 * NOTICE) == [State.FAILING, State.DARK]
+    assert run(made, 1000.0, 1000.0 + 3 * NOTICE) == [ZoneState.FAILING, ZoneState.DARK]
     assert "the list names no ready server" in made.why
 
 
@@ -47,9 +47,9 @@
 def test_a_loss_of_less_than_a_notice_is_a_failing_hall_that_is_up_again() -> None:
     made = sight()
     made.listed(1000.0, [], True, True)
-    assert run(made, 1000.0, 1000.0 + NOTICE / 2) == [State.FAILING]
+    assert run(made, 1000.0, 1000.0 + NOTICE / 2) == [ZoneState.FAILING]
     made.listed(1000.0 + NOTICE / 2, fleet(0), True, True)
-    assert run(made, 1000.0 + NOTICE / 2, 1000.0 + 4 * NOTICE) == [State.UP]
+    assert run(made, 1000.0 + NOTICE / 2, 1000.0 + 4 * NOTICE) == [ZoneState.UP]
 
 
 def test_attempts_that_fail_on_one_rack_are_no_loss_of_a_hall() -> None:
@@ -83,20 +83,20 @@
 def test_an_announced_deploy_of_the_whole_hall_is_a_loss_without_a_failure() -> None:
     made = sight()
     made.listed(1000.0, [server(n, 0, n % 2, draining=True) for n in range(4)], True, True)
-    assert run(made, 1000.0, 1000.0 + 2 * NOTICE) == [State.FAILING, State.DARK]
+    assert run(made, 1000.0, 1000.0 + 2 * NOTICE) == [ZoneState.FAILING, ZoneState.DARK]
 
 
-def dark(made: Sight, at: float = 1000.0) -> float:
+def dark(made: ZoneMonitor, at: float = 1000.0) -> float:
     made.listed(at, [], True, True)
     run(made, at, at + 2 * NOTICE)
-    assert made.state is State.DARK
+    assert made.state is ZoneState.DARK
     return at + 2 * NOTICE
 
 
-def back(made: Sight, now: float, servers: int = 4) -> None:
+def back(made: ZoneMonitor, now: float, servers: int = 4) -> None:
     made.listed(now, fleet(0, ready_at=now, first=100)[:servers], True, True)
     made.look(now)
-    assert made.state is State.RETURNING
+    assert made.state is ZoneState.RETURNING
 
 
 def test_a_return_is_let_in_by_a_ramp_and_half_of_a_hall_at_half_the_pace() -> None:
@@ -107,7 +107,7 @@
     paces = [whole.pace(now + part * PLAN.spilling.ramp_ms) for part in (0.0, 0.25, 0.5, 0.9)]
     assert paces == sorted(paces) and paces[0] == pytest.approx(PLAN.cold_from / 0.5 * paces[2])
     assert half.pace(now) == pytest.approx(whole.pace(now) / 2)
-    assert run(whole, now, now + 1.1 * PLAN.spilling.ramp_ms) == [State.UP]
+    assert run(whole, now, now + 1.1 * PLAN.spilling.ramp_ms) == [ZoneState.UP]
 
 
 def test_flaps_make_the_return_slower_up_to_the_bound_and_are_forgotten() -> None:
@@ -120,23 +120,23 @@
     assert seen == [1, 2, 4, 4, 4]
     done = now + 5 * PLAN.spilling.ramp_ms
     run(made, now, done)
-    assert made.state is State.UP and made.flaps == 4
+    assert made.state is ZoneState.UP and made.flaps == 4
     run(made, done, done + 5 * PLAN.spilling.forget_ms)
     assert made.flaps == 0
 
 
 def test_a_hall_that_is_held_out_stays_out_until_it_is_released() -> None:
     made = sight()
-    made.order = Order.HOLD
-    assert run(made, 1000.0, 1000.0 + 5 * NOTICE) == [State.DARK] and made.why == "held out by order"
+    made.order = OperatorOverride.HOLD
+    assert run(made, 1000.0, 1000.0 + 5 * NOTICE) == [ZoneState.DARK] and made.why == "held out by order"
     assert not made.trial_due(1e6)
-    made.order = Order.NONE
-    assert run(made, 7000.0, 7000.0 + NOTICE) == [State.RETURNING]
+    made.order = OperatorOverride.NONE
+    assert run(made, 7000.0, 7000.0 + NOTICE) == [ZoneState.RETURNING]
 
 
 def test_a_dark_hall_that_is_still_listed_is_tried_ever_less_often_until_one_plays() -> None:
     made, now = sight(), 1000.0
-    while made.state is not State.DARK:
+    while made.state is not ZoneState.DARK:
         for n in range(4):
             made.bad(now, n)
         made.look(now)
@@ -152,10 +152,10 @@
     gaps = [b - a for a, b in zip(trials, trials[1:], strict=False)]
     assert gaps == sorted(gaps) and gaps[-1] == pytest.approx(4 * PLAN.spilling.trial_ms, abs=100)
     made.good(now, 1)
-    assert run(made, now, now + 3 * NOTICE)[:1] == [State.RETURNING]
+    assert run(made, now, now + 3 * NOTICE)[:1] == [ZoneState.RETURNING]
 
 
-def tell(made: Sight, now: float, state: State, progress: float = 0.0, voters: int = 4) -> None:
+def tell(made: ZoneMonitor, now: float, state: ZoneState, progress: float = 0.0, voters: int = 4) -> None:
     for front in range(voters):
         made.said(now, front, state, progress)
 
@@ -164,52 +164,52 @@
     blind, sees = sight(), sight()
     for now in range(20_000, 20_000 + int(3 * NOTICE), 100):
         for made in (blind, sees):
-            tell(made, now, State.DARK)
+            tell(made, now, ZoneState.DARK)
         sees.good(now, 1)
         blind.look(now)
         sees.look(now)
-    assert blind.state is State.DARK and sees.state is State.UP
+    assert blind.state is ZoneState.DARK and sees.state is ZoneState.UP
 
 
 def test_two_others_are_not_most() -> None:
     made = sight()
-    tell(made, 20_000.0, State.DARK, voters=2)
+    tell(made, 20_000.0, ZoneState.DARK, voters=2)
     assert made.look(20_000.0) is None
 
 
 def test_a_hall_that_is_dark_for_one_front_alone_is_dark_there_whatever_others_say() -> None:
     made, now = sight(), 10_000.0
     while now < 10_000 + 3 * NOTICE:
-        tell(made, now, State.UP)
+        tell(made, now, ZoneState.UP)
         for n in range(4):
             made.bad(now, n)
         made.look(now)
         now += 100
-    assert made.state is State.DARK and "attempts failed" in made.why
+    assert made.state is ZoneState.DARK and "attempts failed" in made.why
 
 
 def test_a_front_that_starts_in_the_outage_holds_what_it_never_saw_for_dark() -> None:
-    made = Sight(PLAN, 0)
+    made = ZoneMonitor(PLAN, 0)
     made.listed(0.0, [], True, True)
-    assert run(made, 0.0, NOTICE)[:1] == [State.DARK] and "never" in made.why
+    assert run(made, 0.0, NOTICE)[:1] == [ZoneState.DARK] and "never" in made.why
     back(made, 3 * NOTICE)
 
 
 def test_a_front_that_starts_in_the_return_takes_the_others_ramp() -> None:
     made = sight()
-    tell(made, 100.0, State.RETURNING, 0.5)
+    tell(made, 100.0, ZoneState.RETURNING, 0.5)
     change = made.look(100.0)
-    assert change and change.state is State.RETURNING
+    assert change and change.state is ZoneState.RETURNING
     assert made.progress(100.0) == pytest.approx(0.5)
     old = sight()
     old.look(10 * NOTICE)
-    tell(old, 10 * NOTICE, State.RETURNING, 0.5)
+    tell(old, 10 * NOTICE, ZoneState.RETURNING, 0.5)
     assert old.look(10 * NOTICE) is None  # it has seen the hall all along
 
 
 def test_no_order_of_events_makes_the_ramp_jump() -> None:
     plan = replace(PLAN, spilling=replace(PLAN.spilling, ramp_ms=1000.0))
-    made = Sight(plan, 0)
+    made = ZoneMonitor(plan, 0)
     made.listed(0.0, fleet(0), True, True)
     made.look(0.0)
     now = dark(made)
--- a/tests/halls/test_return.py
+++ b/tests/zones/test_recovery_ramp.py
@@ -11,9 +11,9 @@
 
 from lemonhall import decide
 from lemonhall.config.day import read_day
-from lemonhall.halls import Sight
-from lemonhall.limits.parts import Parts
+from lemonhall.limits.shares import LimitShare
 from lemonhall.model.played.world import Played, play
+from lemonhall.zones import ZoneMonitor
 
 DAYS = Path(__file__).parents[2] / "examples" / "days"
 MANY = ("mix /nile/browse/", "per-second", "80")
@@ -36,7 +36,7 @@
 ) -> None:
     paced = [played(name, seed) for seed in (1, 2, 3)]
     with monkeypatch.context() as planted:
-        planted.setattr(Sight, "pace", lambda self, now: 1e9)
+        planted.setattr(ZoneMonitor, "pace", lambda self, now: 1e9)
         days = [played(name, seed) for seed in (1, 2, 3)]
     assert any(p.report.halls["returned_pushed_over"] for p in days)
     assert any(p.report.broken["cold_pushed_over"] for p in days)
@@ -54,7 +54,7 @@
 def test_a_machine_that_lets_everybody_spill_is_seen_by_the_audit(monkeypatch: pytest.MonkeyPatch) -> None:
     kept = played("hall-dark", 4, make=decide.Front).report
     assert kept.halls["spilled_most"] <= kept.halls["spilled_allowed"]
-    monkeypatch.setattr(Parts, "free", lambda self: 1_000_000_000)
+    monkeypatch.setattr(LimitShare, "free", lambda self: 1_000_000_000)
     report = played("hall-dark", 4, make=decide.Front).report
     assert report.halls["spilled_most"] > report.halls["spilled_allowed"]
 
