--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -80,13 +80,13 @@
     fronts, servers, fault, apart, version, seed = job
     day = day_of(fronts, servers, fault, apart, version)
     told = day if version != "without" else day_of(fronts, servers, fault, apart, "halls")
-    pace = ZoneMonitor.pace
+    pace = ZoneMonitor.set_up_rate
     if version == "no ramp":
-        ZoneMonitor.pace = lambda self, now: 1e9  # type: ignore[method-assign]
+        ZoneMonitor.set_up_rate = lambda self, now: 1e9  # type: ignore[method-assign]
     try:
         played = play(day, seed)
     finally:
-        ZoneMonitor.pace = pace  # type: ignore[method-assign]
+        ZoneMonitor.set_up_rate = pace  # type: ignore[method-assign]
     # without the machine nothing is limited: what it would have been held against is the same
     found = of_halls(played.trace, replace(told, faults=day.faults))
     assert found
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -56,7 +56,7 @@
         for front in self.fronts:
             front.escrow.members = tuple(range(fronts))
             if not shared:
-                front.escrow.unheard.clear()
+                front.escrow.unreported.clear()
         self.ends: list[tuple[float, int, int]] = []
         self.asks = self.stands = 0
 
@@ -72,8 +72,8 @@
         flying, self.flying = self.flying, []
         for sender, to, data in flying if self.shared else ():
             front = self.fronts[to]
-            front.hear(self.now, sender, data)
-            if front.escrow.answer or front.escrow.recalled:
+            front.receive(self.now, sender, data)
+            if front.escrow.pending_replies or front.escrow.pending_recalls:
                 self.say(to)
         if round(self.now / (PERIOD / 10)) % (10 // TICKS_PER_PERIOD) == 0 and self.shared:
             for number in range(len(self.fronts)):
@@ -81,14 +81,16 @@
         for _ in range(self.draw(per_s * PERIOD / 10_000)):
             self.asks += 1
             front = self.fronts[busy]
-            if not front.ask(self.now, self.asks, 0, 0, "/a").refused and front.may(self.now, self.asks):
+            if not front.admit(self.now, self.asks, 0, 0, "/a").refused_by and front.may_start_set_up(
+                self.now, self.asks
+            ):
                 lasts = 1000 * self.random.uniform(*LASTING_S)
                 self.ends.append((self.now + lasts, busy, self.asks))
                 self.stands += 1
         over = [e for e in self.ends if e[0] <= self.now]
         self.ends = [e for e in self.ends if e[0] > self.now]
         for _, number, ask in over:
-            self.fronts[number].over(self.now, ask)
+            self.fronts[number].release(self.now, ask)
             self.stands -= 1
 
     def draw(self, mean: float) -> int:
@@ -108,7 +110,7 @@
         half = 2 * n // steps
         busy = (1 % fronts, fronts - 1)[half]
         fleet.step(busy, per_s)
-        held = fleet.fronts[busy].show(fleet.now)["limits"][0]["held"]
+        held = fleet.fronts[busy].status(fleet.now)["limits"][0]["held"]
         if not reached[half] and held + (fleet.stands if half else 0) >= 0.9 * amount:
             reached[half] = (n - half * steps / 2) * PERIOD / 10_000
         used.append(min(1.0, fleet.stands / amount))
--- a/lemonhall/cli/serve.py
+++ b/lemonhall/cli/serve.py
@@ -79,7 +79,7 @@
     say({"serving": daemon.host})
     run(daemon)
     if limits := daemon.asks.limits:
-        say(limits.machine.show(limits.now()))
+        say(limits.machine.status(limits.now()))
 
 
 def log_format() -> str:
--- a/lemonhall/front/deciding/asks.py
+++ b/lemonhall/front/deciding/asks.py
@@ -202,7 +202,7 @@
         self.waiting[ask.number] = verdict
         made = self.returning.ask(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
         if made:
-            self.let(made.number, made.pause_ms)
+            self.let(made.request_id, made.retry_after_ms)
 
     def let(self, number: int, pause_ms: float | None) -> None:
         """An ask that was held back: on with it, or it is wished away with a pause."""
@@ -244,11 +244,11 @@
         said = ask.said
         moved = said.session if said.moved else ""
         ruling = limits.ask(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
-        advice = i.Advice(cap=ruling.cap)
-        if ruling.refused:
+        advice = i.Advice(cap=ruling.rung_cap)
+        if ruling.refused_by:
             self.counts["over_limit"] += 1
-            ask.reason = f"limit {ruling.refused}"
-            advice = i.Advice(refuse=True, pause_ms=max(1.0, ruling.pause_ms))
+            ask.reason = f"limit {ruling.refused_by}"
+            advice = i.Advice(refuse=True, pause_ms=max(1.0, ruling.retry_after_ms))
         ask.advice = merge(ask.advice, advice)
 
     def new_session(self, ask: Ask, left_ms: float, ran: bool) -> i.NewSession:
--- a/lemonhall/front/deciding/halls.py
+++ b/lemonhall/front/deciding/halls.py
@@ -64,19 +64,19 @@
     # what is seen
 
     def listed(self, servers: list[i.Server], fresh: bool) -> None:
-        self.machine.listed(self.now(), servers, fresh)
+        self.machine.on_list(self.now(), servers, fresh)
         self.tell_changes()
 
     def view(self, view: MembershipView) -> None:
         self.machine.members = view.members
 
     def seen(self, server: int, outcome: Outcome) -> None:
-        self.machine.seen(self.now(), server, outcome)
+        self.machine.on_attempt_result(self.now(), server, outcome)
 
     def heard(self, message: Any) -> None:
-        self.machine.hear(self.now(), message.sender, message.halls)
+        self.machine.receive(self.now(), message.sender, message.halls)
         self.tell_changes()
-        if self.machine.answer:
+        if self.machine.pending_replies:
             self.send(self.machine.tick(self.now()))
 
     # asks
@@ -85,20 +85,20 @@
         row = None
         if cells < self.cells:
             row = frozenset((first + n) % self.cells for n in range(cells))
-        ruling = self.machine.ask(self.now(), ask, cls, row)
-        return i.Advice(prefer=ruling.prefer, cap=ruling.cap, bars=ruling.bars)
+        ruling = self.machine.choose_zones(self.now(), ask, cls, row)
+        return i.Advice(prefer=ruling.preferred, cap=ruling.rung_cap, bars=ruling.barred)
 
     def set_up(self, ask: int, server: int) -> None:
-        self.machine.set_up(self.now(), ask, server)
+        self.machine.on_set_up(self.now(), ask, server)
 
     def playing(self, ask: int, server: int) -> None:
-        self.machine.playing(self.now(), ask, server)
+        self.machine.on_playing(self.now(), ask, server)
 
     def carried(self, ask: int, cls: int, rung: int, server: int) -> None:
-        self.machine.carried(self.now(), ask, cls, rung, server)
+        self.machine.restore_session(self.now(), ask, cls, rung, server)
 
     def over(self, ask: int) -> None:
-        self.machine.over(self.now(), ask)
+        self.machine.release(self.now(), ask)
 
     # words
 
@@ -107,11 +107,11 @@
         self.tell_changes()
         for ask in self.moves():
             self.on_move(ask)
-        self.timer = self.loop.call_later(TICK_PART * self.machine.period() / 1000, self.tick)
+        self.timer = self.loop.call_later(TICK_PART * self.machine.message_period_ms() / 1000, self.tick)
 
     def moves(self) -> list[int]:
         """Asks that had better come home, each told once."""
-        found, self.machine.moves = self.machine.moves, []
+        found, self.machine.pending_moves = self.machine.pending_moves, []
         return found
 
     def send(self, words: list[Any]) -> None:
@@ -121,10 +121,10 @@
         if not self.machine.dirty:
             self.leave(words)
         elif self.disk is None:
-            self.machine.to_keep()
+            self.machine.serialize()
             self.leave(words)
         else:
-            self.disk.save_halls(self.machine.to_keep(), lambda why: self.leave(words) if not why else None)
+            self.disk.save_halls(self.machine.serialize(), lambda why: self.leave(words) if not why else None)
 
     def leave(self, words: list[Any]) -> None:
         if self.carrier is None or self.stopped:
@@ -133,24 +133,24 @@
             self.carrier.tell_front(out.to, Message(kind=HALLS, sender=self.carrier.number, halls=out.data))
 
     def tell_changes(self) -> None:
-        changes, self.machine.changes = self.machine.changes, []
+        changes, self.machine.state_changes = self.machine.state_changes, []
         for change in changes:
-            log.warning("hall", hall=change.hall, state=change.state.name.lower(), why=change.why)
-            self.said(f"{change.hall} is {change.state.name.lower()}: {change.why}")
+            log.warning("hall", hall=change.zone, state=change.state.name.lower(), why=change.reason)
+            self.said(f"{change.zone} is {change.state.name.lower()}: {change.reason}")
 
     # operators
 
     def page(self) -> tuple[int, str, bytes]:
-        shown = self.machine.show(self.now())
+        shown = self.machine.status(self.now())
         return 200, "application/json", json.dumps(shown).encode() + b"\n"
 
     def order(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
         """An operator's order, which goes to all fronts and is kept over a restart."""
-        names = self.machine.plan.halls
+        names = self.machine.settings.zones
         if hall not in names:
             return 404, "text/plain", f"no hall {hall!r}; there are {' '.join(names)}\n".encode()
-        self.machine.order(names.index(hall), what, self.wall() * 1000)
-        self.machine.answer |= set(self.machine.members) - {self.machine.number}
+        self.machine.set_override(names.index(hall), what, self.wall() * 1000)
+        self.machine.pending_replies |= set(self.machine.members) - {self.machine.number}
         self.send(self.machine.tick(self.now()))
         self.tell_changes()
         return self.page()
--- a/lemonhall/front/deciding/limits.py
+++ b/lemonhall/front/deciding/limits.py
@@ -61,43 +61,43 @@
     def view(self, view: MembershipView, twin: bool) -> None:
         escrow = self.machine.escrow
         escrow.members = view.members
-        if escrow.twin != twin:
-            escrow.twin = twin
-            escrow.agree()
+        if escrow.duplicate_member != twin:
+            escrow.duplicate_member = twin
+            escrow.recompute_shares()
 
     def settle(self, plan: LimitSettings) -> None:
-        self.machine.settle(plan)
+        self.machine.apply_settings(plan)
 
     # asks
 
     def ask(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> AdmissionDecision:
         """`moved`: the session, if it has left a server and asks again."""
-        if moved and self.machine.unpark(self.now(), ask, moved):
+        if moved and self.machine.resume_after_move(self.now(), ask, moved):
             return AdmissionDecision()
         if self.stopped:
             return RELIEVED
-        ruling = self.machine.ask(self.now(), ask, partner, cls, title, top)
-        if ruling.refused:
-            self.said(f"limit {ruling.refused}: no room", ask)
+        ruling = self.machine.admit(self.now(), ask, partner, cls, title, top)
+        if ruling.refused_by:
+            self.said(f"limit {ruling.refused_by}: no room", ask)
         self.obey()
         return ruling
 
     def may(self, ask: int) -> bool:
-        fine = self.machine.may(self.now(), ask)
+        fine = self.machine.may_start_set_up(self.now(), ask)
         self.obey()
         return fine
 
     def over(self, ask: int) -> None:
-        self.machine.over(self.now(), ask)
+        self.machine.release(self.now(), ask)
 
     def park(self, ask: int, session: str) -> None:
-        self.machine.park(self.now(), ask, session)
+        self.machine.hold_for_move(self.now(), ask, session)
 
     def carried(self, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
-        self.machine.carried(self.now(), ask, partner, cls, title, rung)
+        self.machine.restore_session(self.now(), ask, partner, cls, title, rung)
 
     def obey(self) -> None:
-        ends, self.machine.ends = self.machine.ends, []
+        ends, self.machine.sessions_to_end = self.machine.sessions_to_end, []
         for ask in ends:
             self.said("its room was lent, and the loan is over", ask)
             self.on_end(ask, "loan of room over")
@@ -107,13 +107,15 @@
     def tick(self) -> None:
         self.leave(self.machine.tick(self.now()))
         self.obey()
-        self.timer = self.loop.call_later(self.machine.plan.period_ms / TICKS_PER_PERIOD / 1000, self.tick)
+        self.timer = self.loop.call_later(
+            self.machine.settings.period_ms / TICKS_PER_PERIOD / 1000, self.tick
+        )
 
     def heard(self, message: Any) -> None:
         if self.stopped:
             return
-        self.machine.hear(self.now(), message.sender, message.limits)
-        if self.machine.escrow.answer or self.machine.escrow.recalled:
+        self.machine.receive(self.now(), message.sender, message.limits)
+        if self.machine.escrow.pending_replies or self.machine.escrow.pending_recalls:
             self.leave(self.machine.tick(self.now()))
         self.obey()
 
@@ -126,13 +128,13 @@
     # operators
 
     def page(self) -> tuple[int, str, bytes]:
-        return 200, "application/json", json.dumps(self.machine.show(self.now())).encode() + b"\n"
+        return 200, "application/json", json.dumps(self.machine.status(self.now())).encode() + b"\n"
 
     def forget(self, front: str) -> tuple[int, str, bytes]:
         """An operator's word that a front is gone for good; it goes to all fronts."""
         if not front.isdecimal():
             return 400, "text/plain", b"fronts are named by their numbers\n"
-        why = self.machine.escrow.forget(self.now(), int(front))
+        why = self.machine.escrow.forget_front(self.now(), int(front))
         if why:
             return 409, "text/plain", why.encode() + b"\n"
         log.warning("front forgotten", front=int(front))
--- a/lemonhall/front/deciding/membership.py
+++ b/lemonhall/front/deciding/membership.py
@@ -94,7 +94,7 @@
         )
         self.share = FrontCount(number, fronts, self.now_ms())
         if told:
-            self.share.told = told
+            self.share.reported = told
             tell(i.Fleet(*told))
         self.bad = 0
         self.version = 0
@@ -158,7 +158,7 @@
 
     def greet(self) -> None:
         """Asks the seeds who is there, out of turn."""
-        self.send(self.machine.greet(self.now_ms()))
+        self.send(self.machine.request_join(self.now_ms()))
 
     def tell_front(self, number: int, message: Any) -> bool:
         """Sends to a front by its number. False if it is not known to be there."""
@@ -176,14 +176,16 @@
         """One timer, for whatever the machine has to do next; then a look at what the module should know."""
         if self.timer:
             self.timer.cancel()
-        wait = min(1000.0, max(1.0, self.machine.due() - self.now_ms()))
+        wait = min(1000.0, max(1.0, self.machine.next_tick_at() - self.now_ms()))
         self.timer = self.loop.call_later(wait / 1000, self.on_due)
         view = self.machine.view()
         if view.version != self.version:
             self.version = view.version
-            log.info("members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.conflict)
+            log.info(
+                "members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.duplicate_number
+            )
             self.on_view(view)
-        if told := self.share.look(view, self.now_ms()):
+        if told := self.share.update(view, self.now_ms()):
             self.tell(i.Fleet(*told))
             self.on_share(told[0])
 
@@ -227,8 +229,8 @@
             "number": self.number,
             "members": view.members,
             "cut_off": view.cut_off,
-            "twin": self.machine.conflict,
-            "told": {"fronts": self.share.told[0], "rank": self.share.told[1]},
+            "twin": self.machine.duplicate_number,
+            "told": {"fronts": self.share.reported[0], "rank": self.share.reported[1]},
             "incarnation": self.machine.incarnation,
             "health": self.machine.health,
             "states": {m.number: m.state.name.lower() for m in self.machine.members.values()},
--- a/lemonhall/front/deciding/returning.py
+++ b/lemonhall/front/deciding/returning.py
@@ -19,7 +19,7 @@
 from lemonhall.members.members_pb2 import RECOVERY, Message
 from lemonhall.recovery import AdmissionResult, OutgoingMessage, Phase, Recovery, StoreTrust
 from lemonhall.recovery.recovery_pb2 import Entry
-from lemonhall.recovery.server_pages import pages
+from lemonhall.recovery.server_pages import build_pages
 
 log = structlog.get_logger("lemonhall.front")
 WITNESS_PERIODS = 2.0  # in which others are waited for, at the start, to speak of the store
@@ -53,7 +53,7 @@
             if one.heard_at < now - MINUTE_MS:
                 entry.heard_ms_ago = 0
         entries.append(entry)
-    return pages(entries, boxes.as_of_ms, boxes.version) if entries else []
+    return build_pages(entries, boxes.as_of_ms, boxes.version) if entries else []
 
 
 def list_of(page: Any) -> Update:
@@ -93,11 +93,11 @@
         self.on_full: Callable[[float], object] = lambda after_s: None
         self.on_handed: Callable[[Any], object] = lambda page: None
         if keeper:
-            machine.recall(keeper.load_return() or b"")
-            keeper.keep = machine.to_keep
+            machine.restore(keeper.load_return() or b"")
+            keeper.keep = machine.serialize
         if members:
             members.on_return = self.heard
-            members.on_share = machine.told
+            members.on_share = machine.set_front_count
             self.view(members.machine.view())
 
     # the store, before anything of it is used
@@ -106,24 +106,33 @@
         """Runs the loop until others have said whether the store is the last one, or have not in time. One
         that is not is put aside. Nothing is asked about a store that was only made now, nor where there are
         no members."""
-        if self.keeper is None or self.members is None or self.keeper.made or not self.machine.phases.others:
+        if (
+            self.keeper is None
+            or self.members is None
+            or self.keeper.made
+            or not self.machine.phases.other_fronts
+        ):
             return
         began = self.now()
-        self.machine.question(began, max(WITNESS_LEAST_MS, WITNESS_PERIODS * period_ms))
+        self.machine.query_checkpoints(began, max(WITNESS_LEAST_MS, WITNESS_PERIODS * period_ms))
         self.loop.call_soon(self.tick)
         self.greet()
-        self.loop.run(until=lambda: self.machine.trust is not StoreTrust.WAITING)
-        witnesses = self.machine.witnesses
+        self.loop.run(until=lambda: self.machine.store_trust is not StoreTrust.WAITING)
+        witnesses = self.machine.checkpoint_query
         assert witnesses
         answers, waited = len(witnesses.answers), round(self.now() - began)
-        log.info("store asked about", trust=self.machine.trust.value, answers=answers, waited_ms=waited)
-        if self.machine.trust is not StoreTrust.SOUND:
+        log.info("store asked about", trust=self.machine.store_trust.value, answers=answers, waited_ms=waited)
+        if self.machine.store_trust is not StoreTrust.SOUND:
             later = max((m for m in witnesses.answers.values() if m), default=None)
-            self.keeper.disown(later if self.machine.trust is StoreTrust.OLDER else None)
+            self.keeper.disown(later if self.machine.store_trust is StoreTrust.OLDER else None)
 
     def greet(self) -> None:
         """A fleet that starts together finds itself sooner than by the members' periods."""
-        if self.members and self.machine.trust is StoreTrust.WAITING and not self.machine.asked_at:
+        if (
+            self.members
+            and self.machine.store_trust is StoreTrust.WAITING
+            and not self.machine.query_attempts
+        ):
             self.members.greet()
             self.loop.call_later(self.greet_ms * (0.5 + self.machine.random.random()) / 1000, self.greet)
             self.greet_ms = min(GREET_MOST_MS, 2 * self.greet_ms)
@@ -141,34 +150,34 @@
 
     def sign(self, as_of_ms: float, servers: int) -> None:
         """Of the list's life. `as_of_ms`: when it was true; 0: now."""
-        self.machine.listed(self.now(), as_of_ms or self.now(), servers)
+        self.machine.on_list(self.now(), as_of_ms or self.now(), servers)
         self.went()
 
     def view(self, view: MembershipView) -> None:
-        self.machine.view(self.now(), view.members)
+        self.machine.on_view(self.now(), view.members)
         if self.timer:
             self.tick()
 
     def heard(self, message: Any) -> None:
-        self.send(self.machine.hear(self.now(), message.sender, message.recovery))
+        self.send(self.machine.receive(self.now(), message.sender, message.recovery))
         self.went()
 
     def want(self) -> None:
         """Nothing is known of servers: others are asked."""
         if self.members:
-            self.machine.want(self.now())
+            self.machine.query_server_pages(self.now())
 
     # asks
 
     def ask(self, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `let` will be told."""
-        made = self.machine.ask(self.now(), number, worth, left_ms)
+        made = self.machine.admit(self.now(), number, worth, left_ms)
         if made is None:
             self.arm()
         return made
 
     def drop(self, number: int) -> None:
-        self.machine.drop(number)
+        self.machine.cancel(number)
 
     # time
 
@@ -176,26 +185,26 @@
         words, lets = self.machine.tick(self.now())
         self.send(words)
         for let in lets:
-            self.let(let.number, let.pause_ms)
+            self.let(let.request_id, let.retry_after_ms)
         self.went()
 
     def went(self) -> None:
         """Phases that were entered are said; the timer is set for whatever comes next."""
-        for page in self.machine.handed:
+        for page in self.machine.received_pages:
             self.on_handed(page)
-        self.machine.handed.clear()
-        entered, self.machine.entered = self.machine.entered, []
+        self.machine.received_pages.clear()
+        entered, self.machine.entered_phases = self.machine.entered_phases, []
         for one in entered:
             words = f"{one.phase.name.lower()} after {one.after_ms / 1000:.2f} s"
-            words += f", without {one.lacks}" if one.lacks else ""
+            words += f", without {one.missing}" if one.missing else ""
             gate = self.machine.gate
             log.info(
                 "phase",
-                pace=round(gate.per_s, 1) if gate.per_s < inf else None,
-                waiting=len(gate.held),
+                pace=round(gate.rate_per_s, 1) if gate.rate_per_s < inf else None,
+                waiting=len(gate.waiting),
                 phase=one.phase.name.lower(),
                 after_s=round(one.after_ms / 1000, 2),
-                lacks=one.lacks,
+                lacks=one.missing,
             )
             self.said(words)
             if one.phase is Phase.FULL:
@@ -206,7 +215,7 @@
         if self.timer:
             self.timer.cancel()
         if not self.stopped:
-            wait_s = max(0.001, (self.machine.due() - self.now()) / 1000)
+            wait_s = max(0.001, (self.machine.next_tick_at() - self.now()) / 1000)
             self.timer = self.loop.call_later(wait_s, self.tick)
 
     def send(self, words: list[OutgoingMessage]) -> None:
@@ -219,7 +228,7 @@
     # what is shown
 
     def show(self) -> dict[str, Any]:
-        return self.machine.show(self.now())
+        return self.machine.status(self.now())
 
     def page(self) -> tuple[int, str, bytes]:
         """`/health`: 200 while the process serves at all, with how far it has come back."""
--- a/lemonhall/front/guarding/guard.py
+++ b/lemonhall/front/guarding/guard.py
@@ -125,7 +125,7 @@
             "born_ms": d.list.list.born_ms,
             "clock": [d.start_wall_ms, d.start],
             "fleet": list(d.membership.share.told) if d.membership else None,
-            "limits": handover.text(d.asks.limits.machine.escrow.state()) if d.asks.limits else "",
+            "limits": handover.text(d.asks.limits.machine.escrow.handover_state()) if d.asks.limits else "",
         }
         assert self.channel
         self.channel.send(message, fds)
@@ -261,7 +261,7 @@
     def ended(self) -> None:
         self.carry_out(self.taker.gone())
         if self.daemon.asks.limits:
-            self.daemon.asks.limits.machine.carried_all()
+            self.daemon.asks.limits.machine.finish_handover()
         if self.taker.serving:
             log.info("the old front has ended", viewers=self.took)
 
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/beside.py
@@ -86,7 +86,7 @@
             self.front.membership.on_view = self.front.seen
         self.front.list.on_sign = lambda as_of: desk.sign(as_of, len(self.front.list.list.boxes))
         self.front.list.wait_s = lambda: machine.list_wait_ms() / 1000
-        machine.giving.know = self.known
+        machine.page_server.build = self.known
         desk.on_handed = self.handed
         if anew:
             self.front.list.load_cache()
@@ -137,8 +137,8 @@
             int(self.front.wall() * 1000),
             Random(s.seed),
             now,
-            remembers=kept is not None,
-            kept=kept or b"",
+            state_complete=kept is not None,
+            saved_state=kept or b"",
         )
         halls = self.front.asks.halls = HallsDesk(
             self.front.loop,
@@ -176,7 +176,7 @@
             and self.front.taken.message
             and (state := self.front.taken.message.get("limits"))
         ):
-            machine.take_over(now, b64decode(state))
+            machine.restore_state(now, b64decode(state))
         desk = self.front.asks.limits = LimitsDesk(
             self.front.loop, machine, self.front.membership, said=self.limit_said
         )
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -255,7 +255,7 @@
                 read_keys(s.members.keys),
                 self.bridge.tell,
                 SystemRandom(),
-                SwimConfig(period_ms=s.members.period_ms, answer_ms=0.3 * s.members.period_ms),
+                SwimConfig(period_ms=s.members.period_ms, ack_timeout_ms=0.3 * s.members.period_ms),
                 taken.members,
                 tuple(taken.message["fleet"]) if taken.message and taken.message["fleet"] else None,
                 s.members.via,
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/shown.py
@@ -151,7 +151,7 @@
         held = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
         refused = CounterMetricFamily("lemonhall_limit_refused", "Told that it is full", labels=["limit"])
         if desk := self.front.asks.limits:
-            for told in desk.machine.show(desk.now())["limits"]:
+            for told in desk.machine.status(desk.now())["limits"]:
                 refused.add_metric([told["limit"]], told["refused"])
                 for what in ("goes_by", "used", "held", "borrowed", "lent", "needed", "others", "off_most"):
                     if what in told:
--- a/lemonhall/limits/__init__.py
+++ b/lemonhall/limits/__init__.py
@@ -5,11 +5,11 @@
 from lemonhall.limits.settings import Limit, LimitKind, LimitSettings, LimitUnit
 
 __all__ = [
-    "LimitKind",
-    "Limit",
+    "AdmissionDecision",
     "FleetLimits",
-    "OutgoingMessage",
+    "Limit",
+    "LimitKind",
     "LimitSettings",
-    "AdmissionDecision",
     "LimitUnit",
+    "OutgoingMessage",
 ]
--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        plan: LimitSettings,
+        settings: LimitSettings,
         number: int,
         fronts: int,
         life: int,
@@ -82,57 +82,57 @@
         now: float,
         fresh: bool = True,
     ) -> None:
-        self.plan, self.number, self.own_fronts = plan, number, fronts
+        self.settings, self.number, self.own_fronts = settings, number, fronts
         self.life, self.random, self.fresh = life, random, fresh
         self.fronts = fronts
         self.numbers = [0]
-        self.unheard = set(range(fronts)) - {number}
-        self.open_at = now + plan.open_ms
-        self.rooms: dict[Key, LocalLimit] = {}
+        self.unreported = set(range(fronts)) - {number}
+        self.open_at = now + settings.open_ms
+        self.local_limits: dict[Key, LocalLimit] = {}
         self.links: dict[int, set[Key]] = {}  # by front: what is lent or held between it and this one
         self.peers: dict[int, Peer] = {}
         self.stale: set[int] = set()  # lenders on whose loans nothing new may be set up
         self.orphans: list[tuple[float, Key, int]] = []  # loans to lives that are over: until when, what
         self.forgotten: set[int] = set()  # gone for good, by an operator's word: their parts are the others'
         self.members: tuple[int, ...] = ()
-        self.twin = False  # another process goes by this number: the own part may be its
-        self.answer: set[int] = set()
-        self.recalled: set[int] = set()  # borrowers that are to give back what is free
+        self.duplicate_member = False  # another process goes by this number: the own part may be its
+        self.pending_replies: set[int] = set()
+        self.pending_recalls: set[int] = set()  # borrowers that are to give back what is free
         self.short: dict[Key, float] = {}
         self.stamp = 0
         self.due = -inf  # the next time that a lease may end
-        self.next_round = now + plan.period_ms * random.random()
+        self.next_round = now + settings.period_ms * random.random()
         self.budget = float(WORDS_A_PERIOD)
         self.counts = Counter[str]()
         self.drawn: dict[int, list[int]] = {}
         self.soft: dict[int, Counters] = {}
         self.soft_used = Counter[int]()
-        self.settle(plan)
+        self.apply_settings(settings)
 
     # settings
 
-    def settle(self, plan: LimitSettings) -> None:
+    def apply_settings(self, settings: LimitSettings) -> None:
         """Other settings: of two amounts the smaller one holds until every front has the new one."""
-        before = {limit.ident: limit.amount for limit in self.plan.limits}
+        before = {limit.ident: limit.amount for limit in self.settings.limits}
         for front in set(range(self.own_fronts)) - {self.number}:
             amounts = self.peers.setdefault(front, Peer()).amounts
             for ident, amount in before.items():
                 amounts.setdefault(ident, amount)
-        self.plan = plan
-        self.by_ident = {limit.ident: limit for limit in plan.limits}
-        for key, room in self.rooms.items():
+        self.settings = settings
+        self.by_ident = {limit.ident: limit for limit in settings.limits}
+        for key, room in self.local_limits.items():
             room.limit = self.by_ident.get(key[0], room.limit)  # one that is gone is paid back as it was
-        for m in plan.limits:
+        for m in settings.limits:
             if m.kind is LimitKind.SOFT:
-                counters = self.soft.setdefault(m.ident, Counters(m, plan.period_ms))
+                counters = self.soft.setdefault(m.ident, Counters(m, settings.period_ms))
                 counters.limit = m
         self.soft = {ident: c for ident, c in self.soft.items() if ident in self.by_ident}
-        self.agree()
-        for m in plan.limits:
+        self.recompute_shares()
+        for m in settings.limits:
             if m.kind is LimitKind.PACED:
                 self.room(m, 0)
 
-    def agree(self) -> None:
+    def recompute_shares(self) -> None:
         """Goes by the smallest amount, and the greatest number of fronts, that any front has said.
 
         Without those that are forgotten the parts of the others only grow, and add up to the limit: it makes
@@ -141,12 +141,12 @@
         self.fronts = max([self.own_fronts, *(p.fronts for p in self.peers.values())])
         self.amounts = {
             m.ident: min([m.amount, *(p.amounts.get(m.ident, m.amount) for p in self.peers.values())])
-            for m in self.plan.limits
+            for m in self.settings.limits
         }
         self.there = sorted(set(range(self.fronts)) - self.gone())
         self.share, self.drawn = len(self.there), {}
-        self.away = self.twin or any(self.number in p.forgotten for p in self.peers.values())
-        for room in self.rooms.values():
+        self.away = self.duplicate_member or any(self.number in p.forgotten for p in self.peers.values())
+        for room in self.local_limits.values():
             self.cut(room)
 
     def gone(self) -> set[int]:
@@ -171,18 +171,18 @@
 
     def room(self, limit: Limit, title: int) -> LocalLimit:
         key = limit.ident, title if limit.each_title else 0
-        found = self.rooms.get(key)
+        found = self.local_limits.get(key)
         if found is None:
-            parts = LimitShare(0, self.unheard, self.numbers)
-            span = SPAN_PERIODS * self.plan.period_ms
-            found = LocalLimit(limit, key[1], parts, Demand(span), self.plan.period_ms, limit.amount)
-            self.rooms[key] = found
+            parts = LimitShare(0, self.unreported, self.numbers)
+            span = SPAN_PERIODS * self.settings.period_ms
+            found = LocalLimit(limit, key[1], parts, Demand(span), self.settings.period_ms, limit.amount)
+            self.local_limits[key] = found
             self.cut(found)
         return found
 
     # leases
 
-    def wake(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Before anything is decided: what has ended while this process did not run, has ended."""
         if now >= self.due:
             self.look(now)
@@ -192,17 +192,17 @@
         for front, keys in list(self.links.items()):
             peer = self.peers[front]
             asked = peer.asked / 1000
-            (self.stale.add if now - asked >= self.plan.usable_ms() else self.stale.discard)(front)
+            (self.stale.add if now - asked >= self.settings.usable_ms() else self.stale.discard)(front)
             if front not in self.stale:
-                self.due = min(self.due, asked + self.plan.usable_ms())
+                self.due = min(self.due, asked + self.settings.usable_ms())
             for key in list(keys):
-                room = self.rooms[key]
+                room = self.local_limits[key]
                 self.pace(now, room)
-                ends, back = self.plan.stands_ms(room.limit), self.plan.back_ms(room.limit)
+                ends, back = self.settings.stands_ms(room.limit), self.settings.back_ms(room.limit)
                 if (loan := room.parts.held.get(front)) and loan.amount:
                     if now - asked >= ends:
                         self.counts["lapsed"] += 1
-                        self.lapsed(key, room.parts.lapse(front))
+                        self.record_expired(key, room.parts.lapse(front))
                     else:
                         self.due = min(self.due, asked + ends)
                 if front in room.parts.lent:
@@ -214,18 +214,18 @@
                 self.unlink(front, key)
         for until, key, amount in [o for o in self.orphans if o[0] < now]:
             self.orphans.remove((until, key, amount))
-            self.rooms[key].orphaned -= amount
-            self.cut(self.rooms[key])
+            self.local_limits[key].orphaned -= amount
+            self.cut(self.local_limits[key])
         self.due = min([self.due, *(until for until, _, _ in self.orphans)])
-        if self.unheard and now >= self.open_at:
-            self.unheard.clear()
-            for key, room in self.rooms.items():
-                room.parts.unheard.clear()
-                self.lapsed(key, inf)
-        elif self.unheard:
+        if self.unreported and now >= self.open_at:
+            self.unreported.clear()
+            for key, room in self.local_limits.items():
+                room.parts.unreported.clear()
+                self.record_expired(key, inf)
+        elif self.unreported:
             self.due = min(self.due, self.open_at)
 
-    def lapsed(self, key: Key, units: float) -> None:
+    def record_expired(self, key: Key, units: float) -> None:
         self.short[key] = self.short.get(key, 0) + units
 
     def link(self, front: int, key: Key) -> None:
@@ -233,7 +233,7 @@
         self.due = -inf
 
     def unlink(self, front: int, key: Key) -> None:
-        parts = self.rooms[key].parts
+        parts = self.local_limits[key].parts
         if front not in parts.lent and front not in parts.held:
             self.links[front].discard(key)
             if not self.links[front]:
@@ -253,21 +253,21 @@
 
     def tick(self, now: float) -> list[OutgoingMessage]:
         """Each moment; a round of words each period, needs and answers at once."""
-        self.wake(now)
-        to: dict[int, bool] = dict.fromkeys(self.answer, False)
-        self.answer = set()
+        self.expire_leases(now)
+        to: dict[int, bool] = dict.fromkeys(self.pending_replies, False)
+        self.pending_replies = set()
         if now >= self.next_round:
-            self.next_round = now + self.plan.period_ms
+            self.next_round = now + self.settings.period_ms
             self.budget = float(WORDS_A_PERIOD)
             for front, wants in self.round(now).items():
                 to[front] = to.get(front, False) or wants
-        if self.unheard and self.budget > 0:
-            some = sorted(self.unheard)
+        if self.unreported and self.budget > 0:
+            some = sorted(self.unreported)
             for front in self.random.sample(some, min(FANOUT, len(some))):
                 to[front] = True
-        for front in (*self.whom_to_ask(now), *sorted(self.recalled)[:FANOUT]):
+        for front in (*self.whom_to_ask(now), *sorted(self.pending_recalls)[:FANOUT]):
             to[front] = True
-        self.recalled -= set(to)
+        self.pending_recalls -= set(to)
         out = []
         for front, wants in to.items():
             if front in self.members or not self.members:
@@ -278,13 +278,15 @@
     def round(self, now: float) -> dict[int, bool]:
         """Who is told in this period: lenders, those whose loan ends first before others; who must hear of
         an open loan; one at random."""
-        for room in self.rooms.values():
+        for room in self.local_limits.values():
             self.pace(now, room)
             room.ease(now)
             self.pace(now, room)
         self.sweep(now)
         self.welcome_back()
-        held = [f for f, keys in self.links.items() if any(f in self.rooms[k].parts.held for k in keys)]
+        held = [
+            f for f, keys in self.links.items() if any(f in self.local_limits[k].parts.held for k in keys)
+        ]
         held.sort(key=lambda f: self.peers[f].asked)
         to = dict.fromkeys(held[:RENEWALS], True)
         open_to = [f for f in self.links if f not in to and self.opened(f)]
@@ -295,21 +297,21 @@
         return to
 
     def opened(self, front: int) -> bool:
-        parts = (self.rooms[k].parts for k in self.links[front])
+        parts = (self.local_limits[k].parts for k in self.links[front])
         return any(p.waits(p.lent, front) or p.waits(p.held, front) for p in parts)
 
     def sweep(self, now: float) -> None:
-        for key in [k for k, room in self.rooms.items() if room.idle(now)]:
-            del self.rooms[key]
+        for key in [k for k, room in self.local_limits.items() if room.idle(now)]:
+            del self.local_limits[key]
 
     def wanting(self) -> list[Key]:
-        return [k for k, room in self.rooms.items() if room.parts.need]
+        return [k for k, room in self.local_limits.items() if room.parts.need]
 
     def whom_to_ask(self, now: float) -> list[int]:
         """Lenders for what is needed: who said that they could spare most, then those not yet asked."""
         found: dict[int, None] = {}
         for key in self.wanting():
-            room, again = self.rooms[key], self.plan.period_ms
+            room, again = self.local_limits[key], self.settings.period_ms
             some = room.owners if room.amount < self.share else range(self.fronts)
             late = [f for f in self.members if f != self.number and f in some]
             late = [f for f in late if now - room.asked_of.get(f, -inf) >= again]
@@ -337,7 +339,7 @@
         links = self.links.get(other, set())
         needs = [k for k in self.wanting() if k not in links][:NEEDS_MOST]
         for key in (*sorted(links), *needs):
-            parts = self.rooms[key].parts
+            parts = self.local_limits[key].parts
             lent, held = parts.lent.get(other, Loan()), parts.held.get(other, Loan())
             made.parts.add(
                 limit=key[0],
@@ -347,10 +349,10 @@
                 held_seq=held.seq,
                 held=held.amount,
                 need=parts.need,
-                recall=self.rooms[key].called_from(other) if lent.amount else 0,
+                recall=self.local_limits[key].called_from(other) if lent.amount else 0,
             )
-        for m in self.plan.limits:
-            room = self.rooms.get((m.ident, 0))
+        for m in self.settings.limits:
+            room = self.local_limits.get((m.ident, 0))
             spare = room.lendable(now) if room else self.unused(m)
             made.told.add(limit=m.ident, amount=m.amount, spare=spare)
         for ident, counters in self.soft.items():
@@ -370,14 +372,14 @@
             return 1
         amount = self.amounts[limit.ident]
         whole = amount // self.share + (self.number in self.owners(limit, 0, amount))
-        return 0 if self.unheard or self.away else whole
+        return 0 if self.unreported or self.away else whole
 
     # words in
 
-    def hear(self, now: float, sender: int, data: bytes) -> None:
+    def receive(self, now: float, sender: int, data: bytes) -> None:
         """Another front's words. What cannot be read, is late, doubled or of an earlier life is counted and
         passed over."""
-        self.wake(now)
+        self.expire_leases(now)
         try:
             words = Words.FromString(data)
         except DecodeError:
@@ -389,14 +391,16 @@
         peer = self.peers.setdefault(sender, Peer())
         if words.life < peer.life:
             self.counts["old_life"] += 1
-            self.answer.add(sender)  # its clock was set back: it begins another life when it hears of this
+            self.pending_replies.add(
+                sender
+            )  # its clock was set back: it begins another life when it hears of this
             return
         if words.life > peer.life:
             self.new_life(now, sender, peer, words)
-        if words.to_life > self.life and not self.twin:
+        if words.to_life > self.life and not self.duplicate_member:
             self.life = words.to_life + 1
         if words.to_life != self.life:
-            self.answer.add(sender)  # it does not know us yet, or speaks to who we were
+            self.pending_replies.add(sender)  # it does not know us yet, or speaks to who we were
             return
         if words.stamp <= peer.stamp or words.echo > self.stamp:
             self.counts["old_words"] += 1
@@ -405,15 +409,15 @@
         peer.asked = max(peer.asked, words.echo)
         self.hear_told(now, sender, peer, words)
         listed: dict[Key, Any] = {(p.limit, p.title): p for p in words.parts if p.limit in self.by_ident}
-        first = sender in self.unheard
-        for key in {*listed, *self.links.get(sender, ()), *(self.rooms if first else ())}:
+        first = sender in self.unreported
+        for key in {*listed, *self.links.get(sender, ()), *(self.local_limits if first else ())}:
             self.hear_part(now, sender, key, listed.get(key), words.echo > 0)
         if first:
-            self.unheard.discard(sender)
-            for key in () if self.unheard else self.rooms:
-                self.lapsed(key, inf)  # what was carried over shows now whether it fits
+            self.unreported.discard(sender)
+            for key in () if self.unreported else self.local_limits:
+                self.record_expired(key, inf)  # what was carried over shows now whether it fits
         if words.answer:
-            self.answer.add(sender)
+            self.pending_replies.add(sender)
         self.due = -inf
 
     def serve(self, now: float, key: Key, room: LocalLimit) -> None:
@@ -426,32 +430,32 @@
             if given:
                 self.counts["lent"] += 1
                 self.link(front, key)
-                self.answer.add(front)
+                self.pending_replies.add(front)
             if given >= units:
                 del room.called[front]
             else:
                 room.called[front] = units - given
-        if room.called and now - room.called_at >= self.plan.period_ms / TICKS_PER_PERIOD:
+        if room.called and now - room.called_at >= self.settings.period_ms / TICKS_PER_PERIOD:
             room.called_at = now
             lent = [f for f, loan in room.parts.lent.items() if loan.amount]
-            self.recalled |= {f for f in lent if room.called_from(f)}
+            self.pending_recalls |= {f for f in lent if room.called_from(f)}
 
     def freed(self, now: float, key: Key) -> None:
         """Something has ended: what a lender has asked back goes back now, not in the next round."""
-        room = self.rooms[key]
+        room = self.local_limits[key]
         room.settle_need(now)
         for front, until in list(room.wanted_by.items()):
             if until < now:
                 del room.wanted_by[front]
             elif not room.parts.need and room.parts.free() > 0:
                 room.parts.give_back(room.periods(now, 1), only=front)
-                self.answer.add(front)
+                self.pending_replies.add(front)
 
     def new_life(self, now: float, sender: int, peer: Peer, words: Any) -> None:
         """Its process remembers nothing. What stood under the life before has ended with it, or runs out."""
         for key in list(self.links.get(sender, ())):
-            room = self.rooms[key]
-            until = peer.heard_at + self.plan.back_ms(room.limit)
+            room = self.local_limits[key]
+            until = peer.heard_at + self.settings.back_ms(room.limit)
             amount = room.parts.take_back(sender)
             if amount and not words.fresh and until > now:
                 room.orphaned += amount
@@ -462,7 +466,7 @@
         peer.life, peer.stamp = words.life, 0
         peer.amounts, peer.spare = {}, {}
         self.due = -inf
-        self.answer.add(sender)
+        self.pending_replies.add(sender)
 
     def hear_told(self, now: float, sender: int, peer: Peer, words: Any) -> None:
         amounts = {t.limit: t.amount for t in words.told if t.limit in self.by_ident}
@@ -475,9 +479,9 @@
         other |= forgotten != peer.forgotten or sender in self.forgotten
         peer.amounts, peer.fronts, peer.forgotten = amounts, words.fronts, forgotten
         for front in sorted(silent - self.forgotten):
-            self.forget(now, front)
+            self.forget_front(now, front)
         if other:
-            self.agree()
+            self.recompute_shares()
         transit_ms = now - words.echo / 1000
         for c in words.counts if words.echo else ():
             if c.limit in self.soft and c.front != self.number:
@@ -486,10 +490,10 @@
 
     def hear_part(self, now: float, sender: int, key: Key, part: Any, knows: bool) -> None:
         """`knows`: it has heard this life's words, so what it does not name it does not count as lent."""
-        room = self.rooms.get(key)
+        room = self.local_limits.get(key)
         if room is None:
             limit = self.by_ident[key[0]]
-            if limit.each_title != bool(key[1]) or len(self.rooms) >= ROOMS_MOST:
+            if limit.each_title != bool(key[1]) or len(self.local_limits) >= ROOMS_MOST:
                 return
             room = self.room(limit, key[1])
         self.pace(now, room)
@@ -498,14 +502,14 @@
             parts.granted(sender, part.grant_seq, part.grant)
         elif knows and sender in parts.held and (revoked := parts.lapse(sender)):
             self.counts["revoked"] += 1
-            self.lapsed(key, revoked)
+            self.record_expired(key, revoked)
         seq, held = (part.held_seq, part.held) if part else (0, 0)
-        if sender in parts.unheard and not held:
-            parts.unheard.discard(sender)  # and nothing has to be taken note of
-        elif sender in parts.unheard or sender in parts.lent:
+        if sender in parts.unreported and not held:
+            parts.unreported.discard(sender)  # and nothing has to be taken note of
+        elif sender in parts.unreported or sender in parts.lent:
             parts.returned(sender, seq, held)
         if part and (part.need or part.recall):
-            room.wanted_by[sender] = now + self.plan.period_ms
+            room.wanted_by[sender] = now + self.settings.period_ms
             room.settle_need(now)
             if not parts.need:
                 parts.give_back(room.periods(now, 1), only=sender)
@@ -524,44 +528,44 @@
 
     def speaks(self, now: float, front: int) -> bool:
         peer = self.peers.get(front)
-        return front in self.members or (peer is not None and now - peer.heard_at < self.plan.lease_ms)
+        return front in self.members or (peer is not None and now - peer.heard_at < self.settings.lease_ms)
 
-    def forget(self, now: float, front: int) -> str:
+    def forget_front(self, now: float, front: int) -> str:
         """A front is gone for good: what it held, and its own part, are the others'. Why not, or nothing."""
         if not 0 <= front < self.fronts or front == self.number:
             return f"no other front has the number {front}"
         if self.speaks(now, front):
             return f"front {front} speaks"
         for key in list(self.links.get(front, ())):
-            parts = self.rooms[key].parts
+            parts = self.local_limits[key].parts
             parts.take_back(front)
             parts.lapse(front)
             parts.held.pop(front, None)
             self.unlink(front, key)
         self.peers[front] = Peer(life=self.peers[front].life if front in self.peers else 0)
-        self.unheard.discard(front)
-        for room in self.rooms.values():
-            room.parts.unheard.discard(front)
+        self.unreported.discard(front)
+        for room in self.local_limits.values():
+            room.parts.unreported.discard(front)
         for counters in self.soft.values():
             counters.forget(front, now)
         self.forgotten.add(front)
         self.due = -inf
-        self.agree()
+        self.recompute_shares()
         return ""
 
     def welcome_back(self) -> None:
         """One that was forgotten and speaks again has its part once the others' fit without it."""
         back = self.forgotten - self.gone()
-        if back and all(room.parts.free() >= 0 for room in self.rooms.values()):
+        if back and all(room.parts.free() >= 0 for room in self.local_limits.values()):
             self.forgotten -= back
 
-    def state(self) -> bytes:
+    def handover_state(self) -> bytes:
         """For a successor on the same machine; this process decides nothing any more."""
         made = State(life=self.life, stamp=self.stamp, numbers=self.numbers[0], open_at=self.open_at)
-        made.unheard.extend(sorted(self.unheard))
+        made.unheard.extend(sorted(self.unreported))
         for front, p in self.peers.items():
             made.peers.add(front=front, life=p.life, stamp=p.stamp, heard_at=p.heard_at, asked=p.asked)
-        for (ident, title), room in self.rooms.items():
+        for (ident, title), room in self.local_limits.items():
             for kind, loans in ((made.lent, room.parts.lent), (made.held, room.parts.held)):
                 for front, loan in loans.items():
                     kind.add(limit=ident, title=title, front=front, seq=loan.seq, amount=loan.amount)
@@ -570,19 +574,19 @@
         data: bytes = made.SerializeToString()
         return data
 
-    def take_over(self, now: float, data: bytes) -> None:
+    def restore_state(self, now: float, data: bytes) -> None:
         """Goes on in the place of the process that gave this `state`. Raises `ValueError`."""
         try:
             kept = State.FromString(data)
         except DecodeError as error:
             raise ValueError(f"limits cannot be read: {error}") from error
         self.life, self.stamp, self.numbers[0] = kept.life, kept.stamp, kept.numbers
-        self.open_at, self.unheard = kept.open_at, set(kept.unheard)
+        self.open_at, self.unreported = kept.open_at, set(kept.unheard)
         for p in kept.peers:
             peer = self.peers.setdefault(p.front, Peer())
             peer.life, peer.stamp, peer.heard_at, peer.asked = p.life, p.stamp, p.heard_at, p.asked
-        for room in self.rooms.values():
-            room.parts.unheard = set(self.unheard)
+        for room in self.local_limits.values():
+            room.parts.unreported = set(self.unreported)
         for loan in kept.lent:
             self.recall(loan, "lent")
         for loan in kept.held:
--- a/lemonhall/limits/local_limit.py
+++ b/lemonhall/limits/local_limit.py
@@ -95,7 +95,7 @@
         return self.amount / max(1.0, self.limit.burst)
 
     def lendable(self, now: float) -> int:
-        if self.parts.unheard or self.parts.need:
+        if self.parts.unreported or self.parts.need:
             return 0
         if self.paced:
             self.parts.used = self.periods(now, 1)
--- a/lemonhall/limits/machine.py
+++ b/lemonhall/limits/machine.py
@@ -30,9 +30,9 @@
 class AdmissionDecision:
     """`refused`: the name of the limit that has no room, `pause_ms`: when to come again; `cap`: best rung."""
 
-    refused: str = ""
-    pause_ms: float = 0.0
-    cap: int = 99
+    refused_by: str = ""
+    retry_after_ms: float = 0.0
+    rung_cap: int = 99
 
 
 FREE = AdmissionDecision()
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        plan: LimitSettings,
+        settings: LimitSettings,
         number: int,
         fronts: int,
         hall: int,
@@ -69,72 +69,72 @@
         fresh: bool = True,
     ) -> None:
         self.hall = hall
-        self.escrow = Escrow(plan, number, fronts, life, random, now, fresh)
+        self.escrow = Escrow(settings, number, fronts, life, random, now, fresh)
         self.sessions: dict[int, Charge] = {}
         self.parked: dict[str, int] = {}  # a session that moves: under which ask
-        self.ends: list[int] = []
+        self.sessions_to_end: list[int] = []
         self.refused = Counter[str]()
         self.rises: dict[int, Bucket] = {}
         self.oldest_ms = 0.0  # of the words that a soft limit was ever gone by
-        self.settle(plan)
+        self.apply_settings(settings)
 
     @property
-    def plan(self) -> LimitSettings:
-        return self.escrow.plan
+    def settings(self) -> LimitSettings:
+        return self.escrow.settings
 
     @property
     def counts(self) -> Counter[str]:
         return self.escrow.counts
 
-    def settle(self, plan: LimitSettings) -> None:
+    def apply_settings(self, settings: LimitSettings) -> None:
         """Other settings, while sessions stand: those that a new limit would cover count from here on."""
-        self.escrow.settle(plan)
+        self.escrow.apply_settings(settings)
         self.covering: dict[tuple[int, int], tuple[Limit, ...]] = {}
         self.rises = {ident: self.rises.get(ident, Bucket()) for ident in self.escrow.soft}
-        self.cheapest = min((c.worth for c in plan.classes), default=0.0)
+        self.cheapest = min((c.worth for c in settings.classes), default=0.0)
 
-    def wake(self, now: float) -> None:
+    def expire_leases(self, now: float) -> None:
         """Before anything is decided: what has ended while this process did not run, has ended."""
-        self.escrow.wake(now)
+        self.escrow.expire_leases(now)
         if self.escrow.short:
             short, self.escrow.short = self.escrow.short, {}
-            for key in short.keys() & self.escrow.rooms.keys():
+            for key in short.keys() & self.escrow.local_limits.keys():
                 self.shed(key, short[key])
 
-    def hear(self, now: float, sender: int, data: bytes) -> None:
-        self.wake(now)
-        self.escrow.hear(now, sender, data)
-        self.wake(now)
+    def receive(self, now: float, sender: int, data: bytes) -> None:
+        self.expire_leases(now)
+        self.escrow.receive(now, sender, data)
+        self.expire_leases(now)
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        self.wake(now)
+        self.expire_leases(now)
         for ask in [a for a, c in self.sessions.items() if c.parked_until < now]:
-            self.over(now, ask)
+            self.release(now, ask)
         self.parked = {s: a for s, a in self.parked.items() if a in self.sessions}
         return self.escrow.tick(now)
 
-    def take_over(self, now: float, data: bytes) -> None:
+    def restore_state(self, now: float, data: bytes) -> None:
         """Goes on in the place of the process that gave `Escrow.state`. What stands there counts until
         `carried_all`. Raises `ValueError`."""
-        self.escrow.take_over(now, data)
+        self.escrow.restore_state(now, data)
 
-    def carried_all(self) -> None:
+    def finish_handover(self) -> None:
         """The process that was relieved has nothing any more."""
-        for room in self.escrow.rooms.values():
+        for room in self.escrow.local_limits.values():
             room.owed = 0
 
     def limits_of(self, partner: int, cls: int) -> tuple[Limit, ...]:
         found = self.covering.get((partner, cls))
         if found is None:
-            every = (m for m in self.plan.limits if m.covers(partner, cls, self.hall))
+            every = (m for m in self.settings.limits if m.covers(partner, cls, self.hall))
             found = self.covering[partner, cls] = tuple(every)
         return found
 
     def shed(self, key: Key, lapsed: float) -> None:
         """What stands on room that has lapsed ends: the least worth first, of these the youngest. That a
         limit was made smaller ends nothing."""
-        room = self.escrow.rooms[key]
-        if room.limit.kind is not LimitKind.EXACT or room.parts.unheard:
+        room = self.escrow.local_limits[key]
+        if room.limit.kind is not LimitKind.EXACT or room.parts.unreported:
             return
         here = [(ask, c) for ask, c in self.sessions.items() if key in c.units]
         over = min(lapsed, -room.parts.free() - sum(c.units[key] for _, c in here if c.ending))
@@ -144,7 +144,7 @@
             if not charge.ending:
                 charge.ending = True
                 over -= charge.units[key]
-                self.ends.append(ask)
+                self.sessions_to_end.append(ask)
                 self.counts["ended"] += 1
 
     # sessions
@@ -153,21 +153,21 @@
         self, now: float, ask: int, partner: int, cls: int, title: str, top: int = 99
     ) -> AdmissionDecision:
         """Takes room under every limit that covers a session, or under none."""
-        self.wake(now)
+        self.expire_leases(now)
         limits = self.limits_of(partner, cls)
         if not limits:
             return FREE
-        terms = self.plan.classes[cls]
+        terms = self.settings.classes[cls]
         premium, digest = terms.worth > self.cheapest, title_digest(title)
         rooms = [self.escrow.room(m, digest) for m in limits if m.kind is not LimitKind.SOFT]
-        if len(self.escrow.rooms) > ROOMS_MOST:
+        if len(self.escrow.local_limits) > ROOMS_MOST:
             self.escrow.sweep(now)
-            if len(self.escrow.rooms) > ROOMS_MOST:
-                return AdmissionDecision("too many titles at once", self.plan.period_ms)
+            if len(self.escrow.local_limits) > ROOMS_MOST:
+                return AdmissionDecision("too many titles at once", self.settings.period_ms)
         for room in rooms:
             room.reserve.came(now, premium)
         rated = any(m.unit is LimitUnit.RATE for m in limits)
-        best = max(terms.floor, min(terms.top, top, len(self.plan.ladder_kb) - 1))
+        best = max(terms.floor, min(terms.top, top, len(self.settings.ladder_kb) - 1))
         short: list[LocalLimit] = []
         for rung in range(best, terms.floor - 1, -1) if rated else (terms.floor,):
             units = {id(r): self.units(r.limit, terms, rung) for r in rooms}
@@ -199,11 +199,11 @@
                 self.escrow.soft_used[m.ident] += 1
                 charge.units[m.ident, 0] = 1
         self.sessions[ask] = charge
-        return AdmissionDecision(cap=rung if rated else 99)
+        return AdmissionDecision(rung_cap=rung if rated else 99)
 
     def units(self, limit: Limit, terms: i.SessionClass, rung: int) -> int:
         if limit.unit is LimitUnit.RATE:
-            return ceil(self.plan.ladder_kb[rung] * terms.scale)
+            return ceil(self.settings.ladder_kb[rung] * terms.scale)
         return 1
 
     def fits(self, now: float, room: LocalLimit, units: int, premium: bool, wide: bool) -> bool:
@@ -211,7 +211,7 @@
         if room.paced:
             room.settle_pace(now, usable)
             return room.bucket.free()
-        room.reserve.settle(now, usable, self.plan.classes)
+        room.reserve.settle(now, usable, self.settings.classes)
         free = usable - room.parts.used - room.reserve.kept(premium)
         return units <= (WIDE_PART * free * (not room.parts.need) if wide else free)
 
@@ -220,7 +220,7 @@
         rises.fill(now, limit.rise / 1000, counters.burst())
         amount, told = self.escrow.amounts[limit.ident], self.estimate(now, limit)
         used = self.escrow.soft_used[limit.ident] + 1
-        if told.oldest_ms > STALE_PERIODS * self.plan.period_ms:  # too old to go by: its own part, then
+        if told.oldest_ms > STALE_PERIODS * self.settings.period_ms:  # too old to go by: its own part, then
             return rises.free() and used <= amount // self.escrow.share
         self.oldest_ms = max(self.oldest_ms, told.oldest_ms)
         return rises.free() and used + told.known + told.off <= amount
@@ -232,18 +232,18 @@
     def pause(self, now: float, room: LocalLimit | None) -> float:
         """Room that others have is here within two periods; a token by its pace."""
         if room is None or not room.paced:
-            return 2 * self.plan.period_ms
+            return 2 * self.settings.period_ms
         part = max(1, self.escrow.usable(room)) / max(1, room.amount)
         gap = 1000.0 / max(1e-9, part * room.limit.amount / 1000)
-        return min(gap, 10 * self.plan.period_ms)
+        return min(gap, 10 * self.settings.period_ms)
 
-    def may(self, now: float, ask: int) -> bool:
+    def may_start_set_up(self, now: float, ask: int) -> bool:
         """Whether a set-up of it may leave now: just before it does. It takes the token of a paced limit."""
-        self.wake(now)
+        self.expire_leases(now)
         charge = self.sessions.get(ask)
         if charge is None:
             return True
-        rooms = [self.escrow.rooms[k] for k in charge.units if k in self.escrow.rooms]
+        rooms = [self.escrow.local_limits[k] for k in charge.units if k in self.escrow.local_limits]
         exact = [r for r in rooms if not r.paced]
         if not charge.begun and any(r.parts.used > self.escrow.usable(r) for r in exact):
             self.counts["lapsed_before_set_up"] += 1
@@ -260,7 +260,7 @@
         charge.begun = True
         return True
 
-    def over(self, now: float, ask: int) -> None:
+    def release(self, now: float, ask: int) -> None:
         """Nothing of it is out any more. Of one that moves the room waits for it."""
         charge = self.sessions.get(ask)
         if charge is None or now < charge.parked_until < inf:
@@ -269,7 +269,7 @@
         for key, units in charge.units.items():
             if key[0] in self.escrow.soft:
                 self.escrow.soft_used[key[0]] -= 1
-            elif room := self.escrow.rooms.get(key):
+            elif room := self.escrow.local_limits.get(key):
                 if room.paced:
                     room.bucket.reserved -= not charge.begun
                 else:
@@ -279,15 +279,15 @@
                     if room.wanted_by:
                         self.escrow.freed(now, key)
 
-    def park(self, now: float, ask: int, session: str) -> None:
+    def hold_for_move(self, now: float, ask: int, session: str) -> None:
         """It has left its server and will be asked for again: its room waits for it."""
         if charge := self.sessions.get(ask):
-            charge.parked_until = now + PARK_PERIODS * self.plan.period_ms
+            charge.parked_until = now + PARK_PERIODS * self.settings.period_ms
             self.parked[session] = ask
 
-    def unpark(self, now: float, ask: int, session: str) -> bool:
+    def resume_after_move(self, now: float, ask: int, session: str) -> bool:
         """It is asked for again, by another number. False: nothing was kept."""
-        self.wake(now)
+        self.expire_leases(now)
         old = self.parked.pop(session, None)
         charge = self.sessions.pop(old, None) if old is not None else None
         if charge is None:
@@ -296,9 +296,9 @@
         self.sessions[ask] = charge
         return True
 
-    def carried(self, now: float, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
+    def restore_session(self, now: float, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
         """It plays already, under a process that is gone: it counts, whether there is room or not."""
-        terms, digest = self.plan.classes[cls], title_digest(title)
+        terms, digest = self.settings.classes[cls], title_digest(title)
         charge = Charge({}, terms.worth, terms.worth > self.cheapest, now, begun=True)
         for m in self.limits_of(partner, cls):
             if m.kind is LimitKind.SOFT:
@@ -314,24 +314,24 @@
 
     # what is seen from outside
 
-    def show(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         """Amounts in the units of the settings, times in seconds."""
-        self.wake(now)
-        limits = [self.show_limit(now, m) for m in self.plan.limits]
+        self.expire_leases(now)
+        limits = [self.limit_status(now, m) for m in self.settings.limits]
         return {
             "front": self.escrow.number,
-            "period_s": self.plan.period_ms / 1000,
-            "lease_s": self.plan.lease_ms / 1000,
-            "waits_for": sorted(self.escrow.unheard),
+            "period_s": self.settings.period_ms / 1000,
+            "lease_s": self.settings.lease_ms / 1000,
+            "waits_for": sorted(self.escrow.unreported),
             "forgotten": sorted(self.escrow.forgotten),
             "limits": limits,
             "soft_oldest_s": round(self.oldest_ms / 1000, 3) if self.escrow.soft else None,
-            "soft_bound_s": STALE_PERIODS * self.plan.period_ms / 1000 if self.escrow.soft else None,
+            "soft_bound_s": STALE_PERIODS * self.settings.period_ms / 1000 if self.escrow.soft else None,
             "counts": dict(self.counts),
         }
 
-    def show_limit(self, now: float, m: Limit) -> dict[str, Any]:
-        rooms = [r for (ident, _), r in self.escrow.rooms.items() if ident == m.ident]
+    def limit_status(self, now: float, m: Limit) -> dict[str, Any]:
+        rooms = [r for (ident, _), r in self.escrow.local_limits.items() if ident == m.ident]
         fronts = self.lenders(rooms)
         shown: dict[str, Any] = {
             "limit": m.name,
@@ -358,9 +358,9 @@
         shown["oldest_s"] = round(oldest / 1000, 3)
         if m.kind is LimitKind.EXACT:
             shown["over_most"] = 0
-            shown["back_s"] = round(self.plan.back_ms(m) / 1000, 1)
+            shown["back_s"] = round(self.settings.back_ms(m) / 1000, 1)
         else:
-            shown["in_a_second_most"] = round(self.plan.paced_most(m, 1000.0), 1)
+            shown["in_a_second_most"] = round(self.settings.paced_most(m, 1000.0), 1)
         if m.each_title:
             shown["titles"] = len(rooms)
         return shown
--- a/lemonhall/limits/shares.py
+++ b/lemonhall/limits/shares.py
@@ -46,8 +46,8 @@
     `numbers`: of all grants of this front, where several limits share them.
     """
 
-    def __init__(self, own: int, unheard: set[int], numbers: list[int] | None = None) -> None:
-        self.own, self.unheard = own, set(unheard)
+    def __init__(self, own: int, unreported: set[int], numbers: list[int] | None = None) -> None:
+        self.own, self.unreported = own, set(unreported)
         self.numbers = numbers if numbers is not None else [0]
         self.lent: dict[int, Loan] = {}
         self.held: dict[int, Loan] = {}
@@ -59,7 +59,7 @@
 
     def mine(self) -> int:
         """What may be used here."""
-        return (0 if self.unheard else self.own - self.lent_sum) + self.held_sum
+        return (0 if self.unreported else self.own - self.lent_sum) + self.held_sum
 
     def free(self) -> int:
         return self.mine() - self.used
@@ -115,8 +115,8 @@
     def returned(self, other: int, seq: int, amount: int) -> None:
         """Another's word on what it holds of this front's."""
         loan = self.lent.setdefault(other, Loan())
-        if other in self.unheard:
-            self.unheard.discard(other)
+        if other in self.unreported:
+            self.unreported.discard(other)
             self.set_lent(other, loan, max(loan.seq, seq), amount)
         elif seq == loan.seq:
             loan.open = False
@@ -130,7 +130,7 @@
 
     def grant(self, other: int, given: int) -> int:
         """Lends so much. What was lent: nothing, before all have spoken."""
-        if given <= 0 or self.unheard:
+        if given <= 0 or self.unreported:
             return 0
         loan = self.lent.setdefault(other, Loan())
         self.set_lent(other, loan, loan.seq, loan.amount + given)
--- a/lemonhall/members/__init__.py
+++ b/lemonhall/members/__init__.py
@@ -5,10 +5,10 @@
 
 __all__ = [
     "DatagramError",
-    "SwimConfig",
     "KeyRing",
-    "MembershipMachine",
     "Member",
-    "OutgoingDatagram",
+    "MembershipMachine",
     "MembershipView",
+    "OutgoingDatagram",
+    "SwimConfig",
 ]
--- a/lemonhall/members/front_count.py
+++ b/lemonhall/members/front_count.py
@@ -16,18 +16,18 @@
 
 
 class FrontCount:
-    """`told`: fronts and this front's rank among them, as the module last heard."""
+    """`reported`: fronts and this front's rank among them, as the module last heard."""
 
     def __init__(self, number: int, fronts: int, now: float) -> None:
         self.number = number
-        self.told = (fronts, number % fronts)
+        self.reported = (fronts, number % fronts)
         self.fallen_since = now
         self.stepped_at = now
 
-    def look(self, view: MembershipView, now: float) -> tuple[int, int] | None:
+    def update(self, view: MembershipView, now: float) -> tuple[int, int] | None:
         """What the module is to be told now; None: nothing new."""
         seen = len(view.members)
-        fronts = self.told[0]
+        fronts = self.reported[0]
         if seen >= fronts or view.cut_off:
             self.fallen_since = now
             fronts = max(fronts, seen)
@@ -35,9 +35,9 @@
             fronts = max(seen, fronts - max(1, fronts // STEP_PART))
         rank = sum(m < self.number for m in view.members)
         made = (fronts, min(rank, fronts - 1))
-        if made == self.told:
+        if made == self.reported:
             return None
-        if made[0] != self.told[0]:
+        if made[0] != self.reported[0]:
             self.stepped_at = now
-        self.told = made
+        self.reported = made
         return made
--- a/lemonhall/members/machine.py
+++ b/lemonhall/members/machine.py
@@ -51,8 +51,8 @@
     """Times in ms. `suspect_least`: periods times log(members); `most`: that times a factor."""
 
     period_ms: float = 1000.0
-    answer_ms: float = 300.0  # a direct answer is waited for so long; then others are asked
-    helpers: int = 3
+    ack_timeout_ms: float = 300.0  # a direct answer is waited for so long; then others are asked
+    indirect_probes: int = 3
     suspect_periods: float = 4.0
     suspect_factor: float = 6.0
     forget_ms: float = 300_000.0  # the dead are named so long, so that none of them is news again
@@ -131,7 +131,7 @@
         self.next_period = 0.0
         self.now = 0.0
         self.version = 1
-        self.leaving = self.conflict = False
+        self.leaving = self.duplicate_number = False
         self.twins: dict[int, float] = {}  # boots that speak under our number: since when
         self.heard_at = 0.0  # of anybody
         self.out: list[OutgoingDatagram] = []
@@ -148,7 +148,7 @@
         self.join()
         return self.out
 
-    def greet(self, now: float) -> list[OutgoingDatagram]:
+    def request_join(self, now: float) -> list[OutgoingDatagram]:
         """Asks the seeds again, for whoever cannot wait for the next period."""
         self.now, self.out = max(now, self.now), []
         if not self.leaving:
@@ -179,8 +179,8 @@
         return self.out
 
     def tick(self, now: float) -> list[OutgoingDatagram]:
-        """To be called at `due` or later."""
-        woke_late = now - self.due() > 2 * self.config.period_ms and self.now > 0
+        """To be called at `next_tick_at` or later."""
+        woke_late = now - self.next_tick_at() > 2 * self.config.period_ms and self.now > 0
         self.now, self.out = max(now, self.now), []
         if self.leaving:
             return []
@@ -194,7 +194,7 @@
             self.begin_period()
         return self.out
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         """When `tick` has something to do."""
         times = [self.next_period]
         if self.probe and not self.probe.answered:
@@ -210,7 +210,7 @@
         self.note(self.own(MemberState.LEFT))
         alive = [m for m in self.members.values() if m.state is MemberState.ALIVE]
         self.random.shuffle(alive)
-        for member in alive[: 2 * self.config.helpers]:
+        for member in alive[: 2 * self.config.indirect_probes]:
             self.send(member.address, PING, self.next_sequence(), member.number)
         self.leaving = True
         return self.out
@@ -326,8 +326,8 @@
         """Two fronts with one number: a matter for people; it is said, and nothing is decided by it."""
         self.count("twin")
         since = self.twins.setdefault(message.boot, self.now)
-        if not self.conflict and self.now - since > TWIN_PERIODS * self.config.period_ms:
-            self.conflict = True
+        if not self.duplicate_number and self.now - since > TWIN_PERIODS * self.config.period_ms:
+            self.duplicate_number = True
             self.version += 1
 
     def hear(
@@ -402,7 +402,7 @@
             target.number,
             sequence,
             self.now,
-            self.now + c.answer_ms * scale,
+            self.now + c.ack_timeout_ms * scale,
             self.now + c.period_ms * scale * 0.95,
         )
         first = [self.as_update(target)] if target.state is MemberState.SUSPECT else []
@@ -420,7 +420,7 @@
                 m for m in self.members.values() if m.state is MemberState.ALIVE and m.number != probe.target
             ]
             self.random.shuffle(others)
-            chosen = others[: self.config.helpers]
+            chosen = others[: self.config.indirect_probes]
             probe.helpers = max(1, len(chosen))
             for helper in chosen:
                 update = [self.as_update(target)]
@@ -509,7 +509,7 @@
             self.send(sender, NACK, message.sequence, message.target)
             return
         ours = self.next_sequence()
-        until = self.now + 0.8 * self.config.answer_ms
+        until = self.now + 0.8 * self.config.ack_timeout_ms
         self.relayed[ours] = (message.sequence, sender, message.target, until)
         self.send(target.address, PING, ours, target.number, [self.as_update(target)])
 
--- a/lemonhall/model/played/deciders.py
+++ b/lemonhall/model/played/deciders.py
@@ -23,8 +23,8 @@
     give = getattr(front.module, "memory", None)
     front.memory = give() if give and world.day.keep else None
     if front.halls:
-        front.halls_kept = front.halls.to_keep() if world.day.keep else b""
-    front.kept_return = front.returning.to_keep() if front.returning else b""
+        front.halls_kept = front.halls.serialize() if world.day.keep else b""
+    front.kept_return = front.returning.serialize() if front.returning else b""
     front.held.clear()  # told anew to the next
     front.headless = True
     front.decider += 1
@@ -49,7 +49,7 @@
     front.call()
     front.tell(i.ServerList(i.ListKind.CACHED, world.box_list.version, tuple(front.heard.values())))
     if front.halls:
-        front.halls.listed(world.sim.now, list(front.heard.values()), False)
+        front.halls.on_list(world.sim.now, list(front.heard.values()), False)
     if front.memory:
         front.tell(front.memory)
     for ask in list(front.asks.values()):
@@ -68,7 +68,7 @@
     front.tell(i.Note(ask.number, 0, attempt.server, NoteKind.RUNG, float(ask.rung)))
     if front.halls:
         wish = ask.viewer.wish
-        front.halls.carried(front.world.sim.now, ask.number, wish.cls, ask.rung, attempt.server)
+        front.halls.restore_session(front.world.sim.now, ask.number, wish.cls, ask.rung, attempt.server)
 
 
 def again(front: Any, ask: Any) -> None:
--- a/lemonhall/model/played/fronts.py
+++ b/lemonhall/model/played/fronts.py
@@ -187,22 +187,22 @@
             terms.max_pause_ms or MOST_PAUSE_MS,
             quota_per_s=sum(t.quota_per_s for t in terms.tenants),
         )
-        self.returning.recall(self.kept_return if day.keep else b"")
+        self.returning.restore(self.kept_return if day.keep else b"")
         self.tick_return((self.life, self.decider))
 
     def tick_return(self, whose: tuple[int, int]) -> None:
         machine, now = self.returning, self.world.sim.now
         if not (self.up and whose == (self.life, self.decider) and machine):
             return
-        machine.view(now, tuple(f.index for f in self.world.fronts if f.up and f.apart == self.apart))
+        machine.on_view(now, tuple(f.index for f in self.world.fronts if f.up and f.apart == self.apart))
         words, lets = machine.tick(now)
         self.say_return(words)
         for let in lets:
-            self.let(let.number, let.pause_ms)
-        for one in machine.entered:
+            self.let(let.request_id, let.retry_after_ms)
+        for one in machine.entered_phases:
             if one.phase is Phase.FULL:
                 self.world.trace.full.append((now, self.name, one.after_ms / 1000))
-        machine.entered.clear()
+        machine.entered_phases.clear()
         full = machine.phases.phase is Phase.FULL
         self.world.sim.after(PERIOD_MS if full else TURN_MS, self.tick_return, whose)
 
@@ -216,7 +216,7 @@
 
     def hear_return(self, sender: int, data: bytes) -> None:
         if self.up and self.returning:
-            self.say_return(self.returning.hear(self.world.sim.now, sender, data))
+            self.say_return(self.returning.receive(self.world.sim.now, sender, data))
 
     def let(self, number: int, pause_ms: float | None) -> None:
         told = self.held.pop(number, None)
@@ -240,8 +240,8 @@
             int(sim.now) + self.life,
             Random(self.world.seed * 1000 + self.index),
             sim.now,
-            remembers=day.keep or self.life == 1,
-            kept=self.halls_kept,
+            state_complete=day.keep or self.life == 1,
+            saved_state=self.halls_kept,
         )
         self.halls.members = tuple(range(len(day.fronts)))
         sim.after(0.0, self.tick_halls, (self.life, self.decider))
@@ -249,13 +249,13 @@
     def tick_halls(self, whose: tuple[int, int]) -> None:
         if self.up and whose == (self.life, self.decider) and self.halls and not self.headless:
             self.say_halls()
-            self.world.sim.after(self.halls.period(), self.tick_halls, whose)
+            self.world.sim.after(self.halls.message_period_ms(), self.tick_halls, whose)
 
     def say_halls(self) -> None:
         """Words travel as those of members do: some are lost."""
         assert self.halls
         words = self.halls.tick(self.world.sim.now)
-        moves, self.halls.moves = self.halls.moves, []
+        moves, self.halls.pending_moves = self.halls.pending_moves, []
         for number in moves:
             if (ask := self.asks.get(number)) and ask.answered and not ask.gone:
                 self.tell(i.Advised(number, i.Advice(bars=(), move=True)))
@@ -268,8 +268,8 @@
 
     def hear_halls(self, sender: int, data: bytes) -> None:
         if self.up and self.halls and not self.headless:
-            self.halls.hear(self.world.sim.now, sender, data)
-            if self.halls.answer:
+            self.halls.receive(self.world.sim.now, sender, data)
+            if self.halls.pending_replies:
                 self.say_halls()
 
     def advise(self, ask: Ask, advice: i.Advice) -> i.Advice:
@@ -281,15 +281,17 @@
         _, first, cells = self.world.place_of(ask.viewer.wish)
         most = self.world.day.terms.cells
         row = frozenset((first + n) % most for n in range(cells)) if cells < most else None
-        ruling = self.halls.ask(self.world.sim.now, ask.number, ask.viewer.wish.cls, row)
-        return replace(advice, prefer=ruling.prefer, cap=min(advice.cap, ruling.cap), bars=ruling.bars)
+        ruling = self.halls.choose_zones(self.world.sim.now, ask.number, ask.viewer.wish.cls, row)
+        return replace(
+            advice, prefer=ruling.preferred, cap=min(advice.cap, ruling.rung_cap), bars=ruling.barred
+        )
 
     def forget(self, ask: Ask) -> None:
         self.asks.pop(ask.number, None)
         if self.held.pop(ask.number, None) and self.returning:
-            self.returning.drop(ask.number)
+            self.returning.cancel(ask.number)
         if self.halls:
-            self.halls.over(self.world.sim.now, ask.number)
+            self.halls.release(self.world.sim.now, ask.number)
         if self.limits:
             self.limits.over(ask)
 
@@ -298,9 +300,9 @@
         self.up = False
         give = getattr(self.module, "memory", None)
         self.memory = give() if give and self.world.day.keep else None
-        self.kept_return = self.returning.to_keep() if self.returning else b""
+        self.kept_return = self.returning.serialize() if self.returning else b""
         if self.halls and self.world.day.keep:
-            self.halls_kept = self.halls.to_keep()  # each change was on disk before its words left
+            self.halls_kept = self.halls.serialize()  # each change was on disk before its words left
         asks, self.asks = self.asks, {}
         for ask in asks.values():
             if ask.attempt:
@@ -365,9 +367,9 @@
             else:
                 self.heard[line.id] = line
         if self.returning:
-            self.returning.listed(self.world.sim.now, as_of, len(self.heard))
+            self.returning.on_list(self.world.sim.now, as_of, len(self.heard))
         if self.halls and not self.headless:
-            self.halls.listed(self.world.sim.now, list(lines), as_of >= self.born, full)
+            self.halls.on_list(self.world.sim.now, list(lines), as_of >= self.born, full)
         if as_of < self.born:
             self.tell(i.ServerList(i.ListKind.CACHED, version, tuple(self.heard.values())))
         else:
@@ -396,8 +398,8 @@
             return
         self.held[ask.number] = told
         worth = self.world.day.terms.classes[told.cls].worth
-        if let := self.returning.ask(self.world.sim.now, ask.number, worth, told.left_ms):
-            self.let(let.number, let.pause_ms)
+        if let := self.returning.admit(self.world.sim.now, ask.number, worth, told.left_ms):
+            self.let(let.request_id, let.retry_after_ms)
 
     def session_of(self, ask: Ask, ran: bool, advice: i.Advice, left: float = 0.0) -> i.NewSession:
         """As the module is told of it; `left`: ms to its deadline, 0: what is left of them now."""
@@ -450,7 +452,7 @@
             return
         self.tell(i.Playing(ask.number, attempt.number, attempt.server, took))
         if self.halls:
-            self.halls.playing(self.world.sim.now, ask.number, attempt.server)
+            self.halls.on_playing(self.world.sim.now, ask.number, attempt.server)
         for name, value in zip(self.world.day.terms.report_fields, attempt.report, strict=False):
             if kind := {"x0": NoteKind.LINK, "x1": NoteKind.UPLINK}.get(name):
                 self.tell(i.Note(ask.number, attempt.number, attempt.server, kind, value))
@@ -459,7 +461,7 @@
 
     def ended(self, ask: Ask, attempt: Attempt, outcome: Outcome) -> None:
         if self.halls:
-            self.halls.seen(self.world.sim.now, attempt.server, outcome)
+            self.halls.on_attempt_result(self.world.sim.now, attempt.server, outcome)
         if ask.attempt is not attempt:
             return
         ask.attempt = None
@@ -534,7 +536,7 @@
         made = Attempt(self, ask, number, action.server, box, self.world.rate(ask.viewer.wish, ask.rung))
         ask.attempt = made
         if self.halls:
-            self.halls.set_up(self.world.sim.now, ask.number, action.server)
+            self.halls.on_set_up(self.world.sim.now, ask.number, action.server)
         self.world.sim.after(self.world.hop(), box.arrive, made)
         made.timer = self.world.sim.after(max(1.0, limit), made.end, Outcome.TIMEOUT)
 
--- a/lemonhall/model/played/limited.py
+++ b/lemonhall/model/played/limited.py
@@ -53,7 +53,7 @@
         if self.front.limits in (None, self) and self.front.life == self.life:
             if self.runs:
                 self.say()
-            self.world.sim.after(self.machine.plan.period_ms / TICKS_PER_PERIOD, self.tick)
+            self.world.sim.after(self.machine.settings.period_ms / TICKS_PER_PERIOD, self.tick)
 
     def say(self) -> None:
         for out in self.machine.tick(self.world.sim.now):
@@ -68,13 +68,13 @@
 
     def hear(self, sender: int, data: bytes) -> None:
         if self.runs:
-            self.machine.hear(self.world.sim.now, sender, data)
-            if self.machine.escrow.answer or self.machine.escrow.recalled:
+            self.machine.receive(self.world.sim.now, sender, data)
+            if self.machine.escrow.pending_replies or self.machine.escrow.pending_recalls:
                 self.say()
             self.obey()
 
     def obey(self) -> None:
-        ends, self.machine.ends = self.machine.ends, []
+        ends, self.machine.sessions_to_end = self.machine.sessions_to_end, []
         for number in ends:
             ask = self.front.asks.get(number)
             if ask and ask.attempt:
@@ -83,27 +83,27 @@
 
     def advise(self, ask: Any, advice: i.Advice) -> i.Advice:
         wish, now = ask.viewer.wish, self.world.sim.now
-        if ask.moved and self.machine.unpark(now, ask.number, str(wish.number)):
+        if ask.moved and self.machine.resume_after_move(now, ask.number, str(wish.number)):
             return advice
-        ruling = self.machine.ask(
+        ruling = self.machine.admit(
             now, ask.number, wish.tenant, wish.cls, f"{wish.path}{wish.title}", wish.top
         )
         self.obey()
-        if ruling.refused:
+        if ruling.refused_by:
             self.world.count("over_limit")
-            return replace(advice, refuse=True, pause_ms=max(1.0, ruling.pause_ms))
-        return replace(advice, cap=min(advice.cap, ruling.cap))
+            return replace(advice, refuse=True, pause_ms=max(1.0, ruling.retry_after_ms))
+        return replace(advice, cap=min(advice.cap, ruling.rung_cap))
 
     def may(self, ask: Any) -> bool:
-        fine = self.machine.may(self.world.sim.now, ask.number)
+        fine = self.machine.may_start_set_up(self.world.sim.now, ask.number)
         self.obey()
         return fine
 
     def over(self, ask: Any) -> None:
         if ask.viewer.moving and not ask.gone:
-            self.machine.park(self.world.sim.now, ask.number, str(ask.viewer.wish.number))
+            self.machine.hold_for_move(self.world.sim.now, ask.number, str(ask.viewer.wish.number))
         else:
-            self.machine.over(self.world.sim.now, ask.number)
+            self.machine.release(self.world.sim.now, ask.number)
 
 
 def hear(front: Front, sender: int, data: bytes) -> None:
--- a/lemonhall/model/played/world.py
+++ b/lemonhall/model/played/world.py
@@ -308,7 +308,7 @@
         if spilled := of_halls(self.trace, self.day):
             report.halls = spilled.to_json()
         machines = [f.limits.machine for f in self.fronts if f.limits]
-        if limits := of_limits(self.trace, self.day, [m.show(self.sim.now) for m in machines]):
+        if limits := of_limits(self.trace, self.day, [m.status(self.sim.now) for m in machines]):
             report.limits = limits.to_json()
         if returned := of_returns(self.trace, self.day.terms):
             report.returned = returned.to_json()
--- a/lemonhall/recovery/__init__.py
+++ b/lemonhall/recovery/__init__.py
@@ -6,12 +6,12 @@
 from lemonhall.recovery.phases import Phase, PhaseEntry, PhaseTimeouts
 
 __all__ = [
-    "PhaseEntry",
     "AdmissionResult",
-    "StoreCheckpoint",
     "OutgoingMessage",
     "Phase",
+    "PhaseEntry",
+    "PhaseTimeouts",
     "Recovery",
+    "StoreCheckpoint",
     "StoreTrust",
-    "PhaseTimeouts",
 ]
--- a/lemonhall/recovery/admission.py
+++ b/lemonhall/recovery/admission.py
@@ -25,8 +25,8 @@
 class AdmissionResult:
     """An ask that may go on now (`pause_ms` None), or is to come again after that."""
 
-    number: int
-    pause_ms: float | None = None
+    request_id: int
+    retry_after_ms: float | None = None
 
 
 @dataclass(frozen=True)
@@ -42,11 +42,11 @@
 
     def __init__(self, random: Random, pause_most_ms: float) -> None:
         self.random, self.pause_most = random, pause_most_ms
-        self.per_s = inf
+        self.rate_per_s = inf
         self.shut = False  # nobody is let through yet
         self.eased_from = inf  # from when on the pace no longer stands
         self.tokens, self.at = 1.0, 0.0
-        self.held: dict[int, Held] = {}
+        self.waiting: dict[int, Held] = {}
         self.order: list[tuple[float, float, int]] = []
         self.turn = 0.0  # until when turns have been given away
         self.strained_at = -inf  # when somebody last had waited for long, or was told to come again
@@ -54,7 +54,7 @@
 
     def rate(self, now: float) -> float:
         over = now - self.eased_from
-        return self.per_s if over <= 0 else self.per_s * 2.0 ** min(60.0, over / EASE_MS)
+        return self.rate_per_s if over <= 0 else self.rate_per_s * 2.0 ** min(60.0, over / EASE_MS)
 
     def fill(self, now: float) -> None:
         passed = max(0.0, now - self.at) / 1000
@@ -67,22 +67,22 @@
 
     def calm(self, now: float, for_ms: float) -> bool:
         """Whether lately nobody has waited for long or been told to come again: the pace does not bind."""
-        if any(now - h.since > SPAN_MS for h in self.held.values()):
+        if any(now - h.since > SPAN_MS for h in self.waiting.values()):
             self.strained_at = now
         return now - self.strained_at >= for_ms
 
-    def ask(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
+    def admit(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `take` will say."""
         self.fill(now)
-        if not (self.shut or self.held) and self.tokens >= 1:
+        if not (self.shut or self.waiting) and self.tokens >= 1:
             self.tokens -= 1
             return AdmissionResult(number)
         hold = HOLD_PART * left_ms
-        ahead = sum(h.worth >= worth for h in self.held.values())
+        ahead = sum(h.worth >= worth for h in self.waiting.values())
         if ahead + 1 > max(1.0, self.rate(now) * hold / 1000):
             return self.later(now, number)
         self.counts["held"] += 1
-        self.held[number] = Held(number, worth, now, now + hold)
+        self.waiting[number] = Held(number, worth, now, now + hold)
         heapq.heappush(self.order, (-worth, now + hold, number))
         return None
 
@@ -91,7 +91,7 @@
         self.strained_at = now
         self.counts["told_to_wait"] += 1
         gap = 1000 / self.rate(now)
-        self.turn = max(self.turn, now + len(self.held) * gap) + gap
+        self.turn = max(self.turn, now + len(self.waiting) * gap) + gap
         pause = self.turn - now
         if pause > self.pause_most:
             pause = self.pause_most * (SPREAD + (1 - SPREAD) * self.random.random())
@@ -99,7 +99,7 @@
 
     def drop(self, number: int) -> bool:
         """It is not wanted any more. Whether it waited."""
-        return self.held.pop(number, None) is not None
+        return self.waiting.pop(number, None) is not None
 
     def take(self, now: float) -> list[AdmissionResult]:
         """Whoever may go by now, the worthiest first, and whose wait is over."""
@@ -107,21 +107,21 @@
         out = []
         while not self.shut and self.order and self.tokens >= 1:
             *_, number = heapq.heappop(self.order)
-            if held := self.held.pop(number, None):
+            if held := self.waiting.pop(number, None):
                 self.tokens -= 1
                 if now - held.since > SPAN_MS:
                     self.strained_at = now
                 self.counts["paced"] += 1
                 out.append(AdmissionResult(number))
-        for late in [h for h in self.held.values() if h.until <= now]:
-            del self.held[late.number]
+        for late in [h for h in self.waiting.values() if h.until <= now]:
+            del self.waiting[late.number]
             out.append(self.later(now, late.number))
-        if not self.held:
+        if not self.waiting:
             self.order.clear()
         return out
 
     def due(self, now: float) -> float:
-        if not self.held:
+        if not self.waiting:
             return inf
-        first = min(h.until for h in self.held.values())
+        first = min(h.until for h in self.waiting.values())
         return first if self.shut else min(first, now + max(0.0, 1 - self.tokens) * 1000 / self.rate(now))
--- a/lemonhall/recovery/checkpoints.py
+++ b/lemonhall/recovery/checkpoints.py
@@ -30,8 +30,8 @@
     """Of two marks of one front the greater is the later: a store that was made later, or one written
     further."""
 
-    made_ms: int
-    count: int
+    created_ms: int
+    commit_count: int
 
 
 class StoreTrust(Enum):
@@ -45,15 +45,15 @@
     """The marks of other fronts, as they told them."""
 
     def __init__(self) -> None:
-        self.marks: dict[int, StoreCheckpoint] = {}
+        self.checkpoints: dict[int, StoreCheckpoint] = {}
         self.fresh = False  # something is not written down yet
 
     def hear(self, front: int, mark: StoreCheckpoint) -> None:
-        known = self.marks.get(front)
-        if known is None and len(self.marks) >= SEEN_MOST:
+        known = self.checkpoints.get(front)
+        if known is None and len(self.checkpoints) >= SEEN_MOST:
             return
         if known is None or mark > known:
-            self.marks[front] = mark
+            self.checkpoints[front] = mark
             self.fresh = True
 
 
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -87,26 +87,28 @@
         self.phases = Phases(now, waits, fronts - 1 if members else 0)
         self.gate = Gate(random, pause_most_ms)
         self.usual = rates.Usual(now)
-        self.seen = Seen()
-        self.witnesses: Witnesses | None = None
+        self.peer_checkpoints = Seen()
+        self.checkpoint_query: Witnesses | None = None
         self.kept = Kept(usual=-1.0)
         self.others: dict[int, Other] = {}
         self.members: tuple[int, ...] = (number,)
         self.servers = 0
-        self.asked_at: dict[int, tuple[float, int]] = {}  # front: when it is asked again, how often it was
+        self.query_attempts: dict[
+            int, tuple[float, int]
+        ] = {}  # front: when it is asked again, how often it was
         self.said: StoreCheckpoint | None = None
         self.next_words = now
         self.idle = 0
         self.counts: Counter[str] = Counter()
-        self.giving = Giving(lambda: [])
+        self.page_server = Giving(lambda: [])
         self.asking: Asking | None = None
-        self.handed: list[Any] = []  # what others knew, until somebody takes it from here
-        self.entered: list[PhaseEntry] = []  # phases, until somebody takes them from here
+        self.received_pages: list[Any] = []  # what others knew, until somebody takes it from here
+        self.entered_phases: list[PhaseEntry] = []  # phases, until somebody takes them from here
         self.settle()
 
     # what is kept
 
-    def recall(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         """What an earlier life wrote down, if it did. What cannot be read is as if it had not."""
         if not data:
             return
@@ -117,34 +119,34 @@
             return
         self.phases.crowd = True
         for one in self.kept.seen:
-            self.seen.hear(one.front, to_mark(one.mark))
-        self.seen.fresh = False
+            self.peer_checkpoints.hear(one.front, to_mark(one.mark))
+        self.peer_checkpoints.fresh = False
         self.settle()
 
-    def to_keep(self) -> bytes:
+    def serialize(self) -> bytes:
         own, mean, before = self.knows()
         made = Kept(usual=own, mean=mean, fronts=before)
-        for front, mark in self.seen.marks.items():
+        for front, mark in self.peer_checkpoints.checkpoints.items():
             made.seen.add(front=front).mark.MergeFrom(self.as_words_mark(mark))
-        self.seen.fresh = False
+        self.peer_checkpoints.fresh = False
         return bytes(made.SerializeToString())
 
     @staticmethod
     def as_words_mark(mark: StoreCheckpoint) -> Any:
-        return Words(own={"made_ms": mark.made_ms, "count": mark.count}).own
+        return Words(own={"made_ms": mark.created_ms, "count": mark.commit_count}).own
 
-    def question(self, now: float, within_ms: float) -> None:
+    def query_checkpoints(self, now: float, within_ms: float) -> None:
         """Others are to be asked whether the store is the last one."""
         if mark := self.mark():
-            self.witnesses = Witnesses(mark, now + within_ms)
+            self.checkpoint_query = Witnesses(mark, now + within_ms)
 
-    def want(self, now: float) -> None:
+    def query_server_pages(self, now: float) -> None:
         """Others are to be asked what they know of servers."""
         self.asking = Asking(now + WITHIN_MS)
 
     @property
-    def trust(self) -> StoreTrust:
-        return self.witnesses.trust if self.witnesses else StoreTrust.SOUND
+    def store_trust(self) -> StoreTrust:
+        return self.witnesses.trust if self.checkpoint_query else StoreTrust.SOUND
 
     # what is usual
 
@@ -170,35 +172,35 @@
         gate.shut = phase is Phase.NOTHING
         gate.eased_from = self.phases.paced_until
         if phase is Phase.FULL:
-            gate.per_s, gate.eased_from = inf, inf
+            gate.rate_per_s, gate.eased_from = inf, inf
             return
         own, mean, before = self.knows()
         if mean <= 0 and self.quota > 0:
             own = mean = self.quota / self.fronts
             before = self.fronts
         per_s = rates.part(max(0.0, own if own >= 0 else mean), mean, before, self.fronts, self.servers)
-        gate.per_s = per_s or rates.unknown(self.fronts, self.servers)
+        gate.rate_per_s = per_s or rates.unknown(self.fronts, self.servers)
 
     # evidence
 
-    def listed(self, now: float, as_of: float, servers: int) -> None:
+    def on_list(self, now: float, as_of: float, servers: int) -> None:
         """A list that was true at `as_of`, by the same clock; `servers`: how many it names."""
         self.pass_on(now)
         self.servers = servers
         self.phases.listed(as_of)
         self.look(now)
 
-    def view(self, now: float, members: tuple[int, ...]) -> None:
+    def on_view(self, now: float, members: tuple[int, ...]) -> None:
         self.pass_on(now)
         self.members = members
         self.phases.view(now, members)
 
-    def told(self, fronts: int) -> None:
+    def set_front_count(self, fronts: int) -> None:
         """How many fronts every share goes by: no fewer than there are."""
         self.fronts = max(1, fronts)
         self.settle()
 
-    def hear(self, now: float, sender: int, data: bytes) -> list[OutgoingMessage]:
+    def receive(self, now: float, sender: int, data: bytes) -> list[OutgoingMessage]:
         """A front's words; the answer, if it asked."""
         self.pass_on(now)
         try:
@@ -218,13 +220,13 @@
         self.others[sender] = Other(words.life, began, now, usual)
         self.phases.hear(sender)
         if words.HasField("own"):
-            self.seen.hear(sender, to_mark(words.own))
-        if words.answer and self.witnesses and sender in self.asked_at:
+            self.peer_checkpoints.hear(sender, to_mark(words.own))
+        if words.answer and self.checkpoint_query and sender in self.query_attempts:
             seen = to_mark(words.seen) if words.HasField("seen") else None
-            self.witnesses.answer(sender, seen)
+            self.checkpoint_query.answer(sender, seen)
         self.look(now)
         out = [self.say(sender, answer=True)] if words.ask else []
-        if words.want and (page := self.giving.page(now, words.want)):
+        if words.want and (page := self.page_server.page(now, words.want)):
             self.counts["pages_given"] += 1
             out.append(self.say(sender, page=page))
         if self.asking and words.HasField("page") and self.asking.take(sender, words.page):
@@ -233,15 +235,15 @@
 
     # asks
 
-    def ask(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
+    def admit(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `tick` will say."""
         self.pass_on(now)
         self.usual.count += self.ordinary
         if self.phases.phase is Phase.FULL:
             return AdmissionResult(number)
-        return self.gate.ask(now, number, worth, left_ms)
+        return self.gate.admit(now, number, worth, left_ms)
 
-    def drop(self, number: int) -> None:
+    def cancel(self, number: int) -> None:
         self.gate.drop(number)
 
     # time
@@ -274,17 +276,17 @@
     def look(self, now: float) -> None:
         """What the evidence makes of the phase, the pace and the store."""
         self.phases.calm = self.gate.calm(now, self.waits.calm_ms)
-        self.entered += self.phases.look(now)
+        self.entered_phases += self.phases.look(now)
         self.settle()
-        if self.witnesses:
-            self.witnesses.look(now, len(self.asked_at), self.phases.others)
+        if self.checkpoint_query:
+            self.checkpoint_query.look(now, len(self.query_attempts), self.phases.other_fronts)
 
-    def due(self) -> float:
+    def next_tick_at(self) -> float:
         times = [self.next_words, self.phases.due(), self.gate.due(self.now), self.now + WOKE_MS / 4]
-        if (asked := self.witnesses) and asked.trust is StoreTrust.WAITING:
+        if (asked := self.checkpoint_query) and asked.trust is StoreTrust.WAITING:
             again = (
                 at
-                for n, (at, so_often) in self.asked_at.items()
+                for n, (at, so_often) in self.query_attempts.items()
                 if so_often < ASK_TIMES and n not in asked.answers
             )
             times += [asked.due(), *again]
@@ -305,7 +307,7 @@
         )
         if mark := self.mark():
             words.own.MergeFrom(self.as_words_mark(mark))
-        if answer and (seen := self.seen.marks.get(to)):
+        if answer and (seen := self.peer_checkpoints.checkpoints.get(to)):
             words.seen.MergeFrom(self.as_words_mark(seen))
         if page is not None:
             words.page.MergeFrom(page)
@@ -325,15 +327,15 @@
 
     def questions(self, now: float) -> list[OutgoingMessage]:
         """Those that would have heard of us are asked, each again and again with growing waits."""
-        if self.witnesses is None or self.trust is not StoreTrust.WAITING:
+        if self.checkpoint_query is None or self.store_trust is not StoreTrust.WAITING:
             return []
         out = []
         for front in successors(self.number, self.members, ASKED_MOST):
-            at, times = self.asked_at.get(front, (now, 0))
-            if now < at or times >= ASK_TIMES or front in self.witnesses.answers:
+            at, times = self.query_attempts.get(front, (now, 0))
+            if now < at or times >= ASK_TIMES or front in self.checkpoint_query.answers:
                 continue
             wait = ASK_MS * 2**times * (0.5 + self.random.random())
-            self.asked_at[front] = (now + wait, times + 1)
+            self.query_attempts[front] = (now + wait, times + 1)
             self.counts["asked"] += 1
             out.append(self.say(front, ask=True))
         return out
@@ -344,7 +346,7 @@
             return []
         if self.asking.done(now):
             if (result := self.asking.result()) is not None:
-                self.handed.append(result)
+                self.received_pages.append(result)
             self.counts["pages_bad"] += self.asking.bad
             self.asking = None
             return []
@@ -360,7 +362,7 @@
 
     # what is shown
 
-    def show(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         phases = self.phases
         full = phases.entered.get(Phase.FULL)
         return {
@@ -372,9 +374,9 @@
             },
             "lacks": {p.name.lower(): lack for p, lack in phases.lacks.items()},
             "lives": phases.lives,
-            "store": self.trust.value,
+            "store": self.store_trust.value,
             "heard": len(phases.heard),
-            "waiting": len(self.gate.held),
-            "set_ups_per_s": None if self.gate.per_s == inf else round(self.gate.rate(now), 2),
+            "waiting": len(self.gate.waiting),
+            "set_ups_per_s": None if self.gate.rate_per_s == inf else round(self.gate.rate(now), 2),
             "counts": {**self.gate.counts, **self.counts},
         }
--- a/lemonhall/recovery/phases.py
+++ b/lemonhall/recovery/phases.py
@@ -64,17 +64,17 @@
 
     phase: Phase
     after_ms: float
-    lacks: str = ""
+    missing: str = ""
 
 
 class Phases:
-    """`others`: fronts that there may be beside this one. Times are of one clock, in ms."""
+    """`other_fronts`: fronts that there may be beside this one. Times are of one clock, in ms."""
 
-    def __init__(self, now: float, waits: PhaseTimeouts, others: int) -> None:
-        self.waits, self.others = waits, others
+    def __init__(self, now: float, waits: PhaseTimeouts, other_fronts: int) -> None:
+        self.waits, self.other_fronts = waits, other_fronts
         self.lives = 0
         self.members: tuple[int, ...] = (-1,)  # nobody but this one
-        self.crowd = others > 0  # whether there may have been an earlier life
+        self.crowd = other_fronts > 0  # whether there may have been an earlier life
         self.begin(now)
 
     def begin(self, now: float) -> None:
@@ -125,10 +125,12 @@
         if self.phase is Phase.NOTHING:
             return now if self.fresh else inf, since + waits.list_ms, "a list of this life"
         if self.phase is Phase.LISTED:
-            enough = len(self.heard) >= min(WORDS, self.others) and len(self.members) > self.others
+            enough = (
+                len(self.heard) >= min(WORDS, self.other_fronts) and len(self.members) > self.other_fronts
+            )
             return now if enough else inf, since + waits.hear_ms, "a word of every front"
         if self.phase is Phase.HEARD:
-            settled = self.changed_at + waits.settle_ms if self.others else now
+            settled = self.changed_at + waits.settle_ms if self.other_fronts else now
             return settled, since + waits.agree_ms, "the same fronts for a while"
         crowd_until = self.since + (waits.crowd_ms if self.crowd else 0.0)
         return max(now, crowd_until) if self.calm and self.fresh else inf, inf, "calm"
--- a/lemonhall/recovery/server_pages.py
+++ b/lemonhall/recovery/server_pages.py
@@ -31,7 +31,7 @@
 STATES = (1, 2)  # ready, draining
 
 
-def pages(entries: Iterable[Any], as_of_ms: float, version: int) -> list[Any]:
+def build_pages(entries: Iterable[Any], as_of_ms: float, version: int) -> list[Any]:
     """Entries (of recovery.proto), in pages that fit into datagrams."""
     made: list[Any] = [Page()]
     size = 0
@@ -157,8 +157,8 @@
 class Giving:
     """What this front gives away: `know` makes the pages, which are used for a second."""
 
-    def __init__(self, know: Callable[[], list[Any]]) -> None:
-        self.know = know
+    def __init__(self, build: Callable[[], list[Any]]) -> None:
+        self.build = build
         self.made: list[Any] = []
         self.made_at = -inf
         self.room, self.at = GIVEN_PER_S, 0.0
@@ -170,6 +170,6 @@
         if self.room < 1:
             return None
         if now - self.made_at > 1000:
-            self.made, self.made_at = self.know(), now
+            self.made, self.made_at = self.build(), now
         self.room -= 1
         return self.made[number - 1] if 1 <= number <= len(self.made) else None
--- a/lemonhall/zones/__init__.py
+++ b/lemonhall/zones/__init__.py
@@ -2,12 +2,12 @@
 
 from lemonhall.zones.machine import OutgoingMessage, ZoneDecision, ZoneFailover
 from lemonhall.zones.monitor import OperatorOverride, StateChange, ZoneMonitor, ZoneState
-from lemonhall.zones.settings import FailoverTiming, IntakeLimit, SpillTier, ZoneSettings
+from lemonhall.zones.settings import FailoverTiming, Intake, Tier, ZoneSettings
 
 __all__ = [
     "StateChange",
     "ZoneFailover",
-    "IntakeLimit",
+    "Intake",
     "OperatorOverride",
     "OutgoingMessage",
     "ZoneSettings",
@@ -15,5 +15,5 @@
     "ZoneMonitor",
     "FailoverTiming",
     "ZoneState",
-    "SpillTier",
+    "Tier",
 ]
--- a/lemonhall/zones/machine.py
+++ b/lemonhall/zones/machine.py
@@ -26,7 +26,7 @@
 from lemonhall.limits.shares import MILLION, LimitShare, Loan, equal_share
 from lemonhall.zones.halls_pb2 import Kept, Words
 from lemonhall.zones.monitor import OperatorOverride, StateChange, ZoneMonitor, ZoneState
-from lemonhall.zones.settings import SpillTier, ZoneSettings
+from lemonhall.zones.settings import Tier, ZoneSettings
 
 LOST = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
 ALIVE = (Outcome.OK, Outcome.FULL, Outcome.ERROR)
@@ -42,10 +42,10 @@
 class ZoneDecision:
     """What a session may use: `bars` binds, `prefer` and `cap` are wishes. `spill`: it may leave its home."""
 
-    bars: tuple[int, ...] = ()
-    prefer: tuple[tuple[str, int], ...] = ()
-    cap: int = 99
-    spill: int = -1
+    barred: tuple[int, ...] = ()
+    preferred: tuple[tuple[str, int], ...] = ()
+    rung_cap: int = 99
+    spill_zone: int = -1
 
 
 FREE = ZoneDecision()  # of a session that no hall has a claim on
@@ -63,7 +63,7 @@
 class Held:
     """What a session has taken: units of limits, a turn of the return."""
 
-    tier: SpillTier | None = None
+    tier: Tier | None = None
     units: dict[int, int] = field(default_factory=dict)  # by limit
     premium: bool = False
     turn: bool = False  # of the ramp, not yet used
@@ -93,49 +93,49 @@
 
     def __init__(
         self,
-        plan: ZoneSettings,
+        settings: ZoneSettings,
         number: int,
         fronts: int,
         home: int,
         life: int,
         random: Random,
         now: float,
-        remembers: bool = True,
-        kept: bytes = b"",
+        state_complete: bool = True,
+        saved_state: bytes = b"",
     ) -> None:
-        self.plan, self.number, self.fronts, self.home = plan, number, fronts, home
+        self.settings, self.number, self.fronts, self.home = settings, number, fronts, home
         self.life, self.random = life, random
-        self.sights = [ZoneMonitor(plan, n, since=now) for n in range(len(plan.halls))]
+        self.sights = [ZoneMonitor(settings, n, since=now) for n in range(len(settings.zones))]
         self.by_server: dict[int, int] = {}
-        self.cells: list[set[int]] = [set() for _ in plan.halls]  # that each hall has ever had
-        self.tiers = [t for t in plan.tiers if t.hall == home]
+        self.cells: list[set[int]] = [set() for _ in settings.zones]  # that each hall has ever had
+        self.tiers = [t for t in settings.tiers if t.hall == home]
         own = equal_share(number, fronts) if number < fronts else 0
-        unheard = set() if remembers else set(range(fronts)) - {number}
-        self.parts = [LimitShare(own, unheard) for _ in plan.limits]
-        self.reserves = [Reserve() for _ in plan.limits]
-        self.rates = [Bucket(at=now) for _ in plan.limits]
+        unheard = set() if state_complete else set(range(fronts)) - {number}
+        self.parts = [LimitShare(own, unheard) for _ in settings.limits]
+        self.reserves = [Reserve() for _ in settings.limits]
+        self.rates = [Bucket(at=now) for _ in settings.limits]
         self.ramp = Bucket(at=now)
         self.sessions: dict[int, Held] = {}
         self.lives: dict[int, int] = {}
         self.homes: dict[int, int] = {}  # of the others, as far as they have said
-        self.answer: set[int] = set()  # fronts that are told something out of turn
+        self.pending_replies: set[int] = set()  # fronts that are told something out of turn
         self.members: tuple[int, ...] = ()
-        self.next_words = now + self.period() * random.random()
+        self.next_words = now + self.message_period_ms() * random.random()
         self.spilled_at = float("-inf")
-        self.changes: list[StateChange] = []
+        self.state_changes: list[StateChange] = []
         self.wanted: dict[int, float] = {}  # limits that others lack room under: when that was heard
-        self.moves: list[int] = []  # sessions that had better come home
+        self.pending_moves: list[int] = []  # sessions that had better come home
         self.counts = Counter[str]()
-        self.cheapest = min(c.worth for c in plan.classes)
-        if kept:
-            self.recall(kept)
+        self.cheapest = min(c.worth for c in settings.classes)
+        if saved_state:
+            self.restore(saved_state)
 
-    def period(self) -> float:
-        return min(PERIOD_MOST_MS, self.plan.spilling.notice_ms / PERIODS)
+    def message_period_ms(self) -> float:
+        return min(PERIOD_MOST_MS, self.settings.spilling.notice_ms / PERIODS)
 
     # what is seen
 
-    def listed(self, now: float, servers: list[i.Server], fresh: bool, whole: bool = True) -> None:
+    def on_list(self, now: float, servers: list[i.Server], fresh: bool, whole: bool = True) -> None:
         """The list as it stands, or what has changed; `fresh`: it is not a kept or an old one."""
         lines: dict[int, list[i.Server]] = {n: [] for n in range(len(self.sights))}
         if whole:
@@ -155,9 +155,9 @@
         ready = sum(sight.ready_now for sight in self.sights)
         for sight in self.sights:
             sight.judge(now, ready > sight.ready_now, fresh)
-        self.look(now)
+        self.update_states(now)
 
-    def seen(self, now: float, server: int, outcome: Outcome) -> None:
+    def on_attempt_result(self, now: float, server: int, outcome: Outcome) -> None:
         """The end of an attempt, or a sign of life (`OK`)."""
         hall = self.by_server.get(server)
         if hall is None:
@@ -167,14 +167,14 @@
         elif outcome in ALIVE:
             self.sights[hall].good(now, server)
 
-    def look(self, now: float) -> None:
+    def update_states(self, now: float) -> None:
         for sight in self.sights:
             if change := sight.look(now):
-                self.changes.append(change)
+                self.state_changes.append(change)
                 if sight.hall == self.home:
                     self.ramp = Bucket(at=now)
 
-    def order(self, hall: int, what: OperatorOverride, at_ms: float) -> bool:
+    def set_override(self, hall: int, what: OperatorOverride, at_ms: float) -> bool:
         """An operator's, or one that was heard of. False: a later one holds."""
         sight = self.sights[hall]
         if at_ms <= sight.order_at:
@@ -187,20 +187,20 @@
 
     # sessions
 
-    def ask(self, now: float, ask: int, cls: int, row: frozenset[int] | None = None) -> ZoneDecision:
+    def choose_zones(self, now: float, ask: int, cls: int, row: frozenset[int] | None = None) -> ZoneDecision:
         """What a session of a class may use; `row`: the cells that hold its title, if not all do."""
-        self.look(now)
+        self.update_states(now)
         home, sight = self.home, self.sights[self.home]
         if row is not None and self.cells[home] and not row & self.cells[home]:
             return FREE  # its home has never had the title
-        terms = self.plan.classes[cls]
+        terms = self.settings.classes[cls]
         held = Held(since=now, safe=terms.repeat is Repeat.SAFE)
         held.premium = terms.worth > self.cheapest
         allowed: set[int] = set()
         if sight.state in (ZoneState.UP, ZoneState.FAILING):
             allowed.add(home)
         elif sight.state is ZoneState.RETURNING:
-            if self.ramp.fill(now, sight.pace(now) / self.sharers()) >= 1.0:
+            if self.ramp.fill(now, sight.set_up_rate(now) / self.sharers()) >= 1.0:
                 self.ramp.left -= 1.0
                 held.turn = True
                 allowed.add(home)
@@ -209,7 +209,7 @@
             held.trial = True
             allowed.add(home)
         cap, to = 99, -1
-        if cls not in self.plan.no_spill:
+        if cls not in self.settings.no_spill:
             for tier in self.tiers:
                 wanted = sight.state is not ZoneState.UP or tier.overflow
                 if wanted and self.sights[tier.to].state is ZoneState.UP:
@@ -221,7 +221,7 @@
         self.counts["spill_refused"] += not allowed
         if held.tier or held.turn or held.trial:
             self.sessions[ask] = held
-        bars = tuple(h for h in range(len(self.plan.halls)) if h not in allowed)
+        bars = tuple(h for h in range(len(self.settings.zones)) if h not in allowed)
         wish = (("zone", home),) if home in allowed and len(allowed) > 1 else ()
         return ZoneDecision(bars, wish, cap, to)
 
@@ -230,19 +230,19 @@
         falls silent is counted on: it may still be sending."""
         return self.fronts - sum(home != self.home for home in self.homes.values())
 
-    def take(self, now: float, held: Held, tier: SpillTier, terms: i.SessionClass) -> int:
+    def take(self, now: float, held: Held, tier: Tier, terms: i.SessionClass) -> int:
         """Room under all limits of a tier, at the best rung that leaves some to others. The rung, or 99."""
         self.spilled_at = now
         links, scale = self.sights[tier.to].links_kb(), terms.scale
-        limits = self.plan.limits_of(tier)
-        ladder = self.plan.ladder_kb
+        limits = self.settings.limits_of(tier)
+        ladder = self.settings.ladder_kb
         for n in limits:
             self.reserves[n].came(now, held.premium)
         if links <= 0:
             return 99
         for rung in range(min(terms.top, len(ladder) - 1), terms.floor - 1, -1):
             units = {
-                n: ceil(MILLION * ladder[rung] * scale / (self.plan.limits[n][1] * links)) for n in limits
+                n: ceil(MILLION * ladder[rung] * scale / (self.settings.limits[n][1] * links)) for n in limits
             }
             if all(self.fits(now, n, units[n], held.premium, rung == terms.floor) for n in limits):
                 if not all(self.rate_left(now, n) for n in limits):
@@ -263,19 +263,19 @@
 
     def fits(self, now: float, limit: int, units: int, premium: bool, floor: bool) -> bool:
         parts, reserve = self.parts[limit], self.reserves[limit]
-        reserve.settle(now, parts.mine(), self.plan.classes)
+        reserve.settle(now, parts.mine(), self.settings.classes)
         free = parts.free() - reserve.kept(premium)
         return units <= (free if floor else WIDE_PART * free * (not parts.need))
 
     def rate_left(self, now: float, limit: int) -> bool:
         """Of the set-ups a second that a hall takes in, this front has as much as it has of the links."""
-        place = limit - len(self.plan.tiers)
-        if place < 0 or not self.plan.intakes[place].per_s:
+        place = limit - len(self.settings.tiers)
+        if place < 0 or not self.settings.intakes[place].per_s:
             return True
         part = self.parts[limit].mine() / MILLION
-        return self.rates[limit].fill(now, self.plan.intakes[place].per_s / 1000 * part) >= 1.0
+        return self.rates[limit].fill(now, self.settings.intakes[place].per_s / 1000 * part) >= 1.0
 
-    def set_up(self, now: float, ask: int, server: int) -> None:
+    def on_set_up(self, now: float, ask: int, server: int) -> None:
         """An attempt leaves. One more at a hall that returns, or beyond the first, is paid for later."""
         held, hall = self.sessions.get(ask), self.by_server.get(server)
         if hall == self.home and self.sights[hall].state is ZoneState.RETURNING:
@@ -284,31 +284,31 @@
             else:
                 self.ramp.left -= 1.0
 
-    def playing(self, now: float, ask: int, server: int) -> None:
+    def on_playing(self, now: float, ask: int, server: int) -> None:
         """It plays: at home it needs no room elsewhere."""
-        self.seen(now, server, Outcome.OK)
+        self.on_attempt_result(now, server, Outcome.OK)
         held = self.sessions.get(ask)
         if held and held.tier and self.by_server.get(server) == self.home:
             self.let_go(held)
         elif held:
             held.plays = True
 
-    def carried(self, now: float, ask: int, cls: int, rung: int, server: int) -> None:
+    def restore_session(self, now: float, ask: int, cls: int, rung: int, server: int) -> None:
         """It plays already, under a process that is gone: what it takes elsewhere counts from here on."""
         hall = self.by_server.get(server, self.home)
         tier = next((t for t in self.tiers if t.to == hall), None)
         links = self.sights[hall].links_kb()
         if tier is None or hall == self.home or links <= 0:
             return
-        terms = self.plan.classes[cls]
+        terms = self.settings.classes[cls]
         held = Held(tier, since=now, safe=terms.repeat is Repeat.SAFE, plays=True)
-        kb = self.plan.ladder_kb[min(rung, len(self.plan.ladder_kb) - 1)] * terms.scale
-        for n in self.plan.limits_of(tier):
-            held.units[n] = ceil(MILLION * kb / (self.plan.limits[n][1] * links))
+        kb = self.settings.ladder_kb[min(rung, len(self.settings.ladder_kb) - 1)] * terms.scale
+        for n in self.settings.limits_of(tier):
+            held.units[n] = ceil(MILLION * kb / (self.settings.limits[n][1] * links))
             self.parts[n].used += held.units[n]
         self.sessions[ask] = held
 
-    def over(self, now: float, ask: int) -> None:
+    def release(self, now: float, ask: int) -> None:
         """Nothing of it is out any more."""
         held = self.sessions.pop(ask, None)
         if held is None:
@@ -329,11 +329,11 @@
 
     def tick(self, now: float) -> list[OutgoingMessage]:
         """Each moment; words go out each period, and at once to who has asked."""
-        self.look(now)
-        to = set(self.answer)
-        self.answer = set()
+        self.update_states(now)
+        to = set(self.pending_replies)
+        self.pending_replies = set()
         if now >= self.next_words:
-            self.next_words = now + self.period()
+            self.next_words = now + self.message_period_ms()
             to |= self.round(now)
             self.bring_home(now)
         return [OutgoingMessage(other, self.words(now, other)) for other in sorted(to)]
@@ -343,10 +343,10 @@
         others = [m for m in self.members if m != self.number]
         to = set(self.random.sample(others, min(FANOUT, len(others))))
         for parts in self.parts:
-            if parts.need and now - self.spilled_at > self.plan.spilling.notice_ms:
+            if parts.need and now - self.spilled_at > self.settings.spilling.notice_ms:
                 parts.need = 0
             parts.need = int(EASE * parts.need)
-            if now - self.spilled_at > 2 * self.plan.spilling.notice_ms:
+            if now - self.spilled_at > 2 * self.settings.spilling.notice_ms:
                 parts.give_back(0)
             to |= parts.to_tell()
             if parts.unheard:
@@ -358,20 +358,23 @@
         is back: one a period and limit, in turns as a return is paced, and none that was paid for."""
         sight = self.sights[self.home]
         for limit, at in list(self.wanted.items()):
-            if now - at > 2 * self.period():
+            if now - at > 2 * self.message_period_ms():
                 del self.wanted[limit]
-            elif sight.state is ZoneState.UP and self.ramp.fill(now, sight.pace(now) / self.sharers()) >= 1.0:
+            elif (
+                sight.state is ZoneState.UP
+                and self.ramp.fill(now, sight.set_up_rate(now) / self.sharers()) >= 1.0
+            ):
                 for ask, held in self.sessions.items():
                     if limit in held.units and held.plays and held.safe:
                         held.safe = False  # once
                         self.ramp.left -= 1.0
-                        self.moves.append(ask)
+                        self.pending_moves.append(ask)
                         self.counts["brought_home"] += 1
                         break
 
     def words(self, now: float, other: int) -> bytes:
         to_life = self.lives.get(other, 0)
-        made = Words(plan=self.plan.digest, life=self.life, to_life=to_life, home=self.home + 1)
+        made = Words(plan=self.settings.digest, life=self.life, to_life=to_life, home=self.home + 1)
         for n, parts in enumerate(self.parts):
             lent, held = parts.lent.get(other, Loan()), parts.held.get(other, Loan())
             if lent.seq or held.seq or held.amount or parts.need:
@@ -393,19 +396,19 @@
         """Rumours are not passed on: a state that rests on others' words alone is no evidence."""
         return "other fronts" not in sight.why
 
-    def hear(self, now: float, sender: int, data: bytes) -> None:
+    def receive(self, now: float, sender: int, data: bytes) -> None:
         """Another front's words. What cannot be read, or is of another plan, is counted and passed over."""
         try:
             words = Words.FromString(data)
         except DecodeError:
             self.counts["unreadable"] += 1
             return
-        if words.plan != self.plan.digest or not 0 <= sender < self.fronts or sender == self.number:
+        if words.plan != self.settings.digest or not 0 <= sender < self.fronts or sender == self.number:
             self.counts["other_plan"] += 1
             return
         for order in words.orders:
             if order.hall < len(self.sights) and order.what in (OperatorOverride.NONE, OperatorOverride.HOLD):
-                self.order(order.hall, OperatorOverride(order.what), float(order.at_ms))
+                self.set_override(order.hall, OperatorOverride(order.what), float(order.at_ms))
         known = self.lives.get(sender, 0)
         if words.life < known:
             self.counts["old_life"] += 1
@@ -417,12 +420,12 @@
             for parts in self.parts:
                 if known:
                     parts.reborn(sender)
-            self.answer.add(sender)
+            self.pending_replies.add(sender)
         for told in words.sights:
             if told.hall < len(self.sights) and told.state <= ZoneState.RETURNING:
                 self.sights[told.hall].said(now, sender, ZoneState(told.state), told.progress / 1000)
         if words.to_life != self.life:
-            self.answer.add(sender)  # it does not know us yet, or speaks to who we were
+            self.pending_replies.add(sender)  # it does not know us yet, or speaks to who we were
             return
         by_limit: dict[int, Any] = {p.limit: p for p in words.parts}
         for n, parts in enumerate(self.parts):
@@ -433,7 +436,7 @@
             parts.returned(sender, part.held_seq if part else 0, part.held if part else 0)
             lent = part is not None and part.need > 0 and parts.lend(sender, part.need) > 0
             if lent or (part is not None and part.tell):
-                self.answer.add(sender)
+                self.pending_replies.add(sender)
 
     # over a restart
 
@@ -442,8 +445,8 @@
         """Something has changed that must be on disk before the next words leave."""
         return any(parts.dirty for parts in self.parts)
 
-    def to_keep(self) -> bytes:
-        made = Kept(plan=self.plan.digest, life=self.life)
+    def serialize(self) -> bytes:
+        made = Kept(plan=self.settings.digest, life=self.life)
         for n, parts in enumerate(self.parts):
             parts.dirty = False
             for kind, loans in ((made.lent, parts.lent), (made.held, parts.held)):
@@ -455,7 +458,7 @@
         data: bytes = made.SerializeToString()
         return data
 
-    def recall(self, data: bytes) -> None:
+    def restore(self, data: bytes) -> None:
         """Raises `ValueError` if it cannot be read. Of another plan the orders alone are taken: its parts
         were of other limits, and this is another life."""
         try:
@@ -466,7 +469,7 @@
             if order.hall < len(self.sights) and order.what in (OperatorOverride.NONE, OperatorOverride.HOLD):
                 sight = self.sights[order.hall]
                 sight.order, sight.order_at = OperatorOverride(order.what), float(order.at_ms)
-        if kept.plan != self.plan.digest:
+        if kept.plan != self.settings.digest:
             return
         self.life = int(kept.life)
         for n, parts in enumerate(self.parts):
@@ -478,13 +481,13 @@
 
     # what is seen from outside
 
-    def show(self, now: float) -> dict[str, Any]:
+    def status(self, now: float) -> dict[str, Any]:
         """Shares of links as parts of 1, times in seconds."""
         halls = []
         for sight in self.sights:
             halls.append(
                 {
-                    "hall": self.plan.halls[sight.hall],
+                    "hall": self.settings.zones[sight.hall],
                     "home": sight.hall == self.home,
                     "state": sight.state.name.lower(),
                     "since_s": round((now - sight.since) / 1000, 1),
@@ -498,12 +501,12 @@
                 }
             )
         limits = []
-        for n, (to, share) in enumerate(self.plan.limits):
-            parts, tier = self.parts[n], self.plan.tiers[n] if n < len(self.plan.tiers) else None
+        for n, (to, share) in enumerate(self.settings.limits):
+            parts, tier = self.parts[n], self.settings.tiers[n] if n < len(self.settings.tiers) else None
             limits.append(
                 {
-                    "of": self.plan.halls[tier.hall] if tier else "all halls",
-                    "to": self.plan.halls[to],
+                    "of": self.settings.zones[tier.hall] if tier else "all halls",
+                    "to": self.settings.zones[to],
                     "limit": share,
                     "held": share * parts.mine() / MILLION,
                     "used": share * parts.used / MILLION,
--- a/lemonhall/zones/monitor.py
+++ b/lemonhall/zones/monitor.py
@@ -44,9 +44,9 @@
 class StateChange:
     """A hall has come into another state here, and why."""
 
-    hall: str
+    zone: str
     state: ZoneState
-    why: str
+    reason: str
 
 
 @dataclass
@@ -241,7 +241,7 @@
         if state in (ZoneState.UP, ZoneState.RETURNING):
             self.bad_since = None
         self.state, self.since, self.why, self.came_at = state, now, why, None
-        return StateChange(self.plan.halls[self.hall], state, why)
+        return StateChange(self.plan.zones[self.hall], state, why)
 
     # the return
 
@@ -260,7 +260,7 @@
             return 0.0
         return min(1.0, max(0.0, (now - self.ramp_from) / max(1.0, self.ramp_ms())))
 
-    def pace(self, now: float) -> float:
+    def set_up_rate(self, now: float) -> float:
         """Set-ups a ms that all fronts together may send: what its servers can take if each is as warm as it
         is by its start, and no warmer than the ramp is far (DESIGN, cold servers: places over the warm time,
         times the warmth)."""
--- a/lemonhall/zones/settings.py
+++ b/lemonhall/zones/settings.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True)
-class SpillTier:
+class Tier:
     """Sessions of `hall` may take `share` of the links of `to`. Tiers of a hall stand in their order.
 
     `overflow`: also while `hall` is up, when it is full."""
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class IntakeLimit:
+class Intake:
     """What a hall takes in from all others: part of its links, set-ups a second; 0: no limit of that kind."""
 
     hall: int
@@ -79,10 +79,10 @@
 
     Raises nothing: what cannot be is refused with the settings."""
 
-    halls: tuple[str, ...]
+    zones: tuple[str, ...]
     classes: tuple[i.SessionClass, ...]
-    tiers: tuple[SpillTier, ...]
-    intakes: tuple[IntakeLimit, ...]
+    tiers: tuple[Tier, ...]
+    intakes: tuple[Intake, ...]
     spilling: FailoverTiming
     no_spill: frozenset[int]
     ladder_kb: tuple[float, ...]
@@ -94,10 +94,10 @@
     @classmethod
     def of(cls, terms: Terms) -> ZoneSettings:
         return cls(
-            halls=terms.halls,
+            zones=terms.halls,
             classes=terms.classes,
-            tiers=tuple(SpillTier(t.hall, t.to, t.share, t.overflow) for t in terms.spills),
-            intakes=tuple(IntakeLimit(t.hall, t.links, t.per_s) for t in terms.takes_in),
+            tiers=tuple(Tier(t.hall, t.to, t.share, t.overflow) for t in terms.spills),
+            intakes=tuple(Intake(t.hall, t.links, t.per_s) for t in terms.takes_in),
             spilling=FailoverTiming(
                 terms.spilling.notice_ms,
                 terms.spilling.trial_ms,
@@ -120,9 +120,9 @@
     @cached_property
     def digest(self) -> int:
         """Parts are of one whole only among fronts that go by the same tiers and intakes."""
-        return zlib.crc32(repr((self.halls, self.tiers, self.intakes)).encode())
+        return zlib.crc32(repr((self.zones, self.tiers, self.intakes)).encode())
 
-    def limits_of(self, tier: SpillTier) -> tuple[int, ...]:
+    def limits_of(self, tier: Tier) -> tuple[int, ...]:
         """Places of the limits that a session under a tier counts against."""
         own = [self.tiers.index(tier)]
         return tuple(own + [len(self.tiers) + n for n, t in enumerate(self.intakes) if t.hall == tier.to])
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -81,22 +81,22 @@
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2])["limits"][0] for desk in (one, other)]
     assert [t["used"] for t in told] == [4, 0] and told[1]["lent"] == told[0]["borrowed"] == 2
-    assert one.ask(99, 0, 0, "/a", 99, "").refused == "seats"
+    assert one.ask(99, 0, 0, "/a", 99, "").refused_by == "seats"
     assert other.forget("0")[0] == 409 and other.forget("x")[0] == 400
     loop.close()
 
 
 def test_a_session_that_moves_keeps_its_room() -> None:
     loop, clock, (one, other) = desks(plan(exact(2)))
-    assert not one.ask(1, 0, 0, "/a", 99, "").refused and not other.ask(1, 0, 0, "/a", 99, "").refused
+    assert not one.ask(1, 0, 0, "/a", 99, "").refused_by and not other.ask(1, 0, 0, "/a", 99, "").refused_by
     one.park(1, "s")
     one.over(1)  # its ask is over, the session is not
-    assert other.ask(2, 0, 0, "/a", 99, "").refused
-    assert not one.ask(2, 0, 0, "/a", 99, "s").refused
+    assert other.ask(2, 0, 0, "/a", 99, "").refused_by
+    assert not one.ask(2, 0, 0, "/a", 99, "s").refused_by
     one.park(2, "s")
     one.over(2)
     run(loop, clock, 20)  # it never came
-    assert not one.ask(3, 0, 0, "/a", 99, "").refused
+    assert not one.ask(3, 0, 0, "/a", 99, "").refused_by
     loop.close()
 
 
@@ -106,14 +106,14 @@
         one.ask(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
-    state = one.machine.escrow.state()
+    state = one.machine.escrow.handover_state()
     made = FleetLimits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
-    made.take_over(clock.at, state)
-    assert one.ask(50, 0, 0, "/a", 99, "").refused == "changing guard"
-    assert made.ask(clock.at, 51, 0, 0, "/a").refused == "seats"  # what stands there counts
-    made.carried_all()
-    assert not made.ask(clock.at, 52, 0, 0, "/a").refused
-    assert other.ask(53, 0, 0, "/a", 99, "").refused
+    made.restore_state(clock.at, state)
+    assert one.ask(50, 0, 0, "/a", 99, "").refused_by == "changing guard"
+    assert made.admit(clock.at, 51, 0, 0, "/a").refused_by == "seats"  # what stands there counts
+    made.finish_handover()
+    assert not made.admit(clock.at, 52, 0, 0, "/a").refused_by
+    assert other.ask(53, 0, 0, "/a", 99, "").refused_by
     loop.close()
 
 
@@ -200,9 +200,9 @@
     w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
     client, _ = w.playing("/browse/a")
     machine = w.daemon.asks.limits.machine
-    room = next(iter(machine.escrow.rooms.values()))
+    room = next(iter(machine.escrow.local_limits.values()))
     room.parts.own = 0  # as if it had been lent by another
-    machine.escrow.lapsed((room.limit.ident, 0), 1)
+    machine.escrow.record_expired((room.limit.ident, 0), 1)
     w.until(lambda: client.byes)
     w.until(lambda: not w.daemon.asks.open)
     assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
--- a/tests/front/test_returning.py
+++ b/tests/front/test_returning.py
@@ -29,7 +29,7 @@
     """Whether the other front has heard of the first one's store as it is now."""
     desk, keeper = site.fronts[1].asks.returning, site.fronts[0].keeper
     assert desk and keeper
-    return desk.machine.seen.marks.get(0, StoreCheckpoint(0, 0)) >= keeper.mark
+    return desk.machine.peer_checkpoints.checkpoints.get(0, StoreCheckpoint(0, 0)) >= keeper.mark
 
 
 def copy_of_store(site: Site) -> Path:
@@ -61,7 +61,7 @@
 def test_a_store_of_an_older_day_is_put_aside_and_its_claims_count_as_run(site: Site) -> None:
     claim = ran_and_was_put_back(site)
     keeper, desk = site.fronts[0].keeper, site.fronts[0].asks.returning
-    assert keeper and desk and desk.machine.trust is StoreTrust.OLDER
+    assert keeper and desk and desk.machine.store_trust is StoreTrust.OLDER
     assert keeper.counts["disowned"] == 1 and (site.folder / "f0.store" / "older-1.mdb").exists()
     client, _, play = site.ask(0, claim=claim)
     assert site.answer(client, play).status == 502  # the final answer, and at once
@@ -91,7 +91,7 @@
     site.kill(0)
     site.start(0)
     desk = site.fronts[0].asks.returning
-    assert desk and desk.machine.trust is StoreTrust.SOUND
+    assert desk and desk.machine.store_trust is StoreTrust.SOUND
     for box in site.boxes:
         box.script.clear()
     again, _, play = site.ask(0, claim=claim)
@@ -109,7 +109,7 @@
     site.start(0)
     assert 0.9 < site.loop.now() - before < 5  # a wait that has an end
     desk, keeper = site.fronts[0].asks.returning, site.fronts[0].keeper
-    assert desk and keeper and desk.machine.trust is StoreTrust.UNKNOWN
+    assert desk and keeper and desk.machine.store_trust is StoreTrust.UNKNOWN
     for box in site.boxes:
         box.script.clear()
     again, _, play = site.ask(0, claim=claim)
--- a/tests/limits/fleet.py
+++ b/tests/limits/fleet.py
@@ -81,15 +81,15 @@
     def give(self, place: int) -> None:
         sender, to, data = self.said[place]
         front = self.fronts[to]
-        front.hear(self.clock(to), sender, data)
-        if front.escrow.answer:
+        front.receive(self.clock(to), sender, data)
+        if front.escrow.pending_replies:
             self.tick(to)
         self.obey(to)
 
     def obey(self, number: int) -> None:
         """What must end, ends."""
         front = self.fronts[number]
-        ends, front.ends = front.ends, []
+        ends, front.sessions_to_end = front.sessions_to_end, []
         for ask in ends:
             self.end(number, ask)
 
@@ -97,11 +97,11 @@
         """Asks, and sets up at once if it may."""
         self.asks += 1
         front, ask, now = self.fronts[number], self.asks, self.clock(number)
-        if front.ask(now, ask, partner, cls, title).refused:
+        if front.admit(now, ask, partner, cls, title).refused_by:
             self.obey(number)
             return False
-        if not front.may(now, ask):
-            front.over(now, ask)
+        if not front.may_start_set_up(now, ask):
+            front.release(now, ask)
             return False
         self.stands[number][ask] = title
         self.began.append(self.now)
@@ -112,7 +112,7 @@
         if self.stands[number]:
             ask = ask or min(self.stands[number])
             self.stands[number].pop(ask, None)
-            self.fronts[number].over(self.clock(number), ask)
+            self.fronts[number].release(self.clock(number), ask)
 
     def standing(self, title: str = "") -> int:
         return sum(t == title or not title for one in self.stands for t in one.values())
@@ -141,17 +141,17 @@
     def could_use(self, number: int, key: tuple[int, int]) -> int:
         """What a front would go by if it woke now: loans that have run out by its clock do not count."""
         escrow, clock = self.fronts[number].escrow, self.clock(number)
-        room = escrow.rooms.get(key)
+        room = escrow.local_limits.get(key)
         limit = escrow.by_ident[key[0]]
         if room is None:
             room = Escrow.room(copy(escrow), limit, key[1]) if key[1] or not limit.each_title else None
-            escrow.rooms.pop(key, None)
+            escrow.local_limits.pop(key, None)
             assert room
-        waits = room.parts.unheard and clock < escrow.open_at
+        waits = room.parts.unreported and clock < escrow.open_at
         own = 0 if waits else room.parts.own - room.parts.lent_sum
         held = 0
         for other, loan in room.parts.held.items():
-            if clock - escrow.peers[other].asked / 1000 < escrow.plan.stands_ms(limit):
+            if clock - escrow.peers[other].asked / 1000 < escrow.settings.stands_ms(limit):
                 held += loan.amount
         return own + held
 
@@ -159,12 +159,12 @@
         for limit in self.plan.limits:
             if limit.kind is LimitKind.SOFT:
                 continue
-            keys = {k for f in self.fronts for k in f.escrow.rooms if k[0] == limit.ident}
+            keys = {k for f in self.fronts for k in f.escrow.local_limits if k[0] == limit.ident}
             for key in keys:
                 most = sum(max(0, self.could_use(n, key)) for n in range(self.count))
                 assert most <= limit.amount, f"{limit.name}: {most} could be used"
         for n, front in enumerate(self.fronts):
-            for key, room in front.escrow.rooms.items():
+            for key, room in front.escrow.local_limits.items():
                 if room.limit.kind is LimitKind.EXACT:
                     taken = sum(c.units.get(key, 0) for c in front.sessions.values())
                     assert room.parts.used == taken, f"front {n}: {room.parts.used} counted, {taken} taken"
--- a/tests/limits/test_exact.py
+++ b/tests/limits/test_exact.py
@@ -46,13 +46,13 @@
     for n, front in enumerate(fleet.fronts):
         e = front.escrow
         rooms = [
-            (k, r.parts.used, r.parts.need, sorted(r.parts.unheard), r.parts.own)
+            (k, r.parts.used, r.parts.need, sorted(r.parts.unreported), r.parts.own)
             + tuple(sorted((o, loan.amount, loan.open) for o, loan in r.parts.lent.items()))
             + tuple(sorted((-o, loan.amount, loan.open) for o, loan in r.parts.held.items()))
-            for k, r in sorted(e.rooms.items())
+            for k, r in sorted(e.local_limits.items())
         ]
         peers = sorted((o, p.heard_at, p.asked, p.life) for o, p in e.peers.items())
-        told.append((rooms, peers, len(fleet.stands[n]), sorted(e.answer)))
+        told.append((rooms, peers, len(fleet.stands[n]), sorted(e.pending_replies)))
     return repr((told, [(s, t) for s, t, _ in fleet.said], round(fleet.now, 3)))
 
 
@@ -108,7 +108,7 @@
 
 def from_receipt(monkeypatch: pytest.MonkeyPatch) -> None:
     """A borrower counts its lease from when the answer came."""
-    hear = Escrow.hear
+    hear = Escrow.receive
 
     def flawed(self: Escrow, now: float, sender: int, data: bytes) -> None:
         stamp = self.peers[sender].stamp if sender in self.peers else 0
@@ -116,7 +116,7 @@
         if sender in self.peers and self.peers[sender].stamp != stamp and self.peers[sender].asked:
             self.peers[sender].asked = int(now * 1000)
 
-    monkeypatch.setattr(Escrow, "hear", flawed)
+    monkeypatch.setattr(Escrow, "receive", flawed)
 
 
 def too_early(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -132,16 +132,16 @@
 
 def any_order(monkeypatch: pytest.MonkeyPatch) -> None:
     """Words count whenever they come."""
-    hear = Escrow.hear
+    hear = Escrow.receive
 
     def flawed(self: Escrow, now: float, sender: int, data: bytes) -> None:
         self.peers.setdefault(sender, Peer()).stamp = 0
         for key in self.links.get(sender, ()):
-            if loan := self.rooms[key].parts.held.get(sender):
+            if loan := self.local_limits[key].parts.held.get(sender):
                 loan.seq = 0
         hear(self, now, sender, data)
 
-    monkeypatch.setattr(Escrow, "hear", flawed)
+    monkeypatch.setattr(Escrow, "receive", flawed)
 
 
 def trusting(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,7 +150,7 @@
 
     def flawed(self: Escrow, *args: Any, **more: Any) -> None:
         init(self, *args, **more)
-        self.unheard.clear()
+        self.unreported.clear()
 
     monkeypatch.setattr(Escrow, "__init__", flawed)
 
@@ -164,7 +164,7 @@
     """What is granted counts as gone when the other has seen it."""
 
     def flawed(self: LimitShare, other: int, given: int) -> int:
-        if given <= 0 or self.unheard:
+        if given <= 0 or self.unreported:
             return 0
         loan = self.lent.setdefault(other, Loan())
         self.numbers[0] += 1
@@ -210,7 +210,7 @@
         if not fleet.fronts[1].escrow.links:
             break
         fleet.now += 0.1
-        fleet.fronts[1].wake(fleet.clock(1))
+        fleet.fronts[1].expire_leases(fleet.clock(1))
         fleet.check()
     assert not fleet.fronts[1].escrow.links
 
@@ -219,7 +219,9 @@
     """0 borrows of 1, 2 asks 0 for it, and 1 is cut off from 0."""
     fleet = Fleet(plan(exact(6)), 3)
     fleet.run(4)
-    while fleet.fronts[0].escrow.rooms.get((fleet.plan.limits[0].ident, 0)) is None or (fleet.standing() < 4):
+    while fleet.fronts[0].escrow.local_limits.get((fleet.plan.limits[0].ident, 0)) is None or (
+        fleet.standing() < 4
+    ):
         fleet.ask(0)
         fleet.run(0.2, cut=frozenset({frozenset((0, 2))}))
     for _ in range(4):
@@ -267,8 +269,8 @@
         fleet.end(1, ask)
     fleet.run(30)
     for front in fleet.fronts:
-        assert front.show(fleet.clock(front.escrow.number))["limits"][0]["held"] == 8
-        assert not front.escrow.links and not front.escrow.rooms  # and nothing of it is remembered
+        assert front.status(fleet.clock(front.escrow.number))["limits"][0]["held"] == 8
+        assert not front.escrow.links and not front.escrow.local_limits  # and nothing of it is remembered
 
 
 def test_a_limit_of_one_is_held_by_one_and_found_by_all() -> None:
@@ -293,7 +295,7 @@
         while len(fleet.stands[n % 8]) > 20:
             fleet.end(n % 8)
     fleet.run(60)
-    assert sum(len(f.escrow.rooms) for f in fleet.fronts) <= 2 * fleet.standing() + 8
+    assert sum(len(f.escrow.local_limits) for f in fleet.fronts) <= 2 * fleet.standing() + 8
     fleet.run(0.2)
     fleet.tick(0)
     assert all(len(data) <= 1200 for _, _, data in fleet.said)
@@ -312,9 +314,9 @@
         fleet.check()
     fleet.check_standing()
     assert fleet.standing() == 6  # two claims of partner 0, the rest of partner 1
-    used = {m["limit"]: 0 for m in fleet.fronts[0].show(fleet.clock(0))["limits"]}
+    used = {m["limit"]: 0 for m in fleet.fronts[0].status(fleet.clock(0))["limits"]}
     for n, front in enumerate(fleet.fronts):
-        for told in front.show(fleet.clock(n))["limits"]:
+        for told in front.status(fleet.clock(n))["limits"]:
             used[told["limit"]] += told["used"]
     assert used == {"a-all": 6, "b-partner": 2, "c-claims": 2}
 
@@ -367,10 +369,10 @@
         fleet.end(0)
     front, clock = fleet.fronts[0], fleet.clock(0)
     fleet.asks += 1
-    assert not front.ask(clock, fleet.asks, 0, VIEW, "/a").refused  # let in, not yet sent
+    assert not front.admit(clock, fleet.asks, 0, VIEW, "/a").refused_by  # let in, not yet sent
     fleet.frozen.add(0)
     fleet.run(40)
-    assert not front.may(fleet.clock(0), fleet.asks)  # it wakes just before the action
+    assert not front.may_start_set_up(fleet.clock(0), fleet.asks)  # it wakes just before the action
     assert front.counts["lapsed_before_set_up"] == 1
 
 
@@ -400,11 +402,11 @@
     fleet = borrowed()
     old = fleet.fronts[0]
     made = fleet.born(0)
-    made.take_over(fleet.clock(0), old.escrow.state())
+    made.restore_state(fleet.clock(0), old.escrow.handover_state())
     fleet.fronts[0] = made
     assert not fleet.ask(0)  # what stands counts before it has been told
     for ask in fleet.stands[0]:
-        made.carried(fleet.clock(0), ask, 0, VIEW, "/a", 0)
+        made.restore_session(fleet.clock(0), ask, 0, VIEW, "/a", 0)
     fleet.run(40)
     assert len(fleet.stands[0]) == 6
     fleet.check()
@@ -416,7 +418,7 @@
     made = fleet.born(0)
     made.escrow.fresh = False
     for ask in fleet.stands[0]:
-        made.carried(fleet.clock(0), ask, 0, VIEW, "/a", 0)
+        made.restore_session(fleet.clock(0), ask, 0, VIEW, "/a", 0)
     fleet.fronts[0] = made
     for _ in range(25):
         fleet.run(1)
@@ -433,7 +435,7 @@
     fleet = borrowed()
     less = plan(exact(3))
     for front in fleet.fronts:
-        front.settle(less)
+        front.apply_settings(less)
     fleet.run(3)
     assert fleet.standing() == 6 and not any(fleet.ask(n) for n in range(3))
     for _ in range(4):
@@ -448,15 +450,15 @@
     fleet = Fleet(plan(exact(3)), 3)
     fleet.run(4)
     more = plan(exact(30))
-    fleet.fronts[0].settle(more)
-    fleet.fronts[1].settle(more)
+    fleet.fronts[0].apply_settings(more)
+    fleet.fronts[1].apply_settings(more)
     for _ in range(10):
         for number in range(3):
             fleet.ask(number)
         fleet.run(1)
     assert fleet.standing() == 3
-    assert fleet.fronts[0].show(fleet.clock(0))["limits"][0]["goes_by"] == 3
-    fleet.fronts[2].settle(more)
+    assert fleet.fronts[0].status(fleet.clock(0))["limits"][0]["goes_by"] == 3
+    fleet.fronts[2].apply_settings(more)
     fleet.plan = more
     for _ in range(40):
         for number in range(3):
@@ -550,7 +552,7 @@
     fleet.kill(0)
     fleet.fronts[0].escrow.life = 0  # its wall clock is an hour back
     fleet.run(4)
-    assert fleet.fronts[0].escrow.life > 1 and not fleet.fronts[0].escrow.unheard
+    assert fleet.fronts[0].escrow.life > 1 and not fleet.fronts[0].escrow.unreported
     assert fleet.ask(0)
     fleet.check()
 
--- a/tests/limits/test_paced.py
+++ b/tests/limits/test_paced.py
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize("spent", [False, True])
 def test_a_burst_where_the_pace_went_and_where_it_came_from(spent: bool) -> None:
     fleet = moved(spent)
-    assert fleet.fronts[0].show(fleet.clock(0))["limits"][0]["borrowed"] > 5000
+    assert fleet.fronts[0].status(fleet.clock(0))["limits"][0]["borrowed"] > 5000
     fleet.check_paced(WIDE)
 
 
@@ -168,14 +168,14 @@
     fleet = Fleet(plan(paced(10.0, 2.0)), 1)
     fleet.now += 1000
     front = fleet.fronts[0]
-    front.ask(fleet.clock(0), 90, 0, 0, "/a")  # the bucket begins to fill
+    front.admit(fleet.clock(0), 90, 0, 0, "/a")  # the bucket begins to fill
     fleet.now += 1000
-    assert [front.ask(fleet.clock(0), n, 0, 0, "/a").refused for n in (1, 2, 3)] == ["", "", "pace"]
+    assert [front.admit(fleet.clock(0), n, 0, 0, "/a").refused_by for n in (1, 2, 3)] == ["", "", "pace"]
     fleet.now += 5000  # both waited
-    assert front.may(fleet.clock(0), 1) and front.may(fleet.clock(0), 2)
-    assert not front.may(fleet.clock(0), 2)  # a further attempt needs one more
-    told = front.ask(fleet.clock(0), 4, 0, 0, "/a")
-    assert told.refused == "pace" and 0 < told.pause_ms <= 10 * PERIOD
+    assert front.may_start_set_up(fleet.clock(0), 1) and front.may_start_set_up(fleet.clock(0), 2)
+    assert not front.may_start_set_up(fleet.clock(0), 2)  # a further attempt needs one more
+    told = front.admit(fleet.clock(0), 4, 0, 0, "/a")
+    assert told.refused_by == "pace" and 0 < told.retry_after_ms <= 10 * PERIOD
 
 
 # soft limits
@@ -202,7 +202,7 @@
         for number in (1, 2):
             fleet.ask(number)
         fleet.run(0.2, cut=cut)
-        told = fleet.fronts[0].show(fleet.clock(0))["limits"][0]
+        told = fleet.fronts[0].status(fleet.clock(0))["limits"][0]
         assert fleet.standing() <= told["used"] + told["others"] + told["off_most"] + 1e-6
     assert told["oldest_s"] >= 2.9 and fleet.standing() > 60
 
@@ -216,7 +216,7 @@
             fleet.ask(number)
         fleet.run(0.4, cut=cut)
     assert [len(s) for s in fleet.stands] == [10, 10, 10]
-    assert fleet.fronts[0].show(fleet.clock(0))["soft_oldest_s"] <= 10 * PERIOD / 1000
+    assert fleet.fronts[0].status(fleet.clock(0))["soft_oldest_s"] <= 10 * PERIOD / 1000
 
 
 @given(st.permutations(range(6)), st.lists(st.integers(0, 5), max_size=6))
--- a/tests/limits/test_shares.py
+++ b/tests/limits/test_shares.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from lemonhall.limits.shares import MILLION, LimitShare, Loan, equal_share
-from lemonhall.zones import FailoverTiming, SpillTier, ZoneFailover, ZoneSettings
+from lemonhall.zones import FailoverTiming, Tier, ZoneFailover, ZoneSettings
 from tests.zones.fixtures import PLAN, server
 
 FRONTS = 3
@@ -41,36 +41,36 @@
             self.life,
             Random(self.life),
             self.now,
-            remembers=keeps or first,
-            kept=self.disks[number],
+            state_complete=keeps or first,
+            saved_state=self.disks[number],
         )
         made.members = tuple(range(len(self.remember)))
         lines = [server(n, zone=n % 3, cell=n % 6) for n in range(12) if n % 3]
-        made.listed(self.now, lines, True)  # hall 0 is not there: sessions spill
+        made.on_list(self.now, lines, True)  # hall 0 is not there: sessions spill
         return made
 
     def say(self, number: int) -> None:
         front = self.fronts[number]
-        self.now += front.period()
+        self.now += front.message_period_ms()
         outs = front.tick(self.now)
         if front.dirty:
-            kept = front.to_keep()
+            kept = front.serialize()
             if self.remember[number]:
                 self.disks[number] = kept
         self.said += [(number, out.to, out.data) for out in outs]
 
     def give(self, place: int) -> None:
         sender, to, data = self.said[place]
-        self.fronts[to].hear(self.now, sender, data)
+        self.fronts[to].receive(self.now, sender, data)
 
     def ask(self, number: int) -> None:
         self.asks += 1
-        self.fronts[number].ask(self.now, self.asks, 0)
+        self.fronts[number].choose_zones(self.now, self.asks, 0)
 
     def end(self, number: int) -> None:
         front = self.fronts[number]
         if front.sessions:
-            front.over(self.now, min(front.sessions))
+            front.release(self.now, min(front.sessions))
 
     def kill(self, number: int) -> None:
         self.fronts[number] = self.born(number, False)
@@ -168,7 +168,7 @@
 
 def any_number(self: LimitShare, other: int, seq: int, amount: int) -> None:
     loan = self.lent.setdefault(other, Loan())
-    self.unheard.discard(other)
+    self.unreported.discard(other)
     if amount < loan.amount:
         self.set_lent(other, loan, loan.seq, amount)
 
@@ -224,7 +224,7 @@
     alone = fleet.fronts[0].parts[0]
     assert alone.used > 3 * equal_share(0, 6)  # far more than its own part
     for ask in list(fleet.fronts[0].sessions):
-        fleet.fronts[0].over(fleet.now, ask)
+        fleet.fronts[0].release(fleet.now, ask)
     fleet.now += 10 * PLAN.spilling.notice_ms
     settle(fleet, 12)
     for front in fleet.fronts:
@@ -243,7 +243,7 @@
 
 def test_fronts_of_another_plan_share_nothing() -> None:
     fleet = Fleet([True, True])
-    other = replace(PLAN, tiers=(SpillTier(0, 1, 0.5),), spilling=FailoverTiming())
+    other = replace(PLAN, tiers=(Tier(0, 1, 0.5),), spilling=FailoverTiming())
     fleet.fronts[1] = ZoneFailover(other, 1, 2, 0, 99, Random(1), 0.0)
     fleet.fronts[1].members = (0, 1)
     fleet.ask(0)
--- a/tests/members/network.py
+++ b/tests/members/network.py
@@ -83,7 +83,7 @@
                 _, _, target, data, sender = heapq.heappop(self.heap)
                 self.deliver(target, data, sender)
             for number, node in list(self.nodes.items()):
-                if node.up and self.now >= node.paused_until and self.now >= node.machine.due():
+                if node.up and self.now >= node.paused_until and self.now >= node.machine.next_tick_at():
                     self.post(number, node.machine.tick(self.now))
                     self.look(node)
 
--- a/tests/members/test_machine.py
+++ b/tests/members/test_machine.py
@@ -53,7 +53,7 @@
         net.add(number, (0, 1))
         net.run(300)
     net.until_agreed(60 * PERIOD)
-    assert not any(n.machine.conflict for n in net.nodes.values())
+    assert not any(n.machine.duplicate_number for n in net.nodes.values())
 
 
 def test_who_leaves_is_gone_at_once_without_suspicion() -> None:
@@ -126,9 +126,9 @@
     other.start(net.now)
     late = twin.machine.start(net.now)[0].data
     other.receive(net.now, address_of(4), late)
-    assert not other.conflict  # one late word may be of an earlier life
+    assert not other.duplicate_number  # one late word may be of an earlier life
     other.receive(net.now + 6 * PERIOD, address_of(4), late)
-    assert other.conflict and other.counts["twin"] == 2
+    assert other.duplicate_number and other.counts["twin"] == 2
 
 
 def test_nothing_that_comes_makes_a_machine_raise() -> None:
@@ -285,13 +285,13 @@
 
 def test_more_fronts_are_told_at_once_and_fewer_slowly() -> None:
     share = FrontCount(2, 3, 0.0)
-    assert share.look(view(0, 1, 2), 0.0) is None
-    assert share.look(view(*range(80)), 10.0) == (80, 2)
+    assert share.update(view(0, 1, 2), 0.0) is None
+    assert share.update(view(*range(80)), 10.0) == (80, 2)
     few = view(1, 2, 3)
-    assert share.look(few, 5000.0) == (80, 1)  # the rank is known, the fall waits
+    assert share.update(few, 5000.0) == (80, 1)  # the rank is known, the fall waits
     times, counts = [], []
     for ms in range(0, 120_000, 500):
-        if told := share.look(few, 5000.0 + ms):
+        if told := share.update(few, 5000.0 + ms):
             times.append(ms)
             counts.append(told[0])
     assert times[0] >= 5000 and counts == sorted(counts, reverse=True) and counts[-1] == 3
@@ -302,5 +302,5 @@
 def test_who_may_be_cut_off_does_not_take_more_for_itself() -> None:
     share = FrontCount(0, 40, 0.0)
     for ms in range(0, 300_000, 1000):
-        assert share.look(view(0, 1, cut_off=True), float(ms)) is None
-    assert share.told == (40, 0)
+        assert share.update(view(0, 1, cut_off=True), float(ms)) is None
+    assert share.reported == (40, 0)
--- a/tests/recovery/fleet.py
+++ b/tests/recovery/fleet.py
@@ -40,16 +40,16 @@
             lambda: self.fronts[number].mark,
         )
         front = self.fronts[number] = Front(made, mark or last)
-        made.recall(data)
+        made.restore(data)
         if ask:
-            made.question(self.now, 1000.0)
+            made.query_checkpoints(self.now, 1000.0)
         for other in self.fronts.values():
-            other.machine.view(self.now, tuple(sorted(self.fronts)))
+            other.machine.on_view(self.now, tuple(sorted(self.fronts)))
         return front
 
     def kill(self, number: int) -> None:
         front = self.fronts.pop(number)
-        self.kept[number] = front.machine.to_keep(), front.mark
+        self.kept[number] = front.machine.serialize(), front.mark
 
     def post(self, sender: int, words: list[OutgoingMessage]) -> None:
         for out in words:
@@ -61,35 +61,35 @@
 
     def step(self, until: float) -> None:
         """To the next thing that happens, or to that time."""
-        due = min([f.machine.due() for f in self.fronts.values()], default=until)
+        due = min([f.machine.next_tick_at() for f in self.fronts.values()], default=until)
         self.now = max(self.now, min(until, due, self.heap[0][0] if self.heap else until))
         while self.heap and self.heap[0][0] <= self.now:
             _, _, sender, to, data = heapq.heappop(self.heap)
             if to in self.fronts:
-                self.post(to, self.fronts[to].machine.hear(self.now, sender, data))
+                self.post(to, self.fronts[to].machine.receive(self.now, sender, data))
         for number, front in self.fronts.items():
-            if front.machine.due() <= self.now:
+            if front.machine.next_tick_at() <= self.now:
                 words, lets = front.machine.tick(self.now)
                 self.post(number, words)
-                front.went += [self.now] * sum(let.pause_ms is None for let in lets)
-                front.told_off += sum(let.pause_ms is not None for let in lets)
-            for one in front.machine.entered:
+                front.went += [self.now] * sum(let.retry_after_ms is None for let in lets)
+                front.told_off += sum(let.retry_after_ms is not None for let in lets)
+            for one in front.machine.entered_phases:
                 front.entered[one.phase] = self.now
-            front.machine.entered.clear()
+            front.machine.entered_phases.clear()
 
     def run(self, until: float) -> None:
         while self.now < until:
             born = {n: f.machine.phases.since for n, f in self.fronts.items()}
             for number, front in self.fronts.items():
                 if self.list_ms is not None and self.now >= born[number] + self.list_ms:
-                    front.machine.listed(self.now, self.now, 12)
+                    front.machine.on_list(self.now, self.now, 12)
             self.step(min(until, self.now + 50.0))
             self.now += 1e-3
 
     def ask(self, number: int, ident: int, worth: float = 1.0, left_ms: float = 4000.0) -> None:
         front = self.fronts[number]
-        if let := front.machine.ask(self.now, ident, worth, left_ms):
-            if let.pause_ms is None:
+        if let := front.machine.admit(self.now, ident, worth, left_ms):
+            if let.retry_after_ms is None:
                 front.went.append(self.now)
             else:
                 front.told_off += 1
--- a/tests/recovery/test_checkpoints.py
+++ b/tests/recovery/test_checkpoints.py
@@ -33,7 +33,7 @@
             elif step == "tell":
                 seen.hear(7, StoreCheckpoint(100, count))
                 heard = count
-        answer = seen.marks.get(7)
+        answer = seen.checkpoints.get(7)
         assert judged(StoreCheckpoint(100, count), [answer], 1, 2000.0) in (
             StoreTrust.SOUND,
             StoreTrust.UNKNOWN,
@@ -53,8 +53,8 @@
     seen.hear(7, StoreCheckpoint(100, 50))
     seen.hear(7, StoreCheckpoint(900, 2))
     seen.hear(7, StoreCheckpoint(100, 51))  # late words
-    assert judged(StoreCheckpoint(100, 60), [seen.marks[7]], 1) is StoreTrust.OLDER
-    assert judged(StoreCheckpoint(900, 5), [seen.marks[7]], 1) is StoreTrust.SOUND
+    assert judged(StoreCheckpoint(100, 60), [seen.checkpoints[7]], 1) is StoreTrust.OLDER
+    assert judged(StoreCheckpoint(900, 5), [seen.checkpoints[7]], 1) is StoreTrust.SOUND
 
 
 @settings(max_examples=200)
@@ -95,4 +95,4 @@
     seen = Seen()
     for n in range(10_000):
         seen.hear(n, StoreCheckpoint(1, 1))
-    assert len(seen.marks) == 4096
+    assert len(seen.checkpoints) == 4096
--- a/tests/recovery/test_phases.py
+++ b/tests/recovery/test_phases.py
@@ -58,7 +58,7 @@
     said = []
     for now in (2000.0, 5000.0, 11_000.0, 60_000.0):
         said += made.look(now)
-    assert [(e.phase, bool(e.lacks)) for e in said] == [
+    assert [(e.phase, bool(e.missing)) for e in said] == [
         (Phase.LISTED, True),
         (Phase.HEARD, True),
         (Phase.AGREED, False),  # nobody came and nobody went
--- a/tests/recovery/test_server_pages.py
+++ b/tests/recovery/test_server_pages.py
@@ -16,7 +16,7 @@
     WITHIN_MS,
     Asking,
     Giving,
-    pages,
+    build_pages,
 )
 
 LIES = st.lists(st.tuples(st.integers(1, 9), st.integers(0, 4), st.floats()), max_size=12)
@@ -41,15 +41,15 @@
 
 
 def test_pages_fit_and_have_an_end() -> None:
-    made = pages((entry(n) for n in range(1, 20_000)), 1.0, 9)
+    made = build_pages((entry(n) for n in range(1, 20_000)), 1.0, 9)
     assert len(made) == PAGES_MOST
     assert all(page.ByteSize() < PAGE_BYTES + 60 for page in made)
-    small = pages([entry(1)], 1.0, 9)
+    small = build_pages([entry(1)], 1.0, 9)
     assert [(p.number, p.pages, p.version) for p in small] == [(1, 1, 9)]
 
 
 def test_all_that_three_know_is_taken_over_in_no_time() -> None:
-    known = pages([entry(n) for n in range(1, 60)], 7.0, 9)
+    known = build_pages([entry(n) for n in range(1, 60)], 7.0, 9)
     result, now, _ = asked(dict.fromkeys(range(1, 7), known))
     assert [e.id for e in result.entries] == list(range(1, 60)) and now == 0.0
     assert result.as_of_ms == 7.0
@@ -61,8 +61,10 @@
     wrong: list[tuple[int, int, float]], mad: int
 ) -> None:
     """Of three that are asked one says what it likes; the others know servers 1 to 5, of which 4 drains."""
-    true = pages([entry(n, state=2 if n == 4 else 1, evidence=1.0) for n in range(1, 6)], 7.0, 9)
-    lies = pages([entry(i, state=s, evidence=abs(e), address="6.6.6.6:6") for i, s, e in wrong], 9.0, 1 << 40)
+    true = build_pages([entry(n, state=2 if n == 4 else 1, evidence=1.0) for n in range(1, 6)], 7.0, 9)
+    lies = build_pages(
+        [entry(i, state=s, evidence=abs(e), address="6.6.6.6:6") for i, s, e in wrong], 9.0, 1 << 40
+    )
     lies = lies or [Page(number=1, pages=1)]
     result, _, _ = asked({n: lies if n == mad else true for n in (1, 2, 3)}, members=3)
     assert [e.id for e in result.entries] == [1, 2, 3, 4, 5]
@@ -73,12 +75,12 @@
 
 def test_the_more_cautious_word_is_taken() -> None:
     said = [entry(1, state=1, started_ms=5.0), entry(1, state=2, started_ms=9.0), entry(1)]
-    result, _, _ = asked({n: pages([one], 1.0, 1) for n, one in enumerate(said, 1)}, members=3)
+    result, _, _ = asked({n: build_pages([one], 1.0, 1) for n, one in enumerate(said, 1)}, members=3)
     assert (result.entries[0].state, result.entries[0].started_ms) == (2, 9.0)
 
 
 def test_whoever_is_killed_half_way_holds_up_nothing_for_long() -> None:
-    known = pages([entry(n) for n in range(1, 60)], 7.0, 9)
+    known = build_pages([entry(n) for n in range(1, 60)], 7.0, 9)
     assert len(known) > 1
     result, now, _ = asked({1: known[:1], 2: known, 3: known}, members=3)
     assert len(result.entries) == 59 and now == WITHIN_MS
@@ -86,7 +88,7 @@
 
 
 def test_those_that_know_nothing_are_passed_over() -> None:
-    known = pages([entry(n) for n in range(1, 6)], 7.0, 9)
+    known = build_pages([entry(n) for n in range(1, 6)], 7.0, 9)
     result, now, _ = asked({5: known, 6: known}, members=6)
     assert [e.id for e in result.entries] == [1, 2, 3, 4, 5] and now == WITHIN_MS
     assert asked({4: known, 5: known, 6: known}, members=6)[1] < WITHIN_MS
@@ -107,7 +109,7 @@
 
 
 def test_a_front_gives_no_more_than_so_many_pages_a_second() -> None:
-    giving = Giving(lambda: pages([entry(1)], 1.0, 1))
+    giving = Giving(lambda: build_pages([entry(1)], 1.0, 1))
     given_away = sum(giving.page(0.0, 1) is not None for _ in range(2000))
     assert given_away == GIVEN_PER_S
     assert giving.page(1000.0, 1) is not None and giving.page(1000.0, 2) is None
--- a/tests/zones/fixtures.py
+++ b/tests/zones/fixtures.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 from lemonhall import interface as i
-from lemonhall.zones import FailoverTiming, IntakeLimit, SpillTier, ZoneSettings
+from lemonhall.zones import FailoverTiming, Intake, Tier, ZoneSettings
 
 SAFE, PAID, STAYS = 0, 1, 2
 PLAN = ZoneSettings(
-    halls=("hall-a", "hall-b", "hall-c"),
+    zones=("hall-a", "hall-b", "hall-c"),
     classes=(
         i.SessionClass(1.0, i.Repeat.SAFE, 1000, 4000),
         i.SessionClass(3.0, i.Repeat.PAID, 1000, 5000, floor=1),
         i.SessionClass(1.0, i.Repeat.SAFE, 1000, 4000),
     ),
-    tiers=(SpillTier(0, 1, 0.25), SpillTier(0, 2, 0.1), SpillTier(1, 2, 0.25, overflow=True)),
-    intakes=(IntakeLimit(1, 0.2),),
+    tiers=(Tier(0, 1, 0.25), Tier(0, 2, 0.1), Tier(1, 2, 0.25, overflow=True)),
+    intakes=(Intake(1, 0.2),),
     spilling=FailoverTiming(1000.0, 500.0, 10_000.0, 4.0, 60_000.0),
     no_spill=frozenset({STAYS}),
     ladder_kb=(4.0, 8.0, 14.0, 24.0),
--- a/tests/zones/test_monitor.py
+++ b/tests/zones/test_monitor.py
@@ -104,9 +104,9 @@
     for made, servers in ((whole, 4), (half, 2)):
         now = dark(made)
         back(made, now, servers)
-    paces = [whole.pace(now + part * PLAN.spilling.ramp_ms) for part in (0.0, 0.25, 0.5, 0.9)]
+    paces = [whole.set_up_rate(now + part * PLAN.spilling.ramp_ms) for part in (0.0, 0.25, 0.5, 0.9)]
     assert paces == sorted(paces) and paces[0] == pytest.approx(PLAN.cold_from / 0.5 * paces[2])
-    assert half.pace(now) == pytest.approx(whole.pace(now) / 2)
+    assert half.set_up_rate(now) == pytest.approx(whole.set_up_rate(now) / 2)
     assert run(whole, now, now + 1.1 * PLAN.spilling.ramp_ms) == [ZoneState.UP]
 
 
--- a/tests/zones/test_recovery_ramp.py
+++ b/tests/zones/test_recovery_ramp.py
@@ -36,7 +36,7 @@
 ) -> None:
     paced = [played(name, seed) for seed in (1, 2, 3)]
     with monkeypatch.context() as planted:
-        planted.setattr(ZoneMonitor, "pace", lambda self, now: 1e9)
+        planted.setattr(ZoneMonitor, "set_up_rate", lambda self, now: 1e9)
         days = [played(name, seed) for seed in (1, 2, 3)]
     assert any(p.report.halls["returned_pushed_over"] for p in days)
     assert any(p.report.broken["cold_pushed_over"] for p in days)
