--- a/lemonhall/front/deciding/returning.py
+++ b/lemonhall/front/deciding/returning.py
@@ -171,13 +171,13 @@
 
     def ask(self, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `let` will be told."""
-        made = self.machine.admit(self.now(), number, worth, left_ms)
+        made = self.machine.admit_request(self.now(), number, worth, left_ms)
         if made is None:
             self.arm()
         return made
 
     def drop(self, number: int) -> None:
-        self.machine.cancel(number)
+        self.machine.cancel_request(number)
 
     # time
 
--- a/lemonhall/model/played/fronts.py
+++ b/lemonhall/model/played/fronts.py
@@ -289,7 +289,7 @@
     def forget(self, ask: Ask) -> None:
         self.asks.pop(ask.number, None)
         if self.held.pop(ask.number, None) and self.returning:
-            self.returning.cancel(ask.number)
+            self.returning.cancel_request(ask.number)
         if self.halls:
             self.halls.release(self.world.sim.now, ask.number)
         if self.limits:
@@ -398,7 +398,7 @@
             return
         self.held[ask.number] = told
         worth = self.world.day.terms.classes[told.cls].worth
-        if let := self.returning.admit(self.world.sim.now, ask.number, worth, told.left_ms):
+        if let := self.returning.admit_request(self.world.sim.now, ask.number, worth, told.left_ms):
             self.let(let.request_id, let.retry_after_ms)
 
     def session_of(self, ask: Ask, ran: bool, advice: i.Advice, left: float = 0.0) -> i.NewSession:
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -235,7 +235,7 @@
 
     # asks
 
-    def admit(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
+    def admit_request(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
         """None: it waits, and `tick` will say."""
         self.pass_on(now)
         self.usual.count += self.ordinary
@@ -243,7 +243,7 @@
             return AdmissionResult(number)
         return self.gate.admit(now, number, worth, left_ms)
 
-    def cancel(self, number: int) -> None:
+    def cancel_request(self, number: int) -> None:
         self.gate.drop(number)
 
     # time
--- a/tests/recovery/fleet.py
+++ b/tests/recovery/fleet.py
@@ -88,7 +88,7 @@
 
     def ask(self, number: int, ident: int, worth: float = 1.0, left_ms: float = 4000.0) -> None:
         front = self.fronts[number]
-        if let := front.machine.admit(self.now, ident, worth, left_ms):
+        if let := front.machine.admit_request(self.now, ident, worth, left_ms):
             if let.retry_after_ms is None:
                 front.went.append(self.now)
             else:
--- a/tests/recovery/test_machine.py
+++ b/tests/recovery/test_machine.py
@@ -102,7 +102,7 @@
     assert machine.phases.phase is Phase.FULL
     machine.on_list(fleet.now + 20_000, fleet.now + 15_000, 12)  # what lay in its socket
     assert machine.phases.phase is Phase.NOTHING and machine.gate.shut
-    assert machine.admit(fleet.now + 20_000, 1, 1.0, 4000.0) is None
+    assert machine.admit_request(fleet.now + 20_000, 1, 1.0, 4000.0) is None
     machine.on_list(fleet.now + 20_400, fleet.now + 20_300, 12)
     assert machine.phases.phase >= Phase.LISTED and not machine.gate.shut
 
