--- a/lemonhall/audit/limits.py
+++ b/lemonhall/audit/limits.py
@@ -52,7 +52,7 @@
 
 
 def covers(limit: Limit, ask: Ask, halls: dict[str, int]) -> bool:
-    pairs = ((limit.partner, ask.tenant), (limit.cls, ask.cls), (limit.hall, halls.get(ask.front, -2)))
+    pairs = ((limit.partner, ask.tenant), (limit.cls, ask.cls), (limit.zone, halls.get(ask.front, -2)))
     return all(mine in (-1, theirs) for mine, theirs in pairs)
 
 
--- a/lemonhall/config/rules.py
+++ b/lemonhall/config/rules.py
@@ -11,7 +11,13 @@
 from lemonhall.config.dayschema import ENDS, FAULTS, LINK_FAULTS
 from lemonhall.config.routing import BadPattern, compile_pattern
 from lemonhall.config.units import show
-from lemonhall.limits.settings import DRIFT, LEASE_PERIODS, LIMITS_MOST, PERIOD_MOST_MS, back_ms
+from lemonhall.limits.settings import (
+    MAX_CLOCK_DRIFT,
+    LEASE_PERIODS,
+    MAX_LIMITS,
+    MAX_PERIOD_MS,
+    lease_expiry_ms,
+)
 from lemonhall.problem import Problem, nearest
 
 Hosts = tuple[str, ...]
@@ -325,8 +331,8 @@
                 self.say(limit, "rise", "is missing", "how fast one front may add bounds how far off it is")
             if hold == "paced" and 0 < limit["burst"] < 1:
                 self.say(limit, "burst", "no set-up would ever fit", "write burst=1 or more")
-            if n >= LIMITS_MOST:
-                what = f"the {n + 1}th limit: one datagram names {LIMITS_MOST}"
+            if n >= MAX_LIMITS:
+                what = f"the {n + 1}th limit: one datagram names {MAX_LIMITS}"
                 self.say(limit, "", what, "take one out")
             made = crc32(limit.name.encode())
             if idents.setdefault(made, limit.name) != limit.name:
@@ -351,13 +357,13 @@
         keeps = limit["on-silence"] == "keep" and limit["hold"] == "exact"
         longest = limit["longest"] if keeps else 0.0
         for period in periods if limit["back"] else ():
-            least = back_ms(min(PERIOD_MOST_MS, period), longest, deadline)
+            least = lease_expiry_ms(min(MAX_PERIOD_MS, period), longest, deadline)
             if least <= limit["back"]:
                 continue
-            lease = LEASE_PERIODS * min(PERIOD_MOST_MS, period)
-            left = limit["back"] - deadline - lease * (1 + DRIFT)
+            lease = LEASE_PERIODS * min(MAX_PERIOD_MS, period)
+            left = limit["back"] - deadline - lease * (1 + MAX_CLOCK_DRIFT)
             what = f"room of a front that is gone is back after {show(least, 'time')}"
-            fix = f"write longest={show(max(0.0, left / (1 + DRIFT)), 'time')} or less"
+            fix = f"write longest={show(max(0.0, left / (1 + MAX_CLOCK_DRIFT)), 'time')} or less"
             if left <= 0:
                 fix = "a shorter period of the members, or a later back"
             self.say(limit, "back", what, fix)
--- a/lemonhall/config/settings.py
+++ b/lemonhall/config/settings.py
@@ -12,7 +12,7 @@
 from lemonhall.config.load import Loader, Tree, set_field
 from lemonhall.config.routing import Condition, Match, Pool, PoolServer, Route, Step
 from lemonhall.config.schema import SETTINGS, TERMS, Spec
-from lemonhall.limits.settings import PERIOD_MOST_MS, Limit, LimitKind, LimitSettings, LimitUnit
+from lemonhall.limits.settings import MAX_PERIOD_MS, Limit, LimitKind, LimitSettings, LimitUnit
 from lemonhall.problem import BadInput
 
 __all__ = ["BadInput"]
@@ -411,8 +411,8 @@
         return []
     terms = make_terms(typed)
     members = [m for f in top(typed, "front") if "index" in f.values and (m := f.one("members"))]
-    plan = LimitSettings.of(terms, members[0]["period"] if members else PERIOD_MOST_MS)
-    return [f'limit "{m.name}": {plan.bound(m)}' for m in plan.limits]
+    plan = LimitSettings.of(terms, members[0]["period"] if members else MAX_PERIOD_MS)
+    return [f'limit "{m.name}": {plan.describe_bound(m)}' for m in plan.limits]
 
 
 def make_limit(node: Typed, names: dict[str, list[str]]) -> Limit:
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/beside.py
@@ -23,7 +23,7 @@
 from lemonhall.front.keeping.capturing import Capturer
 from lemonhall.front.keeping.keeper import Keeper
 from lemonhall.limits import FleetLimits, LimitSettings
-from lemonhall.limits.settings import PERIOD_MOST_MS
+from lemonhall.limits.settings import MAX_PERIOD_MS
 from lemonhall.loop import Loop
 from lemonhall.members.machine import MembershipView
 from lemonhall.recovery import PhaseTimeouts, Recovery
@@ -162,7 +162,7 @@
 
     def limits_plan(self) -> LimitSettings:
         s = self.front.settings
-        return LimitSettings.of(s.terms, s.members.period_ms if s.members else PERIOD_MOST_MS)
+        return LimitSettings.of(s.terms, s.members.period_ms if s.members else MAX_PERIOD_MS)
 
     def open_limits(self) -> None:
         """The machine of the fleet's limits: as the process that is relieved had it, or as one that remembers
--- a/lemonhall/limits/__init__.py
+++ b/lemonhall/limits/__init__.py
@@ -1,4 +1,5 @@
-"""Limits that hold for all fronts together: escrow with leases, paced shares, soft counters. No I/O."""
+"""Limits that all fronts hold together without a coordinator: exact limits by escrow with leases, rate limits on
+set-ups by shares of the rate, and soft limits by gossiped counters. No I/O."""
 
 from lemonhall.limits.escrow import OutgoingMessage
 from lemonhall.limits.machine import AdmissionDecision, FleetLimits
--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -1,13 +1,14 @@
-"""What of each limit is this front's: its own part, what is lent and borrowed, and the words about it.
+"""This front's side of every limit: its own share, the loans with other fronts, and the messages about them.
 
-A loan ends by itself (leases: Gray and Cheriton, SOSP 1989). The borrower counts from when it asked, by the
-stamp of its own that came back; the lender from when it heard that question. So the borrower's end lies
-before the lender's, whatever is lost, late or doubled on the way, as long as the rates of their clocks differ
-by no more than `DRIFT`. Nothing is kept on disk: a front that remembers nothing uses none of its own part
-until every other has said what it holds of it, or every loan of the life before has run out.
+A loan is a lease (Gray and Cheriton, SOSP 1989). The borrower counts its term from when it sent the request,
+by its own stamp that the lender echoed; the lender counts from when it received that request. So the lease
+expires at the borrower before it expires at the lender, whatever is lost, late or duplicated, as long as the
+rates of their clocks differ by no more than `MAX_CLOCK_DRIFT`. Nothing is stored on disk: a front without state
+uses none of its own share until every other front has reported its holdings, or every loan of the previous
+incarnation has expired.
 
-Of two words of one front the later one counts, by its stamp; words name every loan between the two, so what
-is not named does not stand.
+Of two messages of one front the one with the later stamp counts. Messages name every loan between two fronts,
+so a loan that is not named does not exist.
 """
 
 from __future__ import annotations
@@ -21,32 +22,32 @@
 from google.protobuf.message import DecodeError
 
 from lemonhall.limits.limits_pb2 import State, Words
-from lemonhall.limits.local_limit import SPAN_PERIODS, Demand, LocalLimit
+from lemonhall.limits.local_limit import DEMAND_WINDOW_PERIODS, Demand, LocalLimit
 from lemonhall.limits.settings import (
     FANOUT,
-    LENDERS_MOST,
-    PAIR_MOST,
-    RENEWALS,
+    MAX_LENDERS,
+    MAX_LOANS_PER_PAIR,
+    RENEWALS_PER_PERIOD,
     Limit,
     LimitKind,
     LimitSettings,
-    owners,
+    remainder_owners,
 )
 from lemonhall.limits.shares import LimitShare, Loan
-from lemonhall.limits.soft_counters import Counters, Entry
+from lemonhall.limits.soft_counters import CounterEntry, SoftCounters
 
-Key = tuple[int, int]  # of a limit, of a title
-TICKS_PER_PERIOD = 5  # in a period: needs are told, and leases looked at, this often
-NEEDS_MOST = 8  # named in one word, beside loans
-COUNTS_MOST = 8  # of others' counters, in one word
-NEWS = 2  # fronts that are spoken to each period, whoever they are
-WORDS_A_PERIOD = RENEWALS + 4 * FANOUT  # but for answers
-ROOMS_MOST = 20_000
+Key = tuple[int, int]  # id of a limit, digest of a title (0: all titles)
+TICKS_PER_PERIOD = 5  # needs are sent and leases checked on each tick
+MAX_NEEDS = 8  # named in one message, beside the loans
+MAX_COUNTERS = 8  # of other fronts, in one message
+RANDOM_PEERS = 2  # fronts that are sent a message each period regardless of loans
+MESSAGES_PER_PERIOD = RENEWALS_PER_PERIOD + 4 * FANOUT  # replies not counted
+MAX_LOCAL_LIMITS = 20_000
 
 
 @dataclass(frozen=True)
 class OutgoingMessage:
-    """Words to another front, by its number."""
+    """A message to another front, by its number."""
 
     to: int
     data: bytes
@@ -54,12 +55,12 @@
 
 @dataclass
 class Peer:
-    """Another front. `stamp`: its last words that counted; `asked`: own stamp that it has sent back."""
+    """Another front. `stamp`: of its last message that counted; `echoed`: own stamp that it has echoed last."""
 
-    life: int = 0
+    incarnation: int = 0
     stamp: int = 0
-    asked: int = 0
-    heard_at: float = -inf
+    echoed: int = 0
+    received_at: float = -inf
     amounts: dict[int, int] = field(default_factory=dict)  # by limit
     spare: dict[int, int] = field(default_factory=dict)
     fronts: int = 0
@@ -67,9 +68,9 @@
 
 
 class Escrow:
-    """`life` grows with each start; `fresh`: no session of an earlier life of this front still stands.
+    """`incarnation` grows with each start; `fresh`: no session of an earlier incarnation still exists.
 
-    `short`: units that have lapsed, by what they were of: whoever holds sessions on them ends so many.
+    `expired_units`: units that have expired, by limit and title; the caller ends sessions that used as many.
     """
 
     def __init__(
@@ -77,528 +78,570 @@
         settings: LimitSettings,
         number: int,
         fronts: int,
-        life: int,
+        incarnation: int,
         random: Random,
         now: float,
         fresh: bool = True,
     ) -> None:
-        self.settings, self.number, self.own_fronts = settings, number, fronts
-        self.life, self.random, self.fresh = life, random, fresh
+        self.settings, self.number, self.configured_fronts = settings, number, fronts
+        self.incarnation, self.random, self.fresh = incarnation, random, fresh
         self.fronts = fronts
-        self.numbers = [0]
+        self.grant_counter = [0]
         self.unreported = set(range(fronts)) - {number}
-        self.open_at = now + settings.open_ms
+        self.open_at = now + settings.restart_wait_ms
         self.local_limits: dict[Key, LocalLimit] = {}
-        self.links: dict[int, set[Key]] = {}  # by front: what is lent or held between it and this one
+        self.loan_keys: dict[int, set[Key]] = {}  # by front: limits with a loan between it and this one
         self.peers: dict[int, Peer] = {}
-        self.stale: set[int] = set()  # lenders on whose loans nothing new may be set up
-        self.orphans: list[tuple[float, Key, int]] = []  # loans to lives that are over: until when, what
-        self.forgotten: set[int] = set()  # gone for good, by an operator's word: their parts are the others'
+        self.stale_lenders: set[int] = set()  # nothing new may be set up on their loans
+        self.orphans: list[tuple[float, Key, int]] = []  # loans to earlier incarnations: expiry, key, units
+        self.forgotten: set[int] = set()  # permanently gone, by operator command; others own their shares
         self.members: tuple[int, ...] = ()
-        self.duplicate_member = False  # another process goes by this number: the own part may be its
+        self.duplicate_member = False  # another process uses this number and may use the own share
         self.pending_replies: set[int] = set()
-        self.pending_recalls: set[int] = set()  # borrowers that are to give back what is free
-        self.short: dict[Key, float] = {}
+        self.pending_recalls: set[int] = set()  # borrowers that are asked to return free units
+        self.expired_units: dict[Key, float] = {}
         self.stamp = 0
-        self.due = -inf  # the next time that a lease may end
-        self.next_round = now + settings.period_ms * random.random()
-        self.budget = float(WORDS_A_PERIOD)
+        self.next_expiry_at = -inf  # when a lease may expire next
+        self.next_period_at = now + settings.period_ms * random.random()
+        self.message_budget = float(MESSAGES_PER_PERIOD)
         self.counts = Counter[str]()
-        self.drawn: dict[int, list[int]] = {}
-        self.soft: dict[int, Counters] = {}
+        self.owners_by_limit: dict[int, list[int]] = {}
+        self.soft_counters: dict[int, SoftCounters] = {}
         self.soft_used = Counter[int]()
         self.apply_settings(settings)
 
     # settings
 
     def apply_settings(self, settings: LimitSettings) -> None:
-        """Other settings: of two amounts the smaller one holds until every front has the new one."""
-        before = {limit.ident: limit.amount for limit in self.settings.limits}
-        for front in set(range(self.own_fronts)) - {self.number}:
+        """Takes over new settings: of two amounts the smaller one is in force until all fronts have the new."""
+        before = {limit.limit_id: limit.amount for limit in self.settings.limits}
+        for front in set(range(self.configured_fronts)) - {self.number}:
             amounts = self.peers.setdefault(front, Peer()).amounts
-            for ident, amount in before.items():
-                amounts.setdefault(ident, amount)
+            for limit_id, amount in before.items():
+                amounts.setdefault(limit_id, amount)
         self.settings = settings
-        self.by_ident = {limit.ident: limit for limit in settings.limits}
-        for key, room in self.local_limits.items():
-            room.limit = self.by_ident.get(key[0], room.limit)  # one that is gone is paid back as it was
+        self.limits_by_id = {limit.limit_id: limit for limit in settings.limits}
+        for key, local in self.local_limits.items():
+            local.limit = self.limits_by_id.get(key[0], local.limit)  # a removed one is returned as it was
         for m in settings.limits:
             if m.kind is LimitKind.SOFT:
-                counters = self.soft.setdefault(m.ident, Counters(m, settings.period_ms))
+                counters = self.soft_counters.setdefault(m.limit_id, SoftCounters(m, settings.period_ms))
                 counters.limit = m
-        self.soft = {ident: c for ident, c in self.soft.items() if ident in self.by_ident}
+        self.soft_counters = {
+            limit_id: c for limit_id, c in self.soft_counters.items() if limit_id in self.limits_by_id
+        }
         self.recompute_shares()
         for m in settings.limits:
             if m.kind is LimitKind.PACED:
-                self.room(m, 0)
+                self.local_limit(m, 0)
 
     def recompute_shares(self) -> None:
-        """Goes by the smallest amount, and the greatest number of fronts, that any front has said.
+        """Uses the smallest amount and the greatest number of fronts that any front has announced.
 
-        Without those that are forgotten the parts of the others only grow, and add up to the limit: it makes
-        no difference who hears of it first.
+        When fronts are forgotten the shares of the others only grow and still add up to the limit, so the order
+        in which fronts learn of it makes no difference.
         """
-        self.fronts = max([self.own_fronts, *(p.fronts for p in self.peers.values())])
+        self.fronts = max([self.configured_fronts, *(p.fronts for p in self.peers.values())])
         self.amounts = {
-            m.ident: min([m.amount, *(p.amounts.get(m.ident, m.amount) for p in self.peers.values())])
+            m.limit_id: min([m.amount, *(p.amounts.get(m.limit_id, m.amount) for p in self.peers.values())])
             for m in self.settings.limits
         }
-        self.there = sorted(set(range(self.fronts)) - self.gone())
-        self.share, self.drawn = len(self.there), {}
-        self.away = self.duplicate_member or any(self.number in p.forgotten for p in self.peers.values())
-        for room in self.local_limits.values():
-            self.cut(room)
-
-    def gone(self) -> set[int]:
-        """Forgotten, and silent since."""
-        return {f for f in self.forgotten if f not in self.peers or self.peers[f].heard_at == -inf}
-
-    def cut(self, room: LocalLimit) -> None:
-        """Its own part, by what all have said."""
-        room.amount = self.amounts.get(room.limit.ident, room.limit.amount)
-        room.owners = self.owners(room.limit, room.title, room.amount)
-        whole = room.amount // self.share + (self.number in room.owners)
-        room.parts.own = (0 if self.away else whole) - room.orphaned
-
-    def owners(self, limit: Limit, title: int, amount: int) -> list[int]:
-        """Who have one unit more; of what is not by title it is found once."""
-        found = self.drawn.get(limit.ident) if not title else None
+        self.owning_fronts = sorted(set(range(self.fronts)) - self.silent_forgotten())
+        self.share_count, self.owners_by_limit = len(self.owning_fronts), {}
+        self.owns_nothing = self.duplicate_member or any(
+            self.number in p.forgotten for p in self.peers.values()
+        )
+        for local in self.local_limits.values():
+            self.resize_share(local)
+
+    def silent_forgotten(self) -> set[int]:
+        """Forgotten fronts of which nothing has been received since."""
+        return {f for f in self.forgotten if f not in self.peers or self.peers[f].received_at == -inf}
+
+    def resize_share(self, local: LocalLimit) -> None:
+        """Sets the own share by what all fronts have announced."""
+        local.amount = self.amounts.get(local.limit.limit_id, local.limit.amount)
+        local.remainder_owners = self.remainder_owners(local.limit, local.title, local.amount)
+        own = local.amount // self.share_count + (self.number in local.remainder_owners)
+        local.share.own = (0 if self.owns_nothing else own) - local.orphaned
+
+    def remainder_owners(self, limit: Limit, title: int, amount: int) -> list[int]:
+        """The fronts that own one unit more; cached for limits that are not by title."""
+        found = self.owners_by_limit.get(limit.limit_id) if not title else None
         if found is None:
-            found = owners(limit, title, amount, self.there)
+            found = remainder_owners(limit, title, amount, self.owning_fronts)
             if not title:
-                self.drawn[limit.ident] = found
+                self.owners_by_limit[limit.limit_id] = found
         return found
 
-    def room(self, limit: Limit, title: int) -> LocalLimit:
-        key = limit.ident, title if limit.each_title else 0
+    def local_limit(self, limit: Limit, title: int) -> LocalLimit:
+        key = limit.limit_id, title if limit.each_title else 0
         found = self.local_limits.get(key)
         if found is None:
-            parts = LimitShare(0, self.unreported, self.numbers)
-            span = SPAN_PERIODS * self.settings.period_ms
-            found = LocalLimit(limit, key[1], parts, Demand(span), self.settings.period_ms, limit.amount)
+            share = LimitShare(0, self.unreported, self.grant_counter)
+            window_ms = DEMAND_WINDOW_PERIODS * self.settings.period_ms
+            found = LocalLimit(limit, key[1], share, Demand(window_ms), self.settings.period_ms, limit.amount)
             self.local_limits[key] = found
-            self.cut(found)
+            self.resize_share(found)
         return found
 
     # leases
 
     def expire_leases(self, now: float) -> None:
-        """Before anything is decided: what has ended while this process did not run, has ended."""
-        if now >= self.due:
-            self.look(now)
+        """To be called before each decision: ends leases that expired while this process did not run."""
+        if now >= self.next_expiry_at:
+            self.check_leases(now)
 
-    def look(self, now: float) -> None:
-        self.due = inf
-        for front, keys in list(self.links.items()):
+    def check_leases(self, now: float) -> None:
+        self.next_expiry_at = inf
+        for front, keys in list(self.loan_keys.items()):
             peer = self.peers[front]
-            asked = peer.asked / 1000
-            (self.stale.add if now - asked >= self.settings.usable_ms() else self.stale.discard)(front)
-            if front not in self.stale:
-                self.due = min(self.due, asked + self.settings.usable_ms())
+            renewed_at = peer.echoed / 1000
+            (
+                self.stale_lenders.add
+                if now - renewed_at >= self.settings.usable_ms()
+                else self.stale_lenders.discard
+            )(front)
+            if front not in self.stale_lenders:
+                self.next_expiry_at = min(self.next_expiry_at, renewed_at + self.settings.usable_ms())
             for key in list(keys):
-                room = self.local_limits[key]
-                self.pace(now, room)
-                ends, back = self.settings.stands_ms(room.limit), self.settings.back_ms(room.limit)
-                if (loan := room.parts.held.get(front)) and loan.amount:
-                    if now - asked >= ends:
+                local = self.local_limits[key]
+                self.refill_tokens(now, local)
+                session_end_ms, expiry_ms = (
+                    self.settings.session_end_ms(local.limit),
+                    self.settings.expiry_ms(local.limit),
+                )
+                if (loan := local.share.borrowed.get(front)) and loan.amount:
+                    if now - renewed_at >= session_end_ms:
                         self.counts["lapsed"] += 1
-                        self.record_expired(key, room.parts.lapse(front))
+                        self.record_expired(key, local.share.expire_borrowed(front))
                     else:
-                        self.due = min(self.due, asked + ends)
-                if front in room.parts.lent:
-                    if now - peer.heard_at > back:
-                        self.counts["taken_back"] += room.parts.take_back(front) > 0
+                        self.next_expiry_at = min(self.next_expiry_at, renewed_at + session_end_ms)
+                if front in local.share.lent:
+                    if now - peer.received_at > expiry_ms:
+                        self.counts["taken_back"] += local.share.reclaim_lent(front) > 0
                     else:
-                        self.due = min(self.due, peer.heard_at + back + 1e-3)
-                self.pace(now, room)
-                self.unlink(front, key)
+                        self.next_expiry_at = min(self.next_expiry_at, peer.received_at + expiry_ms + 1e-3)
+                self.refill_tokens(now, local)
+                self.drop_loan_key(front, key)
         for until, key, amount in [o for o in self.orphans if o[0] < now]:
             self.orphans.remove((until, key, amount))
             self.local_limits[key].orphaned -= amount
-            self.cut(self.local_limits[key])
-        self.due = min([self.due, *(until for until, _, _ in self.orphans)])
+            self.resize_share(self.local_limits[key])
+        self.next_expiry_at = min([self.next_expiry_at, *(until for until, _, _ in self.orphans)])
         if self.unreported and now >= self.open_at:
             self.unreported.clear()
-            for key, room in self.local_limits.items():
-                room.parts.unreported.clear()
+            for key, local in self.local_limits.items():
+                local.share.unreported.clear()
                 self.record_expired(key, inf)
         elif self.unreported:
-            self.due = min(self.due, self.open_at)
+            self.next_expiry_at = min(self.next_expiry_at, self.open_at)
 
     def record_expired(self, key: Key, units: float) -> None:
-        self.short[key] = self.short.get(key, 0) + units
+        self.expired_units[key] = self.expired_units.get(key, 0) + units
 
-    def link(self, front: int, key: Key) -> None:
-        self.links.setdefault(front, set()).add(key)
-        self.due = -inf
+    def add_loan_key(self, front: int, key: Key) -> None:
+        self.loan_keys.setdefault(front, set()).add(key)
+        self.next_expiry_at = -inf
 
-    def unlink(self, front: int, key: Key) -> None:
-        parts = self.local_limits[key].parts
-        if front not in parts.lent and front not in parts.held:
-            self.links[front].discard(key)
-            if not self.links[front]:
-                del self.links[front]
-                self.stale.discard(front)
+    def drop_loan_key(self, front: int, key: Key) -> None:
+        """Drops the key if no loan is left."""
+        share = self.local_limits[key].share
+        if front not in share.lent and front not in share.borrowed:
+            self.loan_keys[front].discard(key)
+            if not self.loan_keys[front]:
+                del self.loan_keys[front]
+                self.stale_lenders.discard(front)
 
-    def pace(self, now: float, room: LocalLimit) -> None:
-        if room.paced:
-            room.settle_pace(now, self.usable(room))
+    def refill_tokens(self, now: float, local: LocalLimit) -> None:
+        if local.rate_limited:
+            local.refill_tokens(now, self.usable_units(local))
 
-    def usable(self, room: LocalLimit) -> int:
-        """What new sessions may be set up on, used or not."""
-        lapsing = sum(room.parts.held[f].amount for f in self.stale if f in room.parts.held)
-        return room.parts.mine() - lapsing - room.owed
+    def usable_units(self, local: LocalLimit) -> int:
+        """Units that new sessions may use, whether or not they are in use."""
+        stale = sum(local.share.borrowed[f].amount for f in self.stale_lenders if f in local.share.borrowed)
+        return local.share.capacity() - stale - local.handover_units
 
-    # words out
+    # outgoing messages
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Each moment; a round of words each period, needs and answers at once."""
+        """To be called on each tick. A round of messages leaves each period, needs and replies at once."""
         self.expire_leases(now)
         to: dict[int, bool] = dict.fromkeys(self.pending_replies, False)
         self.pending_replies = set()
-        if now >= self.next_round:
-            self.next_round = now + self.settings.period_ms
-            self.budget = float(WORDS_A_PERIOD)
-            for front, wants in self.round(now).items():
-                to[front] = to.get(front, False) or wants
-        if self.unreported and self.budget > 0:
-            some = sorted(self.unreported)
-            for front in self.random.sample(some, min(FANOUT, len(some))):
+        if now >= self.next_period_at:
+            self.next_period_at = now + self.settings.period_ms
+            self.message_budget = float(MESSAGES_PER_PERIOD)
+            for front, wants_reply in self.start_period(now).items():
+                to[front] = to.get(front, False) or wants_reply
+        if self.unreported and self.message_budget > 0:
+            unreported = sorted(self.unreported)
+            for front in self.random.sample(unreported, min(FANOUT, len(unreported))):
                 to[front] = True
-        for front in (*self.whom_to_ask(now), *sorted(self.pending_recalls)[:FANOUT]):
+        for front in (*self.choose_lenders(now), *sorted(self.pending_recalls)[:FANOUT]):
             to[front] = True
         self.pending_recalls -= set(to)
         out = []
-        for front, wants in to.items():
+        for front, wants_reply in to.items():
             if front in self.members or not self.members:
-                self.budget -= wants
-                out.append(OutgoingMessage(front, self.words(now, front, wants)))
+                self.message_budget -= wants_reply
+                out.append(OutgoingMessage(front, self.build_message(now, front, wants_reply)))
         return out
 
-    def round(self, now: float) -> dict[int, bool]:
-        """Who is told in this period: lenders, those whose loan ends first before others; who must hear of
-        an open loan; one at random."""
-        for room in self.local_limits.values():
-            self.pace(now, room)
-            room.ease(now)
-            self.pace(now, room)
-        self.sweep(now)
-        self.welcome_back()
-        held = [
-            f for f, keys in self.links.items() if any(f in self.local_limits[k].parts.held for k in keys)
+    def start_period(self, now: float) -> dict[int, bool]:
+        """The recipients of this period, and whether each should reply: lenders, those whose lease expires
+        first before others; fronts with an unacknowledged loan; some at random."""
+        for local in self.local_limits.values():
+            self.refill_tokens(now, local)
+            local.decay_need(now)
+            self.refill_tokens(now, local)
+        self.drop_idle(now)
+        self.readmit_forgotten()
+        lenders = [
+            f
+            for f, keys in self.loan_keys.items()
+            if any(f in self.local_limits[k].share.borrowed for k in keys)
         ]
-        held.sort(key=lambda f: self.peers[f].asked)
-        to = dict.fromkeys(held[:RENEWALS], True)
-        open_to = [f for f in self.links if f not in to and self.opened(f)]
-        to.update(dict.fromkeys(open_to[:FANOUT], True))
+        lenders.sort(key=lambda f: self.peers[f].echoed)
+        to = dict.fromkeys(lenders[:RENEWALS_PER_PERIOD], True)
+        in_doubt = [f for f in self.loan_keys if f not in to and self.has_unacknowledged_loan(f)]
+        to.update(dict.fromkeys(in_doubt[:FANOUT], True))
         others = [m for m in self.members if m != self.number]
-        for front in self.random.sample(others, min(NEWS, len(others))):
+        for front in self.random.sample(others, min(RANDOM_PEERS, len(others))):
             to.setdefault(front, True)
         return to
 
-    def opened(self, front: int) -> bool:
-        parts = (self.local_limits[k].parts for k in self.links[front])
-        return any(p.waits(p.lent, front) or p.waits(p.held, front) for p in parts)
+    def has_unacknowledged_loan(self, front: int) -> bool:
+        shares = (self.local_limits[k].share for k in self.loan_keys[front])
+        return any(
+            s.awaits_acknowledgement(s.lent, front) or s.awaits_acknowledgement(s.borrowed, front)
+            for s in shares
+        )
 
-    def sweep(self, now: float) -> None:
-        for key in [k for k, room in self.local_limits.items() if room.idle(now)]:
+    def drop_idle(self, now: float) -> None:
+        for key in [k for k, local in self.local_limits.items() if local.is_idle(now)]:
             del self.local_limits[key]
 
-    def wanting(self) -> list[Key]:
-        return [k for k, room in self.local_limits.items() if room.parts.need]
+    def keys_in_need(self) -> list[Key]:
+        return [k for k, local in self.local_limits.items() if local.share.need]
 
-    def whom_to_ask(self, now: float) -> list[int]:
-        """Lenders for what is needed: who said that they could spare most, then those not yet asked."""
+    def choose_lenders(self, now: float) -> list[int]:
+        """Fronts to request needed units of: first those with the most spare units, then those not yet asked."""
         found: dict[int, None] = {}
-        for key in self.wanting():
-            room, again = self.local_limits[key], self.settings.period_ms
-            some = room.owners if room.amount < self.share else range(self.fronts)
-            late = [f for f in self.members if f != self.number and f in some]
-            late = [f for f in late if now - room.asked_of.get(f, -inf) >= again]
-            spare = {f: self.peers[f].spare.get(key[0], -1) if f in self.peers else -1 for f in late}
-            full = len(room.parts.held) >= LENDERS_MOST
-            late = [f for f in late if not full or f in room.parts.held]
-            late = [f for f in late if spare[f]] or late
-            self.random.shuffle(late)
-            late.sort(key=lambda f: -spare[f])
-            hoped = 0
-            for front in late[: max(0, min(FANOUT - len(found), int(self.budget)))]:
-                if hoped >= room.parts.need:
+        for key in self.keys_in_need():
+            local, retry_ms = self.local_limits[key], self.settings.period_ms
+            owners = local.remainder_owners if local.amount < self.share_count else range(self.fronts)
+            candidates = [f for f in self.members if f != self.number and f in owners]
+            candidates = [f for f in candidates if now - local.requested_at.get(f, -inf) >= retry_ms]
+            spare = {f: self.peers[f].spare.get(key[0], -1) if f in self.peers else -1 for f in candidates}
+            full = len(local.share.borrowed) >= MAX_LENDERS
+            candidates = [f for f in candidates if not full or f in local.share.borrowed]
+            candidates = [f for f in candidates if spare[f]] or candidates
+            self.random.shuffle(candidates)
+            candidates.sort(key=lambda f: -spare[f])
+            expected = 0
+            for front in candidates[: max(0, min(FANOUT - len(found), int(self.message_budget)))]:
+                if expected >= local.share.need:
                     break
-                hoped += spare[front] if spare[front] > 0 else max(1, room.amount // self.share)
-                room.asked_of[front] = now
+                expected += spare[front] if spare[front] > 0 else max(1, local.amount // self.share_count)
+                local.requested_at[front] = now
                 found[front] = None
         return list(found)
 
-    def words(self, now: float, other: int, answer: bool) -> bytes:
+    def build_message(self, now: float, other: int, wants_reply: bool) -> bytes:
         peer = self.peers.setdefault(other, Peer())
         self.stamp = max(self.stamp + 1, int(now * 1000))
-        made = Words(life=self.life, to_life=peer.life, stamp=self.stamp, echo=peer.stamp)
-        made.fronts, made.answer, made.fresh = self.own_fronts, answer, self.fresh
-        made.forgotten.extend(sorted(self.forgotten))
-        links = self.links.get(other, set())
-        needs = [k for k in self.wanting() if k not in links][:NEEDS_MOST]
-        for key in (*sorted(links), *needs):
-            parts = self.local_limits[key].parts
-            lent, held = parts.lent.get(other, Loan()), parts.held.get(other, Loan())
-            made.parts.add(
+        message = Words(life=self.incarnation, to_life=peer.incarnation, stamp=self.stamp, echo=peer.stamp)
+        message.fronts, message.answer, message.fresh = self.configured_fronts, wants_reply, self.fresh
+        message.forgotten.extend(sorted(self.forgotten))
+        keys = self.loan_keys.get(other, set())
+        needs = [k for k in self.keys_in_need() if k not in keys][:MAX_NEEDS]
+        for key in (*sorted(keys), *needs):
+            share = self.local_limits[key].share
+            lent, borrowed = share.lent.get(other, Loan()), share.borrowed.get(other, Loan())
+            message.parts.add(
                 limit=key[0],
                 title=key[1],
                 grant_seq=lent.seq,
                 grant=lent.amount,
-                held_seq=held.seq,
-                held=held.amount,
-                need=parts.need,
-                recall=self.local_limits[key].called_from(other) if lent.amount else 0,
+                held_seq=borrowed.seq,
+                held=borrowed.amount,
+                need=share.need,
+                recall=self.local_limits[key].needed_by_others_than(other) if lent.amount else 0,
             )
         for m in self.settings.limits:
-            room = self.local_limits.get((m.ident, 0))
-            spare = room.lendable(now) if room else self.unused(m)
-            made.told.add(limit=m.ident, amount=m.amount, spare=spare)
-        for ident, counters in self.soft.items():
+            local = self.local_limits.get((m.limit_id, 0))
+            spare = local.lendable(now) if local else self.unused_share(m)
+            message.told.add(limit=m.limit_id, amount=m.amount, spare=spare)
+        for limit_id, counters in self.soft_counters.items():
             at = self.stamp
-            made.counts.add(limit=ident, front=self.number, life=self.life, at=at, used=self.soft_used[ident])
-            some = [f for f, e in counters.entries.items() if f != other and e.as_of < inf]
-            for front in self.random.sample(some, min(COUNTS_MOST, len(some))):
+            message.counts.add(
+                limit=limit_id,
+                front=self.number,
+                life=self.incarnation,
+                at=at,
+                used=self.soft_used[limit_id],
+            )
+            known = [f for f, e in counters.entries.items() if f != other and e.as_of < inf]
+            for front in self.random.sample(known, min(MAX_COUNTERS, len(known))):
                 e = counters.entries[front]
                 age_us = max(0, ceil(1000 * (now - e.as_of)))
-                made.counts.add(limit=ident, front=front, life=e.life, at=e.at, used=e.used, age_us=age_us)
-        data: bytes = made.SerializeToString()
+                message.counts.add(
+                    limit=limit_id, front=front, life=e.incarnation, at=e.stamp, used=e.used, age_us=age_us
+                )
+        data: bytes = message.SerializeToString()
         return data
 
-    def unused(self, limit: Limit) -> int:
-        """Spare of a limit that nobody has asked for here; of a limit by title nobody can say in a word."""
+    def unused_share(self, limit: Limit) -> int:
+        """Spare units of a limit without local state; 1 for a limit by title, which one number cannot tell."""
         if limit.each_title:
             return 1
-        amount = self.amounts[limit.ident]
-        whole = amount // self.share + (self.number in self.owners(limit, 0, amount))
-        return 0 if self.unreported or self.away else whole
+        amount = self.amounts[limit.limit_id]
+        own = amount // self.share_count + (self.number in self.remainder_owners(limit, 0, amount))
+        return 0 if self.unreported or self.owns_nothing else own
 
-    # words in
+    # incoming messages
 
     def receive(self, now: float, sender: int, data: bytes) -> None:
-        """Another front's words. What cannot be read, is late, doubled or of an earlier life is counted and
-        passed over."""
+        """Handles another front's message. Counts and drops one that is unreadable, late, duplicated or of an
+        earlier incarnation."""
         self.expire_leases(now)
         try:
-            words = Words.FromString(data)
+            message = Words.FromString(data)
         except DecodeError:
             self.counts["unreadable"] += 1
             return
-        if sender == self.number or not 0 <= sender < max(self.fronts, words.fronts):
+        if sender == self.number or not 0 <= sender < max(self.fronts, message.fronts):
             self.counts["no_such_front"] += 1
             return
         peer = self.peers.setdefault(sender, Peer())
-        if words.life < peer.life:
+        if message.life < peer.incarnation:
             self.counts["old_life"] += 1
-            self.pending_replies.add(
-                sender
-            )  # its clock was set back: it begins another life when it hears of this
+            self.pending_replies.add(sender)  # its clock was set back; the reply makes it pick a later number
             return
-        if words.life > peer.life:
-            self.new_life(now, sender, peer, words)
-        if words.to_life > self.life and not self.duplicate_member:
-            self.life = words.to_life + 1
-        if words.to_life != self.life:
-            self.pending_replies.add(sender)  # it does not know us yet, or speaks to who we were
+        if message.life > peer.incarnation:
+            self.on_peer_restart(now, sender, peer, message)
+        if message.to_life > self.incarnation and not self.duplicate_member:
+            self.incarnation = message.to_life + 1
+        if message.to_life != self.incarnation:
+            self.pending_replies.add(sender)  # it does not know this incarnation yet
             return
-        if words.stamp <= peer.stamp or words.echo > self.stamp:
+        if message.stamp <= peer.stamp or message.echo > self.stamp:
             self.counts["old_words"] += 1
             return
-        peer.stamp, peer.heard_at = words.stamp, now
-        peer.asked = max(peer.asked, words.echo)
-        self.hear_told(now, sender, peer, words)
-        listed: dict[Key, Any] = {(p.limit, p.title): p for p in words.parts if p.limit in self.by_ident}
+        peer.stamp, peer.received_at = message.stamp, now
+        peer.echoed = max(peer.echoed, message.echo)
+        self.apply_peer_settings(now, sender, peer, message)
+        listed: dict[Key, Any] = {
+            (p.limit, p.title): p for p in message.parts if p.limit in self.limits_by_id
+        }
         first = sender in self.unreported
-        for key in {*listed, *self.links.get(sender, ()), *(self.local_limits if first else ())}:
-            self.hear_part(now, sender, key, listed.get(key), words.echo > 0)
+        for key in {*listed, *self.loan_keys.get(sender, ()), *(self.local_limits if first else ())}:
+            self.apply_peer_share(now, sender, key, listed.get(key), message.echo > 0)
         if first:
             self.unreported.discard(sender)
             for key in () if self.unreported else self.local_limits:
-                self.record_expired(key, inf)  # what was carried over shows now whether it fits
-        if words.answer:
+                self.record_expired(key, inf)  # sessions taken over are checked against the limit from now on
+        if message.answer:
             self.pending_replies.add(sender)
-        self.due = -inf
-
-    def serve(self, now: float, key: Key, room: LocalLimit) -> None:
-        """Lends to those who lack, in the order in which they said so; then what is free of the rest of this
-        front's part is asked back, for those who lack more."""
-        for front, units in list(room.called.items()):
-            pair = self.links.get(front, set())
-            fits = key in pair or len(pair) < PAIR_MOST
-            given = room.parts.grant(front, min(units, room.lendable(now))) if fits else 0
-            if given:
+        self.next_expiry_at = -inf
+
+    def serve_needs(self, now: float, key: Key, local: LocalLimit) -> None:
+        """Lends to fronts in need, in the order of their requests; then recalls free units of the rest of this
+        front's share for those that need more."""
+        for front, units in list(local.needs_of_others.items()):
+            pair = self.loan_keys.get(front, set())
+            fits = key in pair or len(pair) < MAX_LOANS_PER_PAIR
+            granted = local.share.grant(front, min(units, local.lendable(now))) if fits else 0
+            if granted:
                 self.counts["lent"] += 1
-                self.link(front, key)
+                self.add_loan_key(front, key)
                 self.pending_replies.add(front)
-            if given >= units:
-                del room.called[front]
+            if granted >= units:
+                del local.needs_of_others[front]
             else:
-                room.called[front] = units - given
-        if room.called and now - room.called_at >= self.settings.period_ms / TICKS_PER_PERIOD:
-            room.called_at = now
-            lent = [f for f, loan in room.parts.lent.items() if loan.amount]
-            self.pending_recalls |= {f for f in lent if room.called_from(f)}
-
-    def freed(self, now: float, key: Key) -> None:
-        """Something has ended: what a lender has asked back goes back now, not in the next round."""
-        room = self.local_limits[key]
-        room.settle_need(now)
-        for front, until in list(room.wanted_by.items()):
+                local.needs_of_others[front] = units - granted
+        if local.needs_of_others and now - local.recalled_at >= self.settings.period_ms / TICKS_PER_PERIOD:
+            local.recalled_at = now
+            borrowers = [f for f, loan in local.share.lent.items() if loan.amount]
+            self.pending_recalls |= {f for f in borrowers if local.needed_by_others_than(f)}
+
+    def on_units_freed(self, now: float, key: Key) -> None:
+        """A session has ended: returns units that a lender has recalled at once, not in the next period."""
+        local = self.local_limits[key]
+        local.reduce_need(now)
+        for front, until in list(local.recalled_by.items()):
             if until < now:
-                del room.wanted_by[front]
-            elif not room.parts.need and room.parts.free() > 0:
-                room.parts.give_back(room.periods(now, 1), only=front)
+                del local.recalled_by[front]
+            elif not local.share.need and local.share.free() > 0:
+                local.share.return_free(local.demand_units(now, 1), only=front)
                 self.pending_replies.add(front)
 
-    def new_life(self, now: float, sender: int, peer: Peer, words: Any) -> None:
-        """Its process remembers nothing. What stood under the life before has ended with it, or runs out."""
-        for key in list(self.links.get(sender, ())):
-            room = self.local_limits[key]
-            until = peer.heard_at + self.settings.back_ms(room.limit)
-            amount = room.parts.take_back(sender)
-            if amount and not words.fresh and until > now:
-                room.orphaned += amount
+    def on_peer_restart(self, now: float, sender: int, peer: Peer, message: Any) -> None:
+        """The sender started without state. Its earlier sessions have ended with it, or their leases expire."""
+        for key in list(self.loan_keys.get(sender, ())):
+            local = self.local_limits[key]
+            until = peer.received_at + self.settings.expiry_ms(local.limit)
+            amount = local.share.reclaim_lent(sender)
+            if amount and not message.fresh and until > now:
+                local.orphaned += amount
                 self.orphans.append((until, key, amount))
-                self.cut(room)
-            room.parts.anew(sender)
-            self.unlink(sender, key)
-        peer.life, peer.stamp = words.life, 0
+                self.resize_share(local)
+            local.share.reset_grant_sequence(sender)
+            self.drop_loan_key(sender, key)
+        peer.incarnation, peer.stamp = message.life, 0
         peer.amounts, peer.spare = {}, {}
-        self.due = -inf
+        self.next_expiry_at = -inf
         self.pending_replies.add(sender)
 
-    def hear_told(self, now: float, sender: int, peer: Peer, words: Any) -> None:
-        amounts = {t.limit: t.amount for t in words.told if t.limit in self.by_ident}
-        peer.spare = {t.limit: t.spare for t in words.told}
-        forgotten = frozenset(words.forgotten)
-        silent = {f for f in forgotten - {self.number} if not self.speaks(now, f)}
-        held, goes_by = peer.amounts, self.amounts
-        other = any(goes_by[m] != n or held.get(m, n) != n for m, n in amounts.items())
-        other |= words.fronts > self.fronts or peer.fronts > words.fronts
-        other |= forgotten != peer.forgotten or sender in self.forgotten
-        peer.amounts, peer.fronts, peer.forgotten = amounts, words.fronts, forgotten
-        for front in sorted(silent - self.forgotten):
+    def apply_peer_settings(self, now: float, sender: int, peer: Peer, message: Any) -> None:
+        """Takes over the sender's amounts, number of fronts, forgotten fronts and counters."""
+        amounts = {t.limit: t.amount for t in message.told if t.limit in self.limits_by_id}
+        peer.spare = {t.limit: t.spare for t in message.told}
+        forgotten = frozenset(message.forgotten)
+        unreachable = {f for f in forgotten - {self.number} if not self.is_reachable(now, f)}
+        before, in_force = peer.amounts, self.amounts
+        changed = any(in_force[m] != n or before.get(m, n) != n for m, n in amounts.items())
+        changed |= message.fronts > self.fronts or peer.fronts > message.fronts
+        changed |= forgotten != peer.forgotten or sender in self.forgotten
+        peer.amounts, peer.fronts, peer.forgotten = amounts, message.fronts, forgotten
+        for front in sorted(unreachable - self.forgotten):
             self.forget_front(now, front)
-        if other:
+        if changed:
             self.recompute_shares()
-        transit_ms = now - words.echo / 1000
-        for c in words.counts if words.echo else ():
-            if c.limit in self.soft and c.front != self.number:
+        transit_ms = now - message.echo / 1000
+        for c in message.counts if message.echo else ():
+            if c.limit in self.soft_counters and c.front != self.number:
                 as_of = now - transit_ms - c.age_us / 1000
-                self.soft[c.limit].join(c.front, Entry(c.life, c.at, as_of, c.used))
-
-    def hear_part(self, now: float, sender: int, key: Key, part: Any, knows: bool) -> None:
-        """`knows`: it has heard this life's words, so what it does not name it does not count as lent."""
-        room = self.local_limits.get(key)
-        if room is None:
-            limit = self.by_ident[key[0]]
-            if limit.each_title != bool(key[1]) or len(self.local_limits) >= ROOMS_MOST:
+                self.soft_counters[c.limit].merge(c.front, CounterEntry(c.life, c.at, as_of, c.used))
+
+    def apply_peer_share(self, now: float, sender: int, key: Key, part: Any, knows_us: bool) -> None:
+        """Takes over the sender's side of one limit.
+
+        `knows_us`: it has received a message of this incarnation, so a loan that it does not name is not lent.
+        """
+        local = self.local_limits.get(key)
+        if local is None:
+            limit = self.limits_by_id[key[0]]
+            if limit.each_title != bool(key[1]) or len(self.local_limits) >= MAX_LOCAL_LIMITS:
                 return
-            room = self.room(limit, key[1])
-        self.pace(now, room)
-        parts = room.parts
+            local = self.local_limit(limit, key[1])
+        self.refill_tokens(now, local)
+        share = local.share
         if part and part.grant_seq:
-            parts.granted(sender, part.grant_seq, part.grant)
-        elif knows and sender in parts.held and (revoked := parts.lapse(sender)):
+            share.on_grant(sender, part.grant_seq, part.grant)
+        elif knows_us and sender in share.borrowed and (revoked := share.expire_borrowed(sender)):
             self.counts["revoked"] += 1
             self.record_expired(key, revoked)
         seq, held = (part.held_seq, part.held) if part else (0, 0)
-        if sender in parts.unreported and not held:
-            parts.unreported.discard(sender)  # and nothing has to be taken note of
-        elif sender in parts.unreported or sender in parts.lent:
-            parts.returned(sender, seq, held)
+        if sender in share.unreported and not held:
+            share.unreported.discard(sender)  # it holds nothing, so there is no loan to record
+        elif sender in share.unreported or sender in share.lent:
+            share.on_holding(sender, seq, held)
         if part and (part.need or part.recall):
-            room.wanted_by[sender] = now + self.settings.period_ms
-            room.settle_need(now)
-            if not parts.need:
-                parts.give_back(room.periods(now, 1), only=sender)
+            local.recalled_by[sender] = now + self.settings.period_ms
+            local.reduce_need(now)
+            if not share.need:
+                share.return_free(local.demand_units(now, 1), only=sender)
         if part and part.need:
-            room.called[sender] = part.need
-        if room.called:
-            self.serve(now, key, room)
-        self.pace(now, room)
-        parts.settled(sender, bool(part and part.grant_seq))
-        if sender in parts.lent or sender in parts.held:
-            self.link(sender, key)
-        elif key in self.links.get(sender, ()):
-            self.unlink(sender, key)
-
-    # an operator's word, and a successor's
-
-    def speaks(self, now: float, front: int) -> bool:
+            local.needs_of_others[sender] = part.need
+        if local.needs_of_others:
+            self.serve_needs(now, key, local)
+        self.refill_tokens(now, local)
+        share.drop_settled_loans(sender, bool(part and part.grant_seq))
+        if sender in share.lent or sender in share.borrowed:
+            self.add_loan_key(sender, key)
+        elif key in self.loan_keys.get(sender, ()):
+            self.drop_loan_key(sender, key)
+
+    # operator commands, and handover to a successor
+
+    def is_reachable(self, now: float, front: int) -> bool:
         peer = self.peers.get(front)
-        return front in self.members or (peer is not None and now - peer.heard_at < self.settings.lease_ms)
+        return front in self.members or (peer is not None and now - peer.received_at < self.settings.lease_ms)
 
     def forget_front(self, now: float, front: int) -> str:
-        """A front is gone for good: what it held, and its own part, are the others'. Why not, or nothing."""
+        """Gives the share and the holdings of a permanently lost front to the others.
+
+        Returns the reason for a refusal, or an empty string.
+        """
         if not 0 <= front < self.fronts or front == self.number:
             return f"no other front has the number {front}"
-        if self.speaks(now, front):
+        if self.is_reachable(now, front):
             return f"front {front} speaks"
-        for key in list(self.links.get(front, ())):
-            parts = self.local_limits[key].parts
-            parts.take_back(front)
-            parts.lapse(front)
-            parts.held.pop(front, None)
-            self.unlink(front, key)
-        self.peers[front] = Peer(life=self.peers[front].life if front in self.peers else 0)
+        for key in list(self.loan_keys.get(front, ())):
+            share = self.local_limits[key].share
+            share.reclaim_lent(front)
+            share.expire_borrowed(front)
+            share.borrowed.pop(front, None)
+            self.drop_loan_key(front, key)
+        self.peers[front] = Peer(incarnation=self.peers[front].incarnation if front in self.peers else 0)
         self.unreported.discard(front)
-        for room in self.local_limits.values():
-            room.parts.unreported.discard(front)
-        for counters in self.soft.values():
-            counters.forget(front, now)
+        for local in self.local_limits.values():
+            local.share.unreported.discard(front)
+        for counters in self.soft_counters.values():
+            counters.forget_front(front, now)
         self.forgotten.add(front)
-        self.due = -inf
+        self.next_expiry_at = -inf
         self.recompute_shares()
         return ""
 
-    def welcome_back(self) -> None:
-        """One that was forgotten and speaks again has its part once the others' fit without it."""
-        back = self.forgotten - self.gone()
-        if back and all(room.parts.free() >= 0 for room in self.local_limits.values()):
+    def readmit_forgotten(self) -> None:
+        """A forgotten front that sends messages again gets its share once the others' use fits without it."""
+        back = self.forgotten - self.silent_forgotten()
+        if back and all(local.share.free() >= 0 for local in self.local_limits.values()):
             self.forgotten -= back
 
     def handover_state(self) -> bytes:
-        """For a successor on the same machine; this process decides nothing any more."""
-        made = State(life=self.life, stamp=self.stamp, numbers=self.numbers[0], open_at=self.open_at)
-        made.unheard.extend(sorted(self.unreported))
+        """The state for a successor on the same machine; this process must make no decision after it."""
+        state = State(
+            life=self.incarnation, stamp=self.stamp, numbers=self.grant_counter[0], open_at=self.open_at
+        )
+        state.unheard.extend(sorted(self.unreported))
         for front, p in self.peers.items():
-            made.peers.add(front=front, life=p.life, stamp=p.stamp, heard_at=p.heard_at, asked=p.asked)
-        for (ident, title), room in self.local_limits.items():
-            for kind, loans in ((made.lent, room.parts.lent), (made.held, room.parts.held)):
+            state.peers.add(
+                front=front, life=p.incarnation, stamp=p.stamp, heard_at=p.received_at, asked=p.echoed
+            )
+        for (limit_id, title), local in self.local_limits.items():
+            for field_, loans in ((state.lent, local.share.lent), (state.held, local.share.borrowed)):
                 for front, loan in loans.items():
-                    kind.add(limit=ident, title=title, front=front, seq=loan.seq, amount=loan.amount)
-            if room.parts.used and not room.paced:
-                made.owed.add(limit=ident, title=title, amount=room.parts.used)
-        data: bytes = made.SerializeToString()
+                    field_.add(limit=limit_id, title=title, front=front, seq=loan.seq, amount=loan.amount)
+            if local.share.used and not local.rate_limited:
+                state.owed.add(limit=limit_id, title=title, amount=local.share.used)
+        data: bytes = state.SerializeToString()
         return data
 
     def restore_state(self, now: float, data: bytes) -> None:
-        """Goes on in the place of the process that gave this `state`. Raises `ValueError`."""
+        """Continues from the `handover_state` of the predecessor. Raises `ValueError` if it is unreadable."""
         try:
-            kept = State.FromString(data)
+            state = State.FromString(data)
         except DecodeError as error:
             raise ValueError(f"limits cannot be read: {error}") from error
-        self.life, self.stamp, self.numbers[0] = kept.life, kept.stamp, kept.numbers
-        self.open_at, self.unreported = kept.open_at, set(kept.unheard)
-        for p in kept.peers:
+        self.incarnation, self.stamp, self.grant_counter[0] = state.life, state.stamp, state.numbers
+        self.open_at, self.unreported = state.open_at, set(state.unheard)
+        for p in state.peers:
             peer = self.peers.setdefault(p.front, Peer())
-            peer.life, peer.stamp, peer.heard_at, peer.asked = p.life, p.stamp, p.heard_at, p.asked
-        for room in self.local_limits.values():
-            room.parts.unreported = set(self.unreported)
-        for loan in kept.lent:
-            self.recall(loan, "lent")
-        for loan in kept.held:
-            self.recall(loan, "held")
-        for owed in kept.owed:
-            if limit := self.by_ident.get(owed.limit):
-                self.room(limit, owed.title).owed = owed.amount
-        self.due = -inf
-
-    def recall(self, kept: Any, kind: str) -> None:
-        if limit := self.by_ident.get(kept.limit):
-            parts = self.room(limit, kept.title).parts
-            getattr(parts, kind)[kept.front] = Loan(kept.seq, kept.amount)
-            parts.recall(parts.lent, parts.held)
-            self.link(kept.front, (kept.limit, kept.title))
+            peer.incarnation, peer.stamp, peer.received_at, peer.echoed = (
+                p.life,
+                p.stamp,
+                p.heard_at,
+                p.asked,
+            )
+        for local in self.local_limits.values():
+            local.share.unreported = set(self.unreported)
+        for loan in state.lent:
+            self.restore_loan(loan, "lent")
+        for loan in state.held:
+            self.restore_loan(loan, "borrowed")
+        for owed in state.owed:
+            if limit := self.limits_by_id.get(owed.limit):
+                self.local_limit(limit, owed.title).handover_units = owed.amount
+        self.next_expiry_at = -inf
+
+    def restore_loan(self, stored: Any, side: str) -> None:
+        """`side`: name of the loans in `LimitShare`."""
+        if limit := self.limits_by_id.get(stored.limit):
+            share = self.local_limit(limit, stored.title).share
+            getattr(share, side)[stored.front] = Loan(stored.seq, stored.amount)
+            share.restore(share.lent, share.borrowed)
+            self.add_loan_key(stored.front, (stored.limit, stored.title))
--- a/lemonhall/limits/reserve.py
+++ b/lemonhall/limits/reserve.py
@@ -1,7 +1,7 @@
-"""What of a limit is kept for the sessions of more worth: the paper's Method II, as the design's reserves.
+"""Units of a limit kept for premium sessions by Method II of the paper.
 
-The limit is a server of so many slots; the loads are those of sessions that asked to spill; the reserve of
-the premium sessions is the one with the best pay-off (`lemonhall.decide.best_split`).
+The limit is treated as a server with slots, the loads are those of the sessions that asked for units, and the
+reserve of the premium sessions is the one with the best pay-off (`lemonhall.decide.best_split`).
 """
 
 from __future__ import annotations
@@ -11,56 +11,66 @@
 from lemonhall import interface as i
 from lemonhall.decide import best_split
 
-PERIOD_MS = 5000.0  # it is found anew this often (design)
-WINDOW_MS = 60_000.0  # memory of what asked
-FEW = 6.0  # asked for, under which nothing is kept
-SLOTS_MOST = 24  # more are taken in groups: the sum over slots grows with their square
-GAIN = 0.1
-FIRST_LENGTH_MS = 40_000.0
+UPDATE_PERIOD_MS = 5000.0
+WINDOW_MS = 60_000.0  # of the decayed request counts
+MIN_REQUESTS = 6.0  # below this count nothing is reserved
+MAX_SLOTS = 24  # more slots are grouped, since the sum over slots grows with their square
+LENGTH_GAIN = 0.1  # of the exponential average of session lengths
+INITIAL_LENGTH_MS = 40_000.0
 
 
 @dataclass
 class Reserve:
-    """Of one limit; amounts in millionths of it."""
+    """The reserve of one limit; amounts in units of the limit."""
 
-    counts: list[float] = field(default_factory=lambda: [0.0, 0.0])  # decayed: low, premium
+    request_counts: list[float] = field(default_factory=lambda: [0.0, 0.0])  # decayed: low, premium
     counted_at: float = 0.0
-    seen_ms: float = 0.0
-    length_ms: float = FIRST_LENGTH_MS
-    sits: list[int] = field(default_factory=lambda: [0, 0])
-    number: int = 0
-    settled_at: float = float("-inf")
-    quota: int = 0  # kept for premium sessions
+    observed_ms: float = 0.0
+    length_ms: float = INITIAL_LENGTH_MS
+    units_in_use: list[int] = field(default_factory=lambda: [0, 0])  # low, premium
+    session_count: int = 0
+    updated_at: float = float("-inf")
+    quota: int = 0  # units kept for premium sessions
 
-    def came(self, now: float, premium: bool) -> None:
+    def record_request(self, now: float, premium: bool) -> None:
         left = max(0.0, 1 - (now - self.counted_at) / WINDOW_MS)
-        self.counts = [c * left for c in self.counts]
-        self.seen_ms = left * self.seen_ms + min(WINDOW_MS, now - self.counted_at)
+        self.request_counts = [c * left for c in self.request_counts]
+        self.observed_ms = left * self.observed_ms + min(WINDOW_MS, now - self.counted_at)
         self.counted_at = now
-        self.counts[premium] += 1.0
+        self.request_counts[premium] += 1.0
 
-    def take(self, units: int, premium: bool, sign: int) -> None:
-        self.sits[premium] += sign * units
-        self.number += sign
+    def record_use(self, units: int, premium: bool, sign: int) -> None:
+        """Adds (`sign` 1) or removes (-1) a session that uses the units."""
+        self.units_in_use[premium] += sign * units
+        self.session_count += sign
 
-    def lasted(self, ms: float) -> None:
-        self.length_ms += GAIN * (ms - self.length_ms)
+    def record_length(self, ms: float) -> None:
+        self.length_ms += LENGTH_GAIN * (ms - self.length_ms)
 
-    def settle(self, now: float, mine: int, classes: tuple[i.SessionClass, ...]) -> None:
-        if now - self.settled_at < PERIOD_MS:
+    def update_quota(self, now: float, capacity: int, classes: tuple[i.SessionClass, ...]) -> None:
+        if now - self.updated_at < UPDATE_PERIOD_MS:
             return
-        self.settled_at = now
+        self.updated_at = now
         worths = sorted({c.worth for c in classes})
-        if sum(self.counts) < FEW or len(worths) < 2 or not self.number or mine <= 0:
+        if (
+            sum(self.request_counts) < MIN_REQUESTS
+            or len(worths) < 2
+            or not self.session_count
+            or capacity <= 0
+        ):
             self.quota = 0
             return
-        each = max(1.0, sum(self.sits) / self.number)
-        group = max(1, round(mine / each / SLOTS_MOST))
-        slots = max(1, int(mine / (each * group)))
-        load = [c * self.length_ms / max(PERIOD_MS, self.seen_ms) / group for c in self.counts]
-        high = sum(worths[1:]) / len(worths[1:])
-        self.quota = int(best_split(slots, load[1], load[0], high, worths[0])[0] * each * group)
+        units_per_session = max(1.0, sum(self.units_in_use) / self.session_count)
+        group = max(1, round(capacity / units_per_session / MAX_SLOTS))
+        slots = max(1, int(capacity / (units_per_session * group)))
+        load = [
+            c * self.length_ms / max(UPDATE_PERIOD_MS, self.observed_ms) / group for c in self.request_counts
+        ]
+        premium_worth = sum(worths[1:]) / len(worths[1:])
+        self.quota = int(
+            best_split(slots, load[1], load[0], premium_worth, worths[0])[0] * units_per_session * group
+        )
 
-    def kept(self, premium: bool) -> int:
-        """What a session must leave free."""
-        return 0 if premium else max(0, self.quota - self.sits[True])
+    def units_kept_free(self, premium: bool) -> int:
+        """Units that a session has to leave free for premium sessions."""
+        return 0 if premium else max(0, self.quota - self.units_in_use[True])
--- a/lemonhall/limits/soft_counters.py
+++ b/lemonhall/limits/soft_counters.py
@@ -1,6 +1,8 @@
-"""Counters of all fronts that merge without order, each with its age: what others used, and how far off that
-may be by now. Joining takes the later word on each front (Shapiro and others, SSS 2011): the order of words,
-and how often one comes, make no difference.
+"""Counters of all fronts for soft limits: the last known use of the other fronts, and how much they may have
+added since.
+
+The counters are a state-based CRDT (Shapiro et al., SSS 2011): merging keeps the later entry of each front, so
+neither the order of messages nor their repetition matters.
 """
 
 from __future__ import annotations
@@ -12,55 +14,58 @@
 
 
 @dataclass(frozen=True, order=True)
-class Entry:
-    """`at`: that front's own clock; `as_of`: of this front's clock, when it was true at the earliest."""
+class CounterEntry:
+    """The use of one front. `stamp`: by that front's clock; `as_of`: the earliest time at which it was true, by
+    this front's clock."""
 
-    life: int
-    at: int
+    incarnation: int
+    stamp: int
     as_of: float
     used: int
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """`known` by others' last words, `oldest_ms` old at most; `off`: they may have added so much since."""
+    """`known`: use by the other fronts' last messages, at most `oldest_ms` old; `max_added`: the most that they
+    may have added since."""
 
     known: int
-    off: float
+    max_added: float
     oldest_ms: float
 
 
-class Counters:
-    """Of one soft limit."""
+class SoftCounters:
+    """The counters of one soft limit."""
 
     def __init__(self, limit: Limit, period_ms: float) -> None:
         self.limit, self.period_ms = limit, period_ms
-        self.entries: dict[int, Entry] = {}
+        self.entries: dict[int, CounterEntry] = {}
 
-    def join(self, front: int, entry: Entry) -> None:
-        """The later wins; of the same word, the one that is known to be younger."""
+    def merge(self, front: int, entry: CounterEntry) -> None:
+        """Keeps the later entry; of two copies of one message, the one known to be younger."""
         old = self.entries.get(front)
         if old is None or entry > old:
             self.entries[front] = entry
 
     def estimate(self, now: float, number: int, fronts: int, amount: int) -> Estimate:
-        known, off, oldest = 0, 0.0, 0.0
+        """The use of all fronts but `number`."""
+        known, max_added, oldest = 0, 0.0, 0.0
         for front in range(fronts):
             if front == number:
                 continue
             entry = self.entries.get(front)
             used, age = (entry.used, max(0.0, now - entry.as_of)) if entry else (0, inf)
-            rise = self.burst() + self.limit.rise * age / 1000
+            rise = self.burst() + self.limit.rise_per_s * age / 1000
             known += used
-            off += min(rise, max(0, amount - used))
+            max_added += min(rise, max(0, amount - used))
             oldest = max(oldest, age)
-        return Estimate(known, off, oldest)
+        return Estimate(known, max_added, oldest)
 
-    def forget(self, front: int, now: float) -> None:
-        """It is gone for good, and adds nothing any more."""
+    def forget_front(self, front: int, now: float) -> None:
+        """The front is permanently gone and adds nothing any more."""
         old = self.entries.get(front)
-        self.entries[front] = Entry(old.life if old else 0, old.at + 1 if old else 0, inf, 0)
+        self.entries[front] = CounterEntry(old.incarnation if old else 0, old.stamp + 1 if old else 0, inf, 0)
 
     def burst(self) -> float:
-        """What one front may add at once."""
-        return max(1.0, self.limit.rise * self.period_ms / 1000)
+        """Units that one front may add at once."""
+        return max(1.0, self.limit.rise_per_s * self.period_ms / 1000)
--- a/lemonhall/zones/machine.py
+++ b/lemonhall/zones/machine.py
@@ -23,7 +23,7 @@
 from lemonhall import interface as i
 from lemonhall.interface import Outcome, Repeat
 from lemonhall.limits.reserve import Reserve
-from lemonhall.limits.shares import MILLION, LimitShare, Loan, equal_share
+from lemonhall.limits.shares import MILLIONTHS, LimitShare, Loan, equal_share
 from lemonhall.zones.halls_pb2 import Kept, Words
 from lemonhall.zones.monitor import OperatorOverride, StateChange, ZoneMonitor, ZoneState
 from lemonhall.zones.settings import Tier, ZoneSettings
@@ -237,12 +237,13 @@
         limits = self.settings.limits_of(tier)
         ladder = self.settings.ladder_kb
         for n in limits:
-            self.reserves[n].came(now, held.premium)
+            self.reserves[n].record_request(now, held.premium)
         if links <= 0:
             return 99
         for rung in range(min(terms.top, len(ladder) - 1), terms.floor - 1, -1):
             units = {
-                n: ceil(MILLION * ladder[rung] * scale / (self.settings.limits[n][1] * links)) for n in limits
+                n: ceil(MILLIONTHS * ladder[rung] * scale / (self.settings.limits[n][1] * links))
+                for n in limits
             }
             if all(self.fits(now, n, units[n], held.premium, rung == terms.floor) for n in limits):
                 if not all(self.rate_left(now, n) for n in limits):
@@ -250,21 +251,21 @@
                     return 99
                 for n in limits:
                     self.parts[n].used += units[n]
-                    self.reserves[n].take(units[n], held.premium, 1)
+                    self.reserves[n].record_use(units[n], held.premium, 1)
                     self.rates[n].left -= 1.0
                 held.tier, held.units = tier, units
                 self.counts["spilled"] += 1
                 return rung
         for n in limits:
-            if self.parts[n].free() < units[n] + self.reserves[n].kept(held.premium):
-                self.parts[n].need = min(int(NEED_MOST * MILLION), self.parts[n].need + 2 * units[n])
+            if self.parts[n].free() < units[n] + self.reserves[n].units_kept_free(held.premium):
+                self.parts[n].need = min(int(NEED_MOST * MILLIONTHS), self.parts[n].need + 2 * units[n])
         self.counts["over_limit"] += 1
         return 99
 
     def fits(self, now: float, limit: int, units: int, premium: bool, floor: bool) -> bool:
         parts, reserve = self.parts[limit], self.reserves[limit]
-        reserve.settle(now, parts.mine(), self.settings.classes)
-        free = parts.free() - reserve.kept(premium)
+        reserve.update_quota(now, parts.capacity(), self.settings.classes)
+        free = parts.free() - reserve.units_kept_free(premium)
         return units <= (free if floor else WIDE_PART * free * (not parts.need))
 
     def rate_left(self, now: float, limit: int) -> bool:
@@ -272,7 +273,7 @@
         place = limit - len(self.settings.tiers)
         if place < 0 or not self.settings.intakes[place].per_s:
             return True
-        part = self.parts[limit].mine() / MILLION
+        part = self.parts[limit].capacity() / MILLIONTHS
         return self.rates[limit].fill(now, self.settings.intakes[place].per_s / 1000 * part) >= 1.0
 
     def on_set_up(self, now: float, ask: int, server: int) -> None:
@@ -304,7 +305,7 @@
         held = Held(tier, since=now, safe=terms.repeat is Repeat.SAFE, plays=True)
         kb = self.settings.ladder_kb[min(rung, len(self.settings.ladder_kb) - 1)] * terms.scale
         for n in self.settings.limits_of(tier):
-            held.units[n] = ceil(MILLION * kb / (self.settings.limits[n][1] * links))
+            held.units[n] = ceil(MILLIONTHS * kb / (self.settings.limits[n][1] * links))
             self.parts[n].used += held.units[n]
         self.sessions[ask] = held
 
@@ -316,13 +317,13 @@
         if held.turn:
             self.ramp.left += 1.0
         for n in held.units:
-            self.reserves[n].lasted(now - held.since)
+            self.reserves[n].record_length(now - held.since)
         self.let_go(held)
 
     def let_go(self, held: Held) -> None:
         for n, units in held.units.items():
             self.parts[n].used -= units
-            self.reserves[n].take(units, held.premium, -1)
+            self.reserves[n].record_use(units, held.premium, -1)
         held.tier, held.units = None, {}
 
     # other fronts
@@ -347,8 +348,8 @@
                 parts.need = 0
             parts.need = int(EASE * parts.need)
             if now - self.spilled_at > 2 * self.settings.spilling.notice_ms:
-                parts.give_back(0)
-            to |= parts.to_tell()
+                parts.return_free(0)
+            to |= parts.peers_to_notify()
             if parts.unheard:
                 to |= set(self.random.sample(sorted(parts.unheard), min(FANOUT, len(parts.unheard))))
         return to
@@ -376,9 +377,9 @@
         to_life = self.lives.get(other, 0)
         made = Words(plan=self.settings.digest, life=self.life, to_life=to_life, home=self.home + 1)
         for n, parts in enumerate(self.parts):
-            lent, held = parts.lent.get(other, Loan()), parts.held.get(other, Loan())
+            lent, held = parts.lent.get(other, Loan()), parts.borrowed.get(other, Loan())
             if lent.seq or held.seq or held.amount or parts.need:
-                waits = lent.open and lent.seq > 0
+                waits = lent.unacknowledged and lent.seq > 0
                 told = (lent.seq, lent.amount, held.seq, held.amount, parts.need, waits)
                 names = ("grant_seq", "grant", "held_seq", "held", "need", "tell")
                 made.parts.add(limit=n, **dict(zip(names, told, strict=True)))
@@ -419,7 +420,7 @@
             self.lives[sender] = words.life
             for parts in self.parts:
                 if known:
-                    parts.reborn(sender)
+                    parts.on_peer_restart(sender)
             self.pending_replies.add(sender)
         for told in words.sights:
             if told.hall < len(self.sights) and told.state <= ZoneState.RETURNING:
@@ -432,8 +433,8 @@
             part = by_limit.get(n)
             if part and part.need:
                 self.wanted[n] = now
-            parts.granted(sender, part.grant_seq if part else 0, part.grant if part else 0)
-            parts.returned(sender, part.held_seq if part else 0, part.held if part else 0)
+            parts.on_grant(sender, part.grant_seq if part else 0, part.grant if part else 0)
+            parts.on_holding(sender, part.held_seq if part else 0, part.held if part else 0)
             lent = part is not None and part.need > 0 and parts.lend(sender, part.need) > 0
             if lent or (part is not None and part.tell):
                 self.pending_replies.add(sender)
@@ -449,7 +450,7 @@
         made = Kept(plan=self.settings.digest, life=self.life)
         for n, parts in enumerate(self.parts):
             parts.dirty = False
-            for kind, loans in ((made.lent, parts.lent), (made.held, parts.held)):
+            for kind, loans in ((made.lent, parts.lent), (made.held, parts.borrowed)):
                 for front, loan in sorted(loans.items()):
                     kind.add(limit=n, front=front, seq=loan.seq, amount=loan.amount)
         for sight in self.sights:
@@ -477,7 +478,7 @@
                 {loan.front: Loan(loan.seq, loan.amount) for loan in kind if loan.limit == n}
                 for kind in (kept.lent, kept.held)
             )
-            parts.recall(lent, held)
+            parts.restore(lent, held)
 
     # what is seen from outside
 
@@ -508,8 +509,8 @@
                     "of": self.settings.zones[tier.hall] if tier else "all halls",
                     "to": self.settings.zones[to],
                     "limit": share,
-                    "held": share * parts.mine() / MILLION,
-                    "used": share * parts.used / MILLION,
+                    "held": share * parts.capacity() / MILLIONTHS,
+                    "used": share * parts.used / MILLIONTHS,
                     "lent_to": sum(loan.amount > 0 for loan in parts.lent.values()),
                     "waits_for": len(parts.unheard),
                 }
