--- a/lemonhall/limits/__init__.py
+++ b/lemonhall/limits/__init__.py
@@ -1,5 +1,8 @@
-"""Limits that all fronts hold together without a coordinator: exact limits by escrow with leases, rate limits on
-set-ups by shares of the rate, and soft limits by gossiped counters. No I/O."""
+"""Limits that all fronts hold together without a coordinator. No I/O.
+
+Exact limits use escrow with leases, rate limits on set-ups use shares of the rate, and soft limits use gossiped
+counters.
+"""
 
 from lemonhall.limits.escrow import OutgoingMessage
 from lemonhall.limits.machine import AdmissionDecision, FleetLimits
--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -3,9 +3,9 @@
 A loan is a lease (Gray and Cheriton, SOSP 1989). The borrower counts its term from when it sent the request,
 by its own stamp that the lender echoed; the lender counts from when it received that request. So the lease
 expires at the borrower before it expires at the lender, whatever is lost, late or duplicated, as long as the
-rates of their clocks differ by no more than `MAX_CLOCK_DRIFT`. Nothing is stored on disk: a front without state
-uses none of its own share until every other front has reported its holdings, or every loan of the previous
-incarnation has expired.
+rates of their clocks differ by no more than `MAX_CLOCK_DRIFT`. Nothing is stored on disk: a front without
+state uses none of its own share until every other front has reported its holdings, or every loan of the
+previous incarnation has expired.
 
 Of two messages of one front the one with the later stamp counts. Messages name every loan between two fronts,
 so a loan that is not named does not exist.
@@ -55,7 +55,8 @@
 
 @dataclass
 class Peer:
-    """Another front. `stamp`: of its last message that counted; `echoed`: own stamp that it has echoed last."""
+    """Another front. `stamp`: of its last message that counted; `echoed`: own stamp that it has echoed
+    last."""
 
     incarnation: int = 0
     stamp: int = 0
@@ -113,7 +114,8 @@
     # settings
 
     def apply_settings(self, settings: LimitSettings) -> None:
-        """Takes over new settings: of two amounts the smaller one is in force until all fronts have the new."""
+        """Takes over new settings: of two amounts the smaller one is in force until all fronts have the
+        new."""
         before = {limit.limit_id: limit.amount for limit in self.settings.limits}
         for front in set(range(self.configured_fronts)) - {self.number}:
             amounts = self.peers.setdefault(front, Peer()).amounts
@@ -138,9 +140,8 @@
     def recompute_shares(self) -> None:
         """Uses the smallest amount and the greatest number of fronts that any front has announced.
 
-        When fronts are forgotten the shares of the others only grow and still add up to the limit, so the order
-        in which fronts learn of it makes no difference.
-        """
+        When fronts are forgotten the shares of the others only grow and still add up to the limit, so the
+        order in which fronts learn of it makes no difference."""
         self.fronts = max([self.configured_fronts, *(p.fronts for p in self.peers.values())])
         self.amounts = {
             m.limit_id: min([m.amount, *(p.amounts.get(m.limit_id, m.amount) for p in self.peers.values())])
@@ -206,7 +207,7 @@
                 self.next_expiry_at = min(self.next_expiry_at, renewed_at + self.settings.usable_ms())
             for key in list(keys):
                 local = self.local_limits[key]
-                self.refill_tokens(now, local)
+                self.refill_bucket(now, local)
                 session_end_ms, expiry_ms = (
                     self.settings.session_end_ms(local.limit),
                     self.settings.expiry_ms(local.limit),
@@ -222,7 +223,7 @@
                         self.counts["taken_back"] += local.share.reclaim_lent(front) > 0
                     else:
                         self.next_expiry_at = min(self.next_expiry_at, peer.received_at + expiry_ms + 1e-3)
-                self.refill_tokens(now, local)
+                self.refill_bucket(now, local)
                 self.drop_loan_key(front, key)
         for until, key, amount in [o for o in self.orphans if o[0] < now]:
             self.orphans.remove((until, key, amount))
@@ -253,7 +254,7 @@
                 del self.loan_keys[front]
                 self.stale_lenders.discard(front)
 
-    def refill_tokens(self, now: float, local: LocalLimit) -> None:
+    def refill_bucket(self, now: float, local: LocalLimit) -> None:
         if local.rate_limited:
             local.refill_tokens(now, self.usable_units(local))
 
@@ -292,9 +293,9 @@
         """The recipients of this period, and whether each should reply: lenders, those whose lease expires
         first before others; fronts with an unacknowledged loan; some at random."""
         for local in self.local_limits.values():
-            self.refill_tokens(now, local)
+            self.refill_bucket(now, local)
             local.decay_need(now)
-            self.refill_tokens(now, local)
+            self.refill_bucket(now, local)
         self.drop_idle(now)
         self.readmit_forgotten()
         lenders = [
@@ -326,7 +327,8 @@
         return [k for k, local in self.local_limits.items() if local.share.need]
 
     def choose_lenders(self, now: float) -> list[int]:
-        """Fronts to request needed units of: first those with the most spare units, then those not yet asked."""
+        """Fronts to request needed units of: first those with the most spare units, then those not yet
+        asked."""
         found: dict[int, None] = {}
         for key in self.keys_in_need():
             local, retry_ms = self.local_limits[key], self.settings.period_ms
@@ -387,13 +389,19 @@
                 e = counters.entries[front]
                 age_us = max(0, ceil(1000 * (now - e.as_of)))
                 message.counts.add(
-                    limit=limit_id, front=front, life=e.incarnation, at=e.stamp, used=e.used, age_us=age_us
+                    limit=limit_id,
+                    front=front,
+                    life=e.incarnation,
+                    at=e.counter_stamp,
+                    used=e.used,
+                    age_us=age_us,
                 )
         data: bytes = message.SerializeToString()
         return data
 
     def unused_share(self, limit: Limit) -> int:
-        """Spare units of a limit without local state; 1 for a limit by title, which one number cannot tell."""
+        """Spare units of a limit without local state; 1 for a limit by title, which one number cannot
+        tell."""
         if limit.each_title:
             return 1
         amount = self.amounts[limit.limit_id]
@@ -426,10 +434,10 @@
         if message.to_life != self.incarnation:
             self.pending_replies.add(sender)  # it does not know this incarnation yet
             return
-        if message.stamp <= peer.stamp or message.echo > self.stamp:
+        if message.counter_stamp <= peer.stamp or message.echo > self.stamp:
             self.counts["old_words"] += 1
             return
-        peer.stamp, peer.received_at = message.stamp, now
+        peer.stamp, peer.received_at = message.counter_stamp, now
         peer.echoed = max(peer.echoed, message.echo)
         self.apply_peer_settings(now, sender, peer, message)
         listed: dict[Key, Any] = {
@@ -447,8 +455,8 @@
         self.next_expiry_at = -inf
 
     def serve_needs(self, now: float, key: Key, local: LocalLimit) -> None:
-        """Lends to fronts in need, in the order of their requests; then recalls free units of the rest of this
-        front's share for those that need more."""
+        """Lends to fronts in need, in the order of their requests; then recalls free units of the rest of
+        this front's share for those that need more."""
         for front, units in list(local.needs_of_others.items()):
             pair = self.loan_keys.get(front, set())
             fits = key in pair or len(pair) < MAX_LOANS_PER_PAIR
@@ -478,7 +486,8 @@
                 self.pending_replies.add(front)
 
     def on_peer_restart(self, now: float, sender: int, peer: Peer, message: Any) -> None:
-        """The sender started without state. Its earlier sessions have ended with it, or their leases expire."""
+        """The sender started without state. Its earlier sessions have ended with it, or their leases
+        expire."""
         for key in list(self.loan_keys.get(sender, ())):
             local = self.local_limits[key]
             until = peer.received_at + self.settings.expiry_ms(local.limit)
@@ -518,15 +527,15 @@
     def apply_peer_share(self, now: float, sender: int, key: Key, part: Any, knows_us: bool) -> None:
         """Takes over the sender's side of one limit.
 
-        `knows_us`: it has received a message of this incarnation, so a loan that it does not name is not lent.
-        """
+        `knows_us`: it has received a message of this incarnation, so a loan that it does not name is not
+        lent."""
         local = self.local_limits.get(key)
         if local is None:
             limit = self.limits_by_id[key[0]]
             if limit.each_title != bool(key[1]) or len(self.local_limits) >= MAX_LOCAL_LIMITS:
                 return
             local = self.local_limit(limit, key[1])
-        self.refill_tokens(now, local)
+        self.refill_bucket(now, local)
         share = local.share
         if part and part.grant_seq:
             share.on_grant(sender, part.grant_seq, part.grant)
@@ -547,7 +556,7 @@
             local.needs_of_others[sender] = part.need
         if local.needs_of_others:
             self.serve_needs(now, key, local)
-        self.refill_tokens(now, local)
+        self.refill_bucket(now, local)
         share.drop_settled_loans(sender, bool(part and part.grant_seq))
         if sender in share.lent or sender in share.borrowed:
             self.add_loan_key(sender, key)
@@ -617,7 +626,7 @@
             state = State.FromString(data)
         except DecodeError as error:
             raise ValueError(f"limits cannot be read: {error}") from error
-        self.incarnation, self.stamp, self.grant_counter[0] = state.life, state.stamp, state.numbers
+        self.incarnation, self.stamp, self.grant_counter[0] = state.life, state.counter_stamp, state.numbers
         self.open_at, self.unreported = state.open_at, set(state.unheard)
         for p in state.peers:
             peer = self.peers.setdefault(p.front, Peer())
--- a/lemonhall/limits/local_limit.py
+++ b/lemonhall/limits/local_limit.py
@@ -34,8 +34,8 @@
 
 @dataclass
 class TokenBucket:
-    """Tokens of set-ups: starting one takes a token from `level`; `reserved` tokens belong to admitted sessions
-    that have not started.
+    """Tokens of set-ups: starting one takes a token from `level`; `reserved` tokens belong to admitted
+    sessions that have not started.
 
     The bucket is empty at a start, because the previous incarnation may have used all tokens.
     """
--- a/lemonhall/limits/machine.py
+++ b/lemonhall/limits/machine.py
@@ -95,7 +95,8 @@
         return self.escrow.counts
 
     def apply_settings(self, settings: LimitSettings) -> None:
-        """Takes over new settings while sessions play; sessions count under a new limit from their next one."""
+        """Takes over new settings while sessions play; sessions count under a new limit from their next
+        one."""
         self.escrow.apply_settings(settings)
         self.limits_by_class: dict[tuple[int, int], tuple[Limit, ...]] = {}
         self.rise_buckets = {
--- a/lemonhall/limits/settings.py
+++ b/lemonhall/limits/settings.py
@@ -51,9 +51,8 @@
     """One limit of the settings.
 
     `amount`: in units; `partner`, `cls`, `zone`: -1 matches any; `each_title`: the amount applies to every
-    title on its own; `session_grace_ms`: time that sessions may outlast the loan they were set up on, 0 to end
-    them with the loan; `rise_per_s`: units that one front may add per second to a soft limit.
-    """
+    title on its own; `session_grace_ms`: time that sessions may outlast the loan they were set up on, 0 to
+    end them with the loan; `rise_per_s`: units that one front may add per second to a soft limit."""
 
     name: str
     kind: LimitKind
--- a/lemonhall/limits/shares.py
+++ b/lemonhall/limits/shares.py
@@ -1,12 +1,15 @@
-"""One limit held in shares by all fronts without a coordinator: the shares never add up to more than the limit.
+"""One limit held in shares by all fronts without a coordinator: the shares never add up to more than the
+limit.
 
-Each front owns one share, fixed by the settings: 1/F of the limit for F fronts, by number. It lends units that
-it does not need and gets them back. This is escrow as in O'Neil, "The Escrow Transactional Method" (TODS
-1986), with the counters of each pair of fronts kept apart, as in bounded counters (Balegas et al., SRDS 2015):
+Each front owns one share, fixed by the settings: 1/F of the limit for F fronts, by number. It lends units
+that it does not need and gets them back. This is escrow as in O'Neil, "The Escrow Transactional Method" (TODS
+1986), with the counters of each pair of fronts kept apart, as in bounded counters (Balegas et al., SRDS
+2015):
 
     lender     lent[j]: sequence number and amount of the last grant to j. The amount counts as lent from
                before the grant is sent until j has reported, for this very grant, that it holds less.
-    borrower   borrowed[i]: sequence number of the last grant of i that was received, and the units left of it.
+    borrower   borrowed[i]: sequence number of the last grant of i that was received, and the units left
+               of it.
 
 Messages carry state, not changes, and are repeated each period, so lost, duplicated and late messages do no
 harm. A grant grows only under a new sequence number and a holding shrinks only under the number that it was
@@ -27,8 +30,8 @@
 
 @dataclass
 class Loan:
-    """A grant or a holding. `unacknowledged`: the other front has not confirmed the last change here, which is
-    sent until its messages show that it has."""
+    """A grant or a holding. `unacknowledged`: the other front has not confirmed the last change here, which
+    is sent until its messages show that it has."""
 
     seq: int = 0
     amount: int = 0
@@ -36,7 +39,8 @@
 
 
 def equal_share(number: int, fronts: int, whole: int = MILLIONTHS) -> int:
-    """Units of one front; over all fronts they add up to the whole. The first fronts by number own one more."""
+    """Units of one front; over all fronts they add up to the whole. The first fronts by number own one
+    more."""
     return whole // fronts + (number < whole % fronts)
 
 
@@ -106,7 +110,8 @@
         self.reset_grant_sequence(other)
 
     def reset_grant_sequence(self, other: int) -> None:
-        """The other front numbers its grants from 1 again; its loan stays until it has received our report."""
+        """The other front numbers its grants from 1 again; its loan stays until it has received our
+        report."""
         if loan := self.borrowed.get(other):
             loan.seq = 0
 
--- a/lemonhall/limits/soft_counters.py
+++ b/lemonhall/limits/soft_counters.py
@@ -1,9 +1,8 @@
 """Counters of all fronts for soft limits: the last known use of the other fronts, and how much they may have
 added since.
 
-The counters are a state-based CRDT (Shapiro et al., SSS 2011): merging keeps the later entry of each front, so
-neither the order of messages nor their repetition matters.
-"""
+The counters are a state-based CRDT (Shapiro et al., SSS 2011): merging keeps the later entry of each front,
+so neither the order of messages nor their repetition matters."""
 
 from __future__ import annotations
 
@@ -15,19 +14,19 @@
 
 @dataclass(frozen=True, order=True)
 class CounterEntry:
-    """The use of one front. `stamp`: by that front's clock; `as_of`: the earliest time at which it was true, by
-    this front's clock."""
+    """The use of one front. `counter_stamp`: by that front's clock; `as_of`: the earliest time at which it was true,
+    by this front's clock."""
 
     incarnation: int
-    stamp: int
+    counter_stamp: int
     as_of: float
     used: int
 
 
 @dataclass(frozen=True)
 class Estimate:
-    """`known`: use by the other fronts' last messages, at most `oldest_ms` old; `max_added`: the most that they
-    may have added since."""
+    """`known`: use by the other fronts' last messages, at most `oldest_ms` old; `max_added`: the most that
+    they may have added since."""
 
     known: int
     max_added: float
@@ -64,7 +63,9 @@
     def forget_front(self, front: int, now: float) -> None:
         """The front is permanently gone and adds nothing any more."""
         old = self.entries.get(front)
-        self.entries[front] = CounterEntry(old.incarnation if old else 0, old.stamp + 1 if old else 0, inf, 0)
+        self.entries[front] = CounterEntry(
+            old.incarnation if old else 0, old.counter_stamp + 1 if old else 0, inf, 0
+        )
 
     def burst(self) -> float:
         """Units that one front may add at once."""
--- a/lemonhall/zones/__init__.py
+++ b/lemonhall/zones/__init__.py
@@ -1,19 +1,20 @@
-"""Losing and regaining a hall: what may spill, how much of it, and how a hall is let in again. No I/O."""
+"""Failover between zones: which sessions may spill over to another zone, how many, and how a zone that
+recovers gets its sessions back. No I/O."""
 
 from lemonhall.zones.machine import OutgoingMessage, ZoneDecision, ZoneFailover
 from lemonhall.zones.monitor import OperatorOverride, StateChange, ZoneMonitor, ZoneState
 from lemonhall.zones.settings import FailoverTiming, Intake, Tier, ZoneSettings
 
 __all__ = [
-    "StateChange",
-    "ZoneFailover",
+    "FailoverTiming",
     "Intake",
     "OperatorOverride",
     "OutgoingMessage",
-    "ZoneSettings",
+    "StateChange",
+    "Tier",
     "ZoneDecision",
+    "ZoneFailover",
     "ZoneMonitor",
-    "FailoverTiming",
+    "ZoneSettings",
     "ZoneState",
-    "Tier",
 ]
--- a/lemonhall/zones/machine.py
+++ b/lemonhall/zones/machine.py
@@ -1,14 +1,15 @@
-"""Halls, as one front goes by them: what it sees of each, its parts of the limits, what a session may use.
+"""Failover between zones at one front: the state of each zone, this front's shares of the limits, and the
+zones that a session may use.
 
-Time, the list, ends of attempts and the words of other fronts go in; rulings, messages and changes come out.
-No I/O, no clock; chance is passed in. The module has the last word on each session: a ruling is advice, but
-for the halls that it bars.
+Inputs are time, the server list, results of attempts and messages of other fronts; outputs are decisions,
+messages and state changes. No I/O, no clock; randomness is passed in. The module has the last word on each
+session: a decision is advice, except for the zones that it bars.
 
-A session's home is the hall of the front that it came to. While that is up it plays there and nowhere else,
-unless a tier says that what does not fit may overflow. While it is lost or comes back, a session may spill to
-the first tier whose hall is up and of whose limits this front holds enough; room is taken before the ruling
-and given back when the session has ended, or has come to play at home.
-"""
+The home zone of a session is the zone of the front that received it. While that zone is up the session plays
+there and nowhere else, unless a tier allows what does not fit to overflow. While the zone is lost or
+recovering, a session may spill over to the first tier whose zone is up and under whose limits this front
+holds enough units. The units are reserved before the decision and released when the session has ended or
+plays in its home zone. """
 
 from __future__ import annotations
 
@@ -28,19 +29,20 @@
 from lemonhall.zones.monitor import OperatorOverride, StateChange, ZoneMonitor, ZoneState
 from lemonhall.zones.settings import Tier, ZoneSettings
 
-LOST = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
-ALIVE = (Outcome.OK, Outcome.FULL, Outcome.ERROR)
-PERIODS = 4.0  # of words, in a notice
-PERIOD_MOST_MS = 500.0
-FANOUT = 2  # others that are told each period, whoever they are
-WIDE_PART = 0.5  # of what is free: a session is let over its floor only for less, and while nobody lacks room
-NEED_MOST = 0.25  # of a limit, asked for at once
-EASE = 0.5  # of an unmet need that is still asked for after a period
+FAILURE_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.TIMEOUT)
+LIVE_OUTCOMES = (Outcome.OK, Outcome.FULL, Outcome.ERROR)  # the server answered
+MESSAGES_PER_NOTICE = 4.0
+MAX_PERIOD_MS = 500.0
+FANOUT = 2  # fronts that are sent a message each period regardless of loans
+ABOVE_FLOOR_SHARE = 0.5  # of the free units: a session may take no more above its floor, and none in need
+MAX_NEED_SHARE = 0.25  # of a limit, requested at once
+NEED_DECAY = 0.5  # fraction of an unmet need that is still requested after a period
 
 
 @dataclass(frozen=True)
 class ZoneDecision:
-    """What a session may use: `bars` binds, `prefer` and `cap` are wishes. `spill`: it may leave its home."""
+    """The zones that a session may use. `barred` is binding, `preferred` and `rung_cap` are advice;
+    `spill_zone`: the zone that it may spill over to, or -1."""
 
     barred: tuple[int, ...] = ()
     preferred: tuple[tuple[str, int], ...] = ()
@@ -48,471 +50,499 @@
     spill_zone: int = -1
 
 
-FREE = ZoneDecision()  # of a session that no hall has a claim on
+UNRESTRICTED = ZoneDecision()  # of a session whose home zone does not hold its title
 
 
 @dataclass(frozen=True)
 class OutgoingMessage:
-    """Words to another front, by its number."""
+    """A message to another front, by its number."""
 
     to: int
     data: bytes
 
 
 @dataclass
-class Held:
-    """What a session has taken: units of limits, a turn of the return."""
+class Reservation:
+    """Units of limits and a ramp token that a session holds."""
 
     tier: Tier | None = None
     units: dict[int, int] = field(default_factory=dict)  # by limit
     premium: bool = False
-    turn: bool = False  # of the ramp, not yet used
-    trial: bool = False
-    safe: bool = False  # another set-up does no harm
-    plays: bool = False  # in another hall
+    ramp_token: bool = False  # not used yet
+    is_probe: bool = False
+    repeatable: bool = False  # another set-up does no harm
+    plays_away: bool = False  # in another zone than its home zone
     since: float = 0.0
 
 
 @dataclass
-class Bucket:
-    """Turns at a rate that is told each time; never more than one second's, or one, in store."""
+class TokenBucket:
+    """Tokens at a rate that is passed with each call; holds those of one second, and at least one."""
 
-    left: float = 0.0
-    at: float = 0.0
+    tokens: float = 0.0
+    updated_at: float = 0.0
 
     def fill(self, now: float, per_ms: float) -> float:
-        self.left = min(max(1.0, 1000 * per_ms), self.left + per_ms * (now - self.at))
-        self.at = now
-        return self.left
+        self.tokens = min(max(1.0, 1000 * per_ms), self.tokens + per_ms * (now - self.updated_at))
+        self.updated_at = now
+        return self.tokens
 
 
 class ZoneFailover:
-    """`life` grows with each start that remembers nothing; `kept`: of `to_keep`, of the life before.
-
-    `remembers`: nothing can have been lent that is not in `kept`."""
+    """`incarnation` grows with each start without state; `saved_state`: from `serialize`, of the previous
+    process; `state_complete`: every loan is in `saved_state`."""
 
     def __init__(
         self,
         settings: ZoneSettings,
         number: int,
         fronts: int,
-        home: int,
-        life: int,
+        home_zone: int,
+        incarnation: int,
         random: Random,
         now: float,
         state_complete: bool = True,
         saved_state: bytes = b"",
     ) -> None:
-        self.settings, self.number, self.fronts, self.home = settings, number, fronts, home
-        self.life, self.random = life, random
-        self.sights = [ZoneMonitor(settings, n, since=now) for n in range(len(settings.zones))]
-        self.by_server: dict[int, int] = {}
-        self.cells: list[set[int]] = [set() for _ in settings.zones]  # that each hall has ever had
-        self.tiers = [t for t in settings.tiers if t.hall == home]
+        self.settings, self.number, self.fronts, self.home_zone = settings, number, fronts, home_zone
+        self.incarnation, self.random = incarnation, random
+        self.monitors = [ZoneMonitor(settings, n, since=now) for n in range(len(settings.zones))]
+        self.zone_by_server: dict[int, int] = {}
+        self.cells_by_zone: list[set[int]] = [set() for _ in settings.zones]  # all that were ever listed
+        self.tiers = [t for t in settings.tiers if t.hall == home_zone]
         own = equal_share(number, fronts) if number < fronts else 0
-        unheard = set() if state_complete else set(range(fronts)) - {number}
-        self.parts = [LimitShare(own, unheard) for _ in settings.limits]
+        unreported = set() if state_complete else set(range(fronts)) - {number}
+        self.shares = [LimitShare(own, unreported) for _ in settings.limits]
         self.reserves = [Reserve() for _ in settings.limits]
-        self.rates = [Bucket(at=now) for _ in settings.limits]
-        self.ramp = Bucket(at=now)
-        self.sessions: dict[int, Held] = {}
-        self.lives: dict[int, int] = {}
-        self.homes: dict[int, int] = {}  # of the others, as far as they have said
-        self.pending_replies: set[int] = set()  # fronts that are told something out of turn
+        self.intake_buckets = [TokenBucket(updated_at=now) for _ in settings.limits]
+        self.ramp_bucket = TokenBucket(updated_at=now)
+        self.sessions: dict[int, Reservation] = {}  # by request
+        self.peer_incarnations: dict[int, int] = {}
+        self.peer_home_zones: dict[int, int] = {}  # of the fronts that have reported theirs
+        self.pending_replies: set[int] = set()  # fronts that are sent a message before the next period
         self.members: tuple[int, ...] = ()
-        self.next_words = now + self.message_period_ms() * random.random()
-        self.spilled_at = float("-inf")
+        self.next_period_at = now + self.message_period_ms() * random.random()
+        self.last_spill_at = float("-inf")
         self.state_changes: list[StateChange] = []
-        self.wanted: dict[int, float] = {}  # limits that others lack room under: when that was heard
-        self.pending_moves: list[int] = []  # sessions that had better come home
+        self.needed_by_others: dict[int, float] = {}  # by limit: when another front last reported a need
+        self.pending_moves: list[int] = []  # sessions that should move back to their home zone
         self.counts = Counter[str]()
-        self.cheapest = min(c.worth for c in settings.classes)
+        self.lowest_worth = min(c.worth for c in settings.classes)
         if saved_state:
             self.restore(saved_state)
 
     def message_period_ms(self) -> float:
-        return min(PERIOD_MOST_MS, self.settings.spilling.notice_ms / PERIODS)
+        return min(MAX_PERIOD_MS, self.settings.timing.notice_ms / MESSAGES_PER_NOTICE)
 
-    # what is seen
+    # evidence
 
     def on_list(self, now: float, servers: list[i.Server], fresh: bool, whole: bool = True) -> None:
-        """The list as it stands, or what has changed; `fresh`: it is not a kept or an old one."""
-        lines: dict[int, list[i.Server]] = {n: [] for n in range(len(self.sights))}
+        """Handles a whole list or a change of it; `fresh`: it is neither cached nor outdated."""
+        by_zone: dict[int, list[i.Server]] = {n: [] for n in range(len(self.monitors))}
         if whole:
-            self.by_server = {}
+            self.zone_by_server = {}
         for server in servers:
             gone = server.state == i.ServerState.GONE
-            zone = self.by_server.pop(server.id, server.zone) if gone else server.zone
-            if zone not in lines:
+            zone = self.zone_by_server.pop(server.id, server.zone) if gone else server.zone
+            if zone not in by_zone:
                 continue
-            lines[zone].append(server)
+            by_zone[zone].append(server)
             if not gone:
-                self.by_server[server.id] = zone
-                self.cells[zone].add(server.cell)
-        for hall, own in lines.items():
-            if own or whole:
-                self.sights[hall].hold(own, whole)
-        ready = sum(sight.ready_now for sight in self.sights)
-        for sight in self.sights:
-            sight.judge(now, ready > sight.ready_now, fresh)
+                self.zone_by_server[server.id] = zone
+                self.cells_by_zone[zone].add(server.cell)
+        for zone, listed in by_zone.items():
+            if listed or whole:
+                self.monitors[zone].update_servers(listed, whole)
+        ready = sum(monitor.ready_count for monitor in self.monitors)
+        for monitor in self.monitors:
+            monitor.evaluate_list(now, ready > monitor.ready_count, fresh)
         self.update_states(now)
 
     def on_attempt_result(self, now: float, server: int, outcome: Outcome) -> None:
-        """The end of an attempt, or a sign of life (`OK`)."""
-        hall = self.by_server.get(server)
-        if hall is None:
+        """Handles the end of an attempt; `OK` also for any other sign that the server is alive."""
+        zone = self.zone_by_server.get(server)
+        if zone is None:
             return
-        if outcome in LOST:
-            self.sights[hall].bad(now, server)
-        elif outcome in ALIVE:
-            self.sights[hall].good(now, server)
+        if outcome in FAILURE_OUTCOMES:
+            self.monitors[zone].on_failure(now, server)
+        elif outcome in LIVE_OUTCOMES:
+            self.monitors[zone].on_success(now, server)
 
     def update_states(self, now: float) -> None:
-        for sight in self.sights:
-            if change := sight.look(now):
+        for monitor in self.monitors:
+            if change := monitor.update(now):
                 self.state_changes.append(change)
-                if sight.hall == self.home:
-                    self.ramp = Bucket(at=now)
+                if monitor.zone == self.home_zone:
+                    self.ramp_bucket = TokenBucket(updated_at=now)
 
-    def set_override(self, hall: int, what: OperatorOverride, at_ms: float) -> bool:
-        """An operator's, or one that was heard of. False: a later one holds."""
-        sight = self.sights[hall]
-        if at_ms <= sight.order_at:
+    def set_override(self, zone: int, override: OperatorOverride, at_ms: float) -> bool:
+        """Takes over an operator's override, given here or at another front. False if a later one is set."""
+        monitor = self.monitors[zone]
+        if at_ms <= monitor.override_at:
             return False
-        if sight.order is OperatorOverride.HOLD and what is OperatorOverride.NONE:
-            sight.flaps = 0
-        sight.order, sight.order_at = what, at_ms
-        self.parts[0].dirty = True
+        if monitor.override is OperatorOverride.HOLD and override is OperatorOverride.NONE:
+            monitor.flaps = 0
+        monitor.override, monitor.override_at = override, at_ms
+        self.shares[0].dirty = True
         return True
 
     # sessions
 
-    def choose_zones(self, now: float, ask: int, cls: int, row: frozenset[int] | None = None) -> ZoneDecision:
-        """What a session of a class may use; `row`: the cells that hold its title, if not all do."""
+    def choose_zones(
+        self, now: float, request_id: int, cls: int, title_cells: frozenset[int] | None = None
+    ) -> ZoneDecision:
+        """Decides which zones a session may use; `title_cells`: the cells that hold its title, None for
+        all."""
         self.update_states(now)
-        home, sight = self.home, self.sights[self.home]
-        if row is not None and self.cells[home] and not row & self.cells[home]:
-            return FREE  # its home has never had the title
+        home_zone, monitor = self.home_zone, self.monitors[self.home_zone]
+        if (
+            title_cells is not None
+            and self.cells_by_zone[home_zone]
+            and not title_cells & self.cells_by_zone[home_zone]
+        ):
+            return UNRESTRICTED
         terms = self.settings.classes[cls]
-        held = Held(since=now, safe=terms.repeat is Repeat.SAFE)
-        held.premium = terms.worth > self.cheapest
+        reservation = Reservation(since=now, repeatable=terms.repeat is Repeat.SAFE)
+        reservation.premium = terms.worth > self.lowest_worth
         allowed: set[int] = set()
-        if sight.state in (ZoneState.UP, ZoneState.FAILING):
-            allowed.add(home)
-        elif sight.state is ZoneState.RETURNING:
-            if self.ramp.fill(now, sight.set_up_rate(now) / self.sharers()) >= 1.0:
-                self.ramp.left -= 1.0
-                held.turn = True
-                allowed.add(home)
-        elif terms.repeat is Repeat.SAFE and sight.trial_due(now):
-            sight.tried(now)
-            held.trial = True
-            allowed.add(home)
-        cap, to = 99, -1
+        if monitor.state in (ZoneState.UP, ZoneState.FAILING):
+            allowed.add(home_zone)
+        elif monitor.state is ZoneState.RETURNING:
+            if self.ramp_bucket.fill(now, monitor.set_up_rate(now) / self.fronts_sharing_zone()) >= 1.0:
+                self.ramp_bucket.tokens -= 1.0
+                reservation.ramp_token = True
+                allowed.add(home_zone)
+        elif terms.repeat is Repeat.SAFE and monitor.probe_due(now):
+            monitor.record_probe(now)
+            reservation.is_probe = True
+            allowed.add(home_zone)
+        rung_cap, spill_zone = 99, -1
         if cls not in self.settings.no_spill:
             for tier in self.tiers:
-                wanted = sight.state is not ZoneState.UP or tier.overflow
-                if wanted and self.sights[tier.to].state is ZoneState.UP:
-                    cap = self.take(now, held, tier, terms)
-                    if held.tier:
-                        to = tier.to
-                        allowed.add(to)
+                may_spill = monitor.state is not ZoneState.UP or tier.overflow
+                if may_spill and self.monitors[tier.to].state is ZoneState.UP:
+                    rung_cap = self.reserve_spill(now, reservation, tier, terms)
+                    if reservation.tier:
+                        spill_zone = tier.to
+                        allowed.add(spill_zone)
                         break
         self.counts["spill_refused"] += not allowed
-        if held.tier or held.turn or held.trial:
-            self.sessions[ask] = held
-        bars = tuple(h for h in range(len(self.settings.zones)) if h not in allowed)
-        wish = (("zone", home),) if home in allowed and len(allowed) > 1 else ()
-        return ZoneDecision(bars, wish, cap, to)
-
-    def sharers(self) -> int:
-        """Fronts that a return is shared by: those of its hall, and those that have never said theirs. Who
-        falls silent is counted on: it may still be sending."""
-        return self.fronts - sum(home != self.home for home in self.homes.values())
-
-    def take(self, now: float, held: Held, tier: Tier, terms: i.SessionClass) -> int:
-        """Room under all limits of a tier, at the best rung that leaves some to others. The rung, or 99."""
-        self.spilled_at = now
-        links, scale = self.sights[tier.to].links_kb(), terms.scale
+        if reservation.tier or reservation.ramp_token or reservation.is_probe:
+            self.sessions[request_id] = reservation
+        barred = tuple(z for z in range(len(self.settings.zones)) if z not in allowed)
+        preferred = (("zone", home_zone),) if home_zone in allowed and len(allowed) > 1 else ()
+        return ZoneDecision(barred, preferred, rung_cap, spill_zone)
+
+    def fronts_sharing_zone(self) -> int:
+        """Fronts that share the ramp of the home zone: those of the zone and those of an unknown zone.
+
+        Silent fronts are counted, since they may still send set-ups.
+        """
+        return self.fronts - sum(zone != self.home_zone for zone in self.peer_home_zones.values())
+
+    def reserve_spill(self, now: float, reservation: Reservation, tier: Tier, terms: i.SessionClass) -> int:
+        """Reserves units under all limits of a tier, at the highest rung that fits. Returns the rung, or
+        99."""
+        self.last_spill_at = now
+        links_kb, scale = self.monitors[tier.to].total_link_kb(), terms.scale
         limits = self.settings.limits_of(tier)
         ladder = self.settings.ladder_kb
         for n in limits:
-            self.reserves[n].record_request(now, held.premium)
-        if links <= 0:
+            self.reserves[n].record_request(now, reservation.premium)
+        if links_kb <= 0:
             return 99
         for rung in range(min(terms.top, len(ladder) - 1), terms.floor - 1, -1):
             units = {
-                n: ceil(MILLIONTHS * ladder[rung] * scale / (self.settings.limits[n][1] * links))
+                n: ceil(MILLIONTHS * ladder[rung] * scale / (self.settings.limits[n][1] * links_kb))
                 for n in limits
             }
-            if all(self.fits(now, n, units[n], held.premium, rung == terms.floor) for n in limits):
-                if not all(self.rate_left(now, n) for n in limits):
+            if all(self.fits(now, n, units[n], reservation.premium, rung == terms.floor) for n in limits):
+                if not all(self.has_intake_token(now, n) for n in limits):
                     self.counts["over_rate"] += 1
                     return 99
                 for n in limits:
-                    self.parts[n].used += units[n]
-                    self.reserves[n].record_use(units[n], held.premium, 1)
-                    self.rates[n].left -= 1.0
-                held.tier, held.units = tier, units
+                    self.shares[n].used += units[n]
+                    self.reserves[n].record_use(units[n], reservation.premium, 1)
+                    self.intake_buckets[n].tokens -= 1.0
+                reservation.tier, reservation.units = tier, units
                 self.counts["spilled"] += 1
                 return rung
         for n in limits:
-            if self.parts[n].free() < units[n] + self.reserves[n].units_kept_free(held.premium):
-                self.parts[n].need = min(int(NEED_MOST * MILLIONTHS), self.parts[n].need + 2 * units[n])
+            if self.shares[n].free() < units[n] + self.reserves[n].units_kept_free(reservation.premium):
+                self.shares[n].need = min(
+                    int(MAX_NEED_SHARE * MILLIONTHS), self.shares[n].need + 2 * units[n]
+                )
         self.counts["over_limit"] += 1
         return 99
 
-    def fits(self, now: float, limit: int, units: int, premium: bool, floor: bool) -> bool:
-        parts, reserve = self.parts[limit], self.reserves[limit]
-        reserve.update_quota(now, parts.capacity(), self.settings.classes)
-        free = parts.free() - reserve.units_kept_free(premium)
-        return units <= (free if floor else WIDE_PART * free * (not parts.need))
+    def fits(self, now: float, limit: int, units: int, premium: bool, at_floor: bool) -> bool:
+        share, reserve = self.shares[limit], self.reserves[limit]
+        reserve.update_quota(now, share.capacity(), self.settings.classes)
+        free = share.free() - reserve.units_kept_free(premium)
+        return units <= (free if at_floor else ABOVE_FLOOR_SHARE * free * (not share.need))
 
-    def rate_left(self, now: float, limit: int) -> bool:
-        """Of the set-ups a second that a hall takes in, this front has as much as it has of the links."""
+    def has_intake_token(self, now: float, limit: int) -> bool:
+        """Whether the zone's limit of set-ups/s allows another one; this front has the same share of that
+        limit as of the links."""
         place = limit - len(self.settings.tiers)
         if place < 0 or not self.settings.intakes[place].per_s:
             return True
-        part = self.parts[limit].capacity() / MILLIONTHS
-        return self.rates[limit].fill(now, self.settings.intakes[place].per_s / 1000 * part) >= 1.0
-
-    def on_set_up(self, now: float, ask: int, server: int) -> None:
-        """An attempt leaves. One more at a hall that returns, or beyond the first, is paid for later."""
-        held, hall = self.sessions.get(ask), self.by_server.get(server)
-        if hall == self.home and self.sights[hall].state is ZoneState.RETURNING:
-            if held and held.turn:
-                held.turn = False
+        share = self.shares[limit].capacity() / MILLIONTHS
+        return self.intake_buckets[limit].fill(now, self.settings.intakes[place].per_s / 1000 * share) >= 1.0
+
+    def on_set_up(self, now: float, request_id: int, server: int) -> None:
+        """A set-up is sent. In a recovering zone each one beyond the first takes a token in advance."""
+        reservation, zone = self.sessions.get(request_id), self.zone_by_server.get(server)
+        if zone == self.home_zone and self.monitors[zone].state is ZoneState.RETURNING:
+            if reservation and reservation.ramp_token:
+                reservation.ramp_token = False
             else:
-                self.ramp.left -= 1.0
+                self.ramp_bucket.tokens -= 1.0
 
-    def on_playing(self, now: float, ask: int, server: int) -> None:
-        """It plays: at home it needs no room elsewhere."""
+    def on_playing(self, now: float, request_id: int, server: int) -> None:
+        """The session plays. In its home zone it needs no units of other zones."""
         self.on_attempt_result(now, server, Outcome.OK)
-        held = self.sessions.get(ask)
-        if held and held.tier and self.by_server.get(server) == self.home:
-            self.let_go(held)
-        elif held:
-            held.plays = True
-
-    def restore_session(self, now: float, ask: int, cls: int, rung: int, server: int) -> None:
-        """It plays already, under a process that is gone: what it takes elsewhere counts from here on."""
-        hall = self.by_server.get(server, self.home)
-        tier = next((t for t in self.tiers if t.to == hall), None)
-        links = self.sights[hall].links_kb()
-        if tier is None or hall == self.home or links <= 0:
+        reservation = self.sessions.get(request_id)
+        if reservation and reservation.tier and self.zone_by_server.get(server) == self.home_zone:
+            self.release_units(reservation)
+        elif reservation:
+            reservation.plays_away = True
+
+    def restore_session(self, now: float, request_id: int, cls: int, rung: int, server: int) -> None:
+        """Counts a session that plays already, set up by an earlier process, if it plays in another zone."""
+        zone = self.zone_by_server.get(server, self.home_zone)
+        tier = next((t for t in self.tiers if t.to == zone), None)
+        links_kb = self.monitors[zone].total_link_kb()
+        if tier is None or zone == self.home_zone or links_kb <= 0:
             return
         terms = self.settings.classes[cls]
-        held = Held(tier, since=now, safe=terms.repeat is Repeat.SAFE, plays=True)
+        reservation = Reservation(tier, since=now, repeatable=terms.repeat is Repeat.SAFE, plays_away=True)
         kb = self.settings.ladder_kb[min(rung, len(self.settings.ladder_kb) - 1)] * terms.scale
         for n in self.settings.limits_of(tier):
-            held.units[n] = ceil(MILLIONTHS * kb / (self.settings.limits[n][1] * links))
-            self.parts[n].used += held.units[n]
-        self.sessions[ask] = held
-
-    def release(self, now: float, ask: int) -> None:
-        """Nothing of it is out any more."""
-        held = self.sessions.pop(ask, None)
-        if held is None:
+            reservation.units[n] = ceil(MILLIONTHS * kb / (self.settings.limits[n][1] * links_kb))
+            self.shares[n].used += reservation.units[n]
+        self.sessions[request_id] = reservation
+
+    def release(self, now: float, request_id: int) -> None:
+        """The request has ended and none of its set-ups is pending."""
+        reservation = self.sessions.pop(request_id, None)
+        if reservation is None:
             return
-        if held.turn:
-            self.ramp.left += 1.0
-        for n in held.units:
-            self.reserves[n].record_length(now - held.since)
-        self.let_go(held)
+        if reservation.ramp_token:
+            self.ramp_bucket.tokens += 1.0
+        for n in reservation.units:
+            self.reserves[n].record_length(now - reservation.since)
+        self.release_units(reservation)
 
-    def let_go(self, held: Held) -> None:
-        for n, units in held.units.items():
-            self.parts[n].used -= units
-            self.reserves[n].record_use(units, held.premium, -1)
-        held.tier, held.units = None, {}
+    def release_units(self, reservation: Reservation) -> None:
+        for n, units in reservation.units.items():
+            self.shares[n].used -= units
+            self.reserves[n].record_use(units, reservation.premium, -1)
+        reservation.tier, reservation.units = None, {}
 
-    # other fronts
+    # messages
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Each moment; words go out each period, and at once to who has asked."""
+        """To be called on each tick. Messages leave each period, replies at once."""
         self.update_states(now)
         to = set(self.pending_replies)
         self.pending_replies = set()
-        if now >= self.next_words:
-            self.next_words = now + self.message_period_ms()
-            to |= self.round(now)
-            self.bring_home(now)
-        return [OutgoingMessage(other, self.words(now, other)) for other in sorted(to)]
-
-    def round(self, now: float) -> set[int]:
-        """Who is told in this period: some at random, and who holds a part of ours or lends us one."""
+        if now >= self.next_period_at:
+            self.next_period_at = now + self.message_period_ms()
+            to |= self.start_period(now)
+            self.select_moves_home(now)
+        return [OutgoingMessage(other, self.build_message(now, other)) for other in sorted(to)]
+
+    def start_period(self, now: float) -> set[int]:
+        """The recipients of this period: some at random, and those with an unacknowledged loan."""
         others = [m for m in self.members if m != self.number]
         to = set(self.random.sample(others, min(FANOUT, len(others))))
-        for parts in self.parts:
-            if parts.need and now - self.spilled_at > self.settings.spilling.notice_ms:
-                parts.need = 0
-            parts.need = int(EASE * parts.need)
-            if now - self.spilled_at > 2 * self.settings.spilling.notice_ms:
-                parts.return_free(0)
-            to |= parts.peers_to_notify()
-            if parts.unheard:
-                to |= set(self.random.sample(sorted(parts.unheard), min(FANOUT, len(parts.unheard))))
+        for share in self.shares:
+            if share.need and now - self.last_spill_at > self.settings.timing.notice_ms:
+                share.need = 0
+            share.need = int(NEED_DECAY * share.need)
+            if now - self.last_spill_at > 2 * self.settings.timing.notice_ms:
+                share.return_free(0)
+            to |= share.peers_to_notify()
+            if share.unreported:
+                to |= set(self.random.sample(sorted(share.unreported), min(FANOUT, len(share.unreported))))
         return to
 
-    def bring_home(self, now: float) -> None:
-        """A move is worth it where others are refused for the room that a session takes here whose own hall
-        is back: one a period and limit, in turns as a return is paced, and none that was paid for."""
-        sight = self.sights[self.home]
-        for limit, at in list(self.wanted.items()):
+    def select_moves_home(self, now: float) -> None:
+        """Selects sessions to move back to their home zone.
+
+        A move is worth its cost where other fronts need the units that a session uses here although its home
+        zone is up. One session per period and limit moves, at the rate of the ramp, and none of a paid class.
+        """
+        monitor = self.monitors[self.home_zone]
+        for limit, at in list(self.needed_by_others.items()):
             if now - at > 2 * self.message_period_ms():
-                del self.wanted[limit]
+                del self.needed_by_others[limit]
             elif (
-                sight.state is ZoneState.UP
-                and self.ramp.fill(now, sight.set_up_rate(now) / self.sharers()) >= 1.0
+                monitor.state is ZoneState.UP
+                and self.ramp_bucket.fill(now, monitor.set_up_rate(now) / self.fronts_sharing_zone()) >= 1.0
             ):
-                for ask, held in self.sessions.items():
-                    if limit in held.units and held.plays and held.safe:
-                        held.safe = False  # once
-                        self.ramp.left -= 1.0
-                        self.pending_moves.append(ask)
+                for request_id, reservation in self.sessions.items():
+                    if limit in reservation.units and reservation.plays_away and reservation.repeatable:
+                        reservation.repeatable = False  # it is moved once only
+                        self.ramp_bucket.tokens -= 1.0
+                        self.pending_moves.append(request_id)
                         self.counts["brought_home"] += 1
                         break
 
-    def words(self, now: float, other: int) -> bytes:
-        to_life = self.lives.get(other, 0)
-        made = Words(plan=self.settings.digest, life=self.life, to_life=to_life, home=self.home + 1)
-        for n, parts in enumerate(self.parts):
-            lent, held = parts.lent.get(other, Loan()), parts.borrowed.get(other, Loan())
-            if lent.seq or held.seq or held.amount or parts.need:
-                waits = lent.unacknowledged and lent.seq > 0
-                told = (lent.seq, lent.amount, held.seq, held.amount, parts.need, waits)
+    def build_message(self, now: float, other: int) -> bytes:
+        to_life = self.peer_incarnations.get(other, 0)
+        message = Words(
+            plan=self.settings.digest, life=self.incarnation, to_life=to_life, home=self.home_zone + 1
+        )
+        for n, share in enumerate(self.shares):
+            lent, borrowed = share.lent.get(other, Loan()), share.borrowed.get(other, Loan())
+            if lent.seq or borrowed.seq or borrowed.amount or share.need:
+                wants_reply = lent.unacknowledged and lent.seq > 0
+                values = (lent.seq, lent.amount, borrowed.seq, borrowed.amount, share.need, wants_reply)
                 names = ("grant_seq", "grant", "held_seq", "held", "need", "tell")
-                made.parts.add(limit=n, **dict(zip(names, told, strict=True)))
-        for sight in self.sights:
-            if sight.order is not OperatorOverride.HOLD and (sight.state or sight.heard_list):
-                state = sight.state if self.own_sight(now, sight) else ZoneState.UP
-                made.sights.add(hall=sight.hall, state=state, progress=int(1000 * sight.progress(now)))
-            if sight.order_at:
-                made.orders.add(hall=sight.hall, what=sight.order, at_ms=int(sight.order_at))
-        data: bytes = made.SerializeToString()
+                message.parts.add(limit=n, **dict(zip(names, values, strict=True)))
+        for monitor in self.monitors:
+            if monitor.override is not OperatorOverride.HOLD and (monitor.state or monitor.list_received):
+                state = monitor.state if self.is_own_evidence(now, monitor) else ZoneState.UP
+                message.sights.add(hall=monitor.zone, state=state, progress=int(1000 * monitor.progress(now)))
+            if monitor.override_at:
+                message.orders.add(hall=monitor.zone, what=monitor.override, at_ms=int(monitor.override_at))
+        data: bytes = message.SerializeToString()
         return data
 
     @staticmethod
-    def own_sight(now: float, sight: ZoneMonitor) -> bool:
-        """Rumours are not passed on: a state that rests on others' words alone is no evidence."""
-        return "other fronts" not in sight.why
+    def is_own_evidence(now: float, monitor: ZoneMonitor) -> bool:
+        """A state that rests on the reports of other fronts alone is not reported further."""
+        return "other fronts" not in monitor.reason
 
     def receive(self, now: float, sender: int, data: bytes) -> None:
-        """Another front's words. What cannot be read, or is of another plan, is counted and passed over."""
+        """Handles another front's message. Counts and drops one that is unreadable or of other settings."""
         try:
-            words = Words.FromString(data)
+            message = Words.FromString(data)
         except DecodeError:
             self.counts["unreadable"] += 1
             return
-        if words.plan != self.settings.digest or not 0 <= sender < self.fronts or sender == self.number:
+        if message.plan != self.settings.digest or not 0 <= sender < self.fronts or sender == self.number:
             self.counts["other_plan"] += 1
             return
-        for order in words.orders:
-            if order.hall < len(self.sights) and order.what in (OperatorOverride.NONE, OperatorOverride.HOLD):
+        for order in message.orders:
+            if order.hall < len(self.monitors) and order.what in (
+                OperatorOverride.NONE,
+                OperatorOverride.HOLD,
+            ):
                 self.set_override(order.hall, OperatorOverride(order.what), float(order.at_ms))
-        known = self.lives.get(sender, 0)
-        if words.life < known:
+        known = self.peer_incarnations.get(sender, 0)
+        if message.life < known:
             self.counts["old_life"] += 1
             return
-        if 0 < words.home <= len(self.sights):
-            self.homes[sender] = words.home - 1
-        if words.life > known:
-            self.lives[sender] = words.life
-            for parts in self.parts:
+        if 0 < message.home <= len(self.monitors):
+            self.peer_home_zones[sender] = message.home - 1
+        if message.life > known:
+            self.peer_incarnations[sender] = message.life
+            for share in self.shares:
                 if known:
-                    parts.on_peer_restart(sender)
+                    share.on_peer_restart(sender)
             self.pending_replies.add(sender)
-        for told in words.sights:
-            if told.hall < len(self.sights) and told.state <= ZoneState.RETURNING:
-                self.sights[told.hall].said(now, sender, ZoneState(told.state), told.progress / 1000)
-        if words.to_life != self.life:
-            self.pending_replies.add(sender)  # it does not know us yet, or speaks to who we were
+        for report in message.sights:
+            if report.hall < len(self.monitors) and report.state <= ZoneState.RETURNING:
+                self.monitors[report.hall].on_report(
+                    now, sender, ZoneState(report.state), report.progress / 1000
+                )
+        if message.to_life != self.incarnation:
+            self.pending_replies.add(sender)  # it does not know this incarnation yet
             return
-        by_limit: dict[int, Any] = {p.limit: p for p in words.parts}
-        for n, parts in enumerate(self.parts):
+        by_limit: dict[int, Any] = {p.limit: p for p in message.parts}
+        for n, share in enumerate(self.shares):
             part = by_limit.get(n)
             if part and part.need:
-                self.wanted[n] = now
-            parts.on_grant(sender, part.grant_seq if part else 0, part.grant if part else 0)
-            parts.on_holding(sender, part.held_seq if part else 0, part.held if part else 0)
-            lent = part is not None and part.need > 0 and parts.lend(sender, part.need) > 0
+                self.needed_by_others[n] = now
+            share.on_grant(sender, part.grant_seq if part else 0, part.grant if part else 0)
+            share.on_holding(sender, part.held_seq if part else 0, part.held if part else 0)
+            lent = part is not None and part.need > 0 and share.lend(sender, part.need) > 0
             if lent or (part is not None and part.tell):
                 self.pending_replies.add(sender)
 
-    # over a restart
+    # persistence
 
     @property
     def dirty(self) -> bool:
-        """Something has changed that must be on disk before the next words leave."""
-        return any(parts.dirty for parts in self.parts)
+        """Whether state has changed that must be on disk before the next messages leave."""
+        return any(share.dirty for share in self.shares)
 
     def serialize(self) -> bytes:
-        made = Kept(plan=self.settings.digest, life=self.life)
-        for n, parts in enumerate(self.parts):
-            parts.dirty = False
-            for kind, loans in ((made.lent, parts.lent), (made.held, parts.borrowed)):
+        """The state to be stored; clears `dirty`."""
+        state = Kept(plan=self.settings.digest, life=self.incarnation)
+        for n, share in enumerate(self.shares):
+            share.dirty = False
+            for stored, loans in ((state.lent, share.lent), (state.held, share.borrowed)):
                 for front, loan in sorted(loans.items()):
-                    kind.add(limit=n, front=front, seq=loan.seq, amount=loan.amount)
-        for sight in self.sights:
-            if sight.order_at:
-                made.orders.add(hall=sight.hall, what=sight.order, at_ms=int(sight.order_at))
-        data: bytes = made.SerializeToString()
+                    stored.add(limit=n, front=front, seq=loan.seq, amount=loan.amount)
+        for monitor in self.monitors:
+            if monitor.override_at:
+                state.orders.add(hall=monitor.zone, what=monitor.override, at_ms=int(monitor.override_at))
+        data: bytes = state.SerializeToString()
         return data
 
     def restore(self, data: bytes) -> None:
-        """Raises `ValueError` if it cannot be read. Of another plan the orders alone are taken: its parts
-        were of other limits, and this is another life."""
+        """Takes over stored state. Raises `ValueError` if it is unreadable.
+
+        Of state with other settings only the overrides are taken: its loans belong to other limits, and this
+        is a new incarnation. """
         try:
-            kept = Kept.FromString(data)
+            state = Kept.FromString(data)
         except DecodeError as error:
-            raise ValueError(f"what was kept of halls cannot be read: {error}") from error
-        for order in kept.orders:
-            if order.hall < len(self.sights) and order.what in (OperatorOverride.NONE, OperatorOverride.HOLD):
-                sight = self.sights[order.hall]
-                sight.order, sight.order_at = OperatorOverride(order.what), float(order.at_ms)
-        if kept.plan != self.settings.digest:
+            raise ValueError(f"stored state of zones cannot be read: {error}") from error
+        for order in state.orders:
+            if order.hall < len(self.monitors) and order.what in (
+                OperatorOverride.NONE,
+                OperatorOverride.HOLD,
+            ):
+                monitor = self.monitors[order.hall]
+                monitor.override, monitor.override_at = OperatorOverride(order.what), float(order.at_ms)
+        if state.plan != self.settings.digest:
             return
-        self.life = int(kept.life)
-        for n, parts in enumerate(self.parts):
-            lent, held = (
-                {loan.front: Loan(loan.seq, loan.amount) for loan in kind if loan.limit == n}
-                for kind in (kept.lent, kept.held)
+        self.incarnation = int(state.life)
+        for n, share in enumerate(self.shares):
+            lent, borrowed = (
+                {loan.front: Loan(loan.seq, loan.amount) for loan in stored if loan.limit == n}
+                for stored in (state.lent, state.held)
             )
-            parts.restore(lent, held)
+            share.restore(lent, borrowed)
 
-    # what is seen from outside
+    # status
 
     def status(self, now: float) -> dict[str, Any]:
-        """Shares of links as parts of 1, times in seconds."""
-        halls = []
-        for sight in self.sights:
-            halls.append(
+        """Shares of links as fractions, times in seconds."""
+        zones = []
+        for monitor in self.monitors:
+            zones.append(
                 {
-                    "hall": self.settings.zones[sight.hall],
-                    "home": sight.hall == self.home,
-                    "state": sight.state.name.lower(),
-                    "since_s": round((now - sight.since) / 1000, 1),
-                    "why": sight.why,
-                    "held_out": sight.order is OperatorOverride.HOLD,
-                    "servers_ready": sight.ready(),
-                    "servers_most": sight.most,
-                    "progress": round(sight.progress(now), 3),
-                    "flaps": sight.flaps,
-                    "ramp_s": sight.ramp_ms() / 1000,
+                    "hall": self.settings.zones[monitor.zone],
+                    "home": monitor.zone == self.home_zone,
+                    "state": monitor.state.name.lower(),
+                    "since_s": round((now - monitor.since) / 1000, 1),
+                    "why": monitor.reason,
+                    "held_out": monitor.override is OperatorOverride.HOLD,
+                    "servers_ready": monitor.ready_servers(),
+                    "servers_most": monitor.max_ready,
+                    "progress": round(monitor.progress(now), 3),
+                    "flaps": monitor.flaps,
+                    "ramp_s": monitor.ramp_ms() / 1000,
                 }
             )
         limits = []
-        for n, (to, share) in enumerate(self.settings.limits):
-            parts, tier = self.parts[n], self.settings.tiers[n] if n < len(self.settings.tiers) else None
+        for n, (to, fraction) in enumerate(self.settings.limits):
+            share, tier = self.shares[n], self.settings.tiers[n] if n < len(self.settings.tiers) else None
             limits.append(
                 {
                     "of": self.settings.zones[tier.hall] if tier else "all halls",
                     "to": self.settings.zones[to],
-                    "limit": share,
-                    "held": share * parts.capacity() / MILLIONTHS,
-                    "used": share * parts.used / MILLIONTHS,
-                    "lent_to": sum(loan.amount > 0 for loan in parts.lent.values()),
-                    "waits_for": len(parts.unheard),
+                    "limit": fraction,
+                    "held": fraction * share.capacity() / MILLIONTHS,
+                    "used": fraction * share.used / MILLIONTHS,
+                    "lent_to": sum(loan.amount > 0 for loan in share.lent.values()),
+                    "waits_for": len(share.unreported),
                 }
             )
-        return {"halls": halls, "limits": limits, "counts": dict(self.counts)}
+        return {"halls": zones, "limits": limits, "counts": dict(self.counts)}
--- a/lemonhall/zones/monitor.py
+++ b/lemonhall/zones/monitor.py
@@ -1,15 +1,14 @@
-"""What one front sees of one hall, and the state that it takes it to be in, with the evidence.
+"""Evidence of one front about one zone, and the state of the zone that follows from it.
 
-    up         all is usual
-    failing    signs of a loss: its sessions may spill, the hall is tried first
-    dark       the signs have held: nothing is sent but single trials
-    returning  it is there again: set-ups are let in by a ramp
+    up         normal operation
+    failing    evidence of a loss: sessions may spill over, the zone is tried first
+    dark       the evidence has held: only single probes are sent
+    returning  the zone is available again: set-ups are admitted at the rate of a ramp
 
-Signs are a fresh list that names no ready server of the hall while it names others; failed attempts on most
-of its racks and on as many servers as fail, with no sign of life since; and the like seen by most other
-fronts, where this one sees nothing of its own. One rack is no hall, nor are a few servers that are deployed;
-an empty or an old list says nothing of a hall.
-"""
+Evidence of a loss is a fresh list that names no ready server of the zone but names others; failed attempts on
+most of its racks and on most of the servers seen lately, with no success since; or a loss reported by most
+other fronts where this front has no evidence of its own. The loss of one rack or the deployment of a few
+servers is not the loss of a zone, and an empty or outdated list is no evidence. """
 
 from __future__ import annotations
 
@@ -21,11 +20,11 @@
 from lemonhall.interface import ServerState
 from lemonhall.zones.settings import ZoneSettings
 
-BAD_PART = 0.5  # of the racks, and of the servers seen lately, on which attempts fail
-VOTES_LEAST = 3  # of other fronts, before most of them count
-VOTES_PART = 0.1  # of a notice: others' words are counted anew this often
-WORD_NOTICES = 4.0  # for so many notices another's word is fresh
-SLOW_PACE = 1.3  # the pace of a return lies by this under what cold servers can take
+FAILED_SHARE = 0.5  # of the racks, and of the servers seen lately, on which attempts fail
+MIN_VOTES = 3  # of other fronts, for a majority to count
+VOTE_COUNT_NOTICES = 0.1  # interval at which reports are counted, in notice times
+REPORT_NOTICES = 4.0  # age at which another front's report expires, in notice times
+RATE_SAFETY_FACTOR = 1.3  # ratio of the set-ups that cold servers can take to those that a recovery admits
 
 
 class ZoneState(IntEnum):
@@ -37,12 +36,12 @@
 
 class OperatorOverride(IntEnum):
     NONE = 0
-    HOLD = 1  # nothing is sent there until it is let in
+    HOLD = 1  # nothing is sent to the zone until it is released
 
 
 @dataclass(frozen=True)
 class StateChange:
-    """A hall has come into another state here, and why."""
+    """A zone has changed its state at this front."""
 
     zone: str
     state: ZoneState
@@ -50,245 +49,268 @@
 
 
 @dataclass
-class Server:
+class ServerView:
+    """What this front knows of a server."""
+
     cell: int
     ready: bool
     places: int
-    kb: float
-    began: float  # of its life, as the list tells; 0: long ago
-    good_at: float = float("-inf")
-    bad_at: float = float("-inf")
+    link_kb: float
+    started_at: float  # of its incarnation, from the list; 0: long ago
+    last_success_at: float = float("-inf")
+    last_failure_at: float = float("-inf")
 
 
 @dataclass
 class ZoneMonitor:
-    """One hall, here. `now` in ms; nothing goes back."""
+    """One zone as seen by this front. `now` in ms, of a monotonic clock."""
 
-    plan: ZoneSettings
-    hall: int
-    servers: dict[int, Server] = field(default_factory=dict)
+    settings: ZoneSettings
+    zone: int
+    servers: dict[int, ServerView] = field(default_factory=dict)
     state: ZoneState = ZoneState.UP
     since: float = 0.0
-    why: str = ""
-    bad_at: float = float("-inf")  # the last that failed
-    ready_now: int = 0  # these three are found anew with each list
+    reason: str = ""
+    last_failure_at: float = float("-inf")
+    ready_count: int = 0  # this field and the next two are computed from each list
     cells: set[int] = field(default_factory=set)
-    links: float = 0.0
-    most: int = 0  # servers that were ready at once, lately
-    most_at: float = 0.0
-    heard_list: bool = False
-    came_at: float | None = None  # first seen, and there; None from the first turn on
-    gone: bool = False  # a fresh list names none that is ready, though it names others
-    good_at: float = float("-inf")
-    bad_since: float | None = None  # the signs have held from here on
+    link_kb: float = 0.0
+    max_ready: int = 0  # servers that were ready at once, lately
+    max_ready_at: float = 0.0
+    list_received: bool = False
+    first_seen_at: float | None = None  # when the zone was first seen available; None after a state change
+    unlisted: bool = False  # a fresh list names no ready server here but names others
+    last_success_at: float = float("-inf")
+    evidence_since: float | None = None  # evidence of a loss has held since then
     flaps: int = 0
-    flap_at: float = float("-inf")
-    trial_at: float = float("-inf")
-    trials: int = 0
-    ramp_from: float = 0.0
-    head_start: float = 0.0  # of the ramp, done before this front came
-    words: dict[int, tuple[ZoneState, float, float]] = field(
+    flapped_at: float = float("-inf")
+    probed_at: float = float("-inf")
+    probe_count: int = 0
+    ramp_started_at: float = 0.0
+    initial_progress: float = 0.0  # of the ramp, made before this front started
+    reports: dict[int, tuple[ZoneState, float, float]] = field(
         default_factory=dict
-    )  # by front: state, progress, at
+    )  # by front: state, progress, time of receipt
     votes: Counter[ZoneState] = field(default_factory=Counter)
-    counted_at: float = float("-inf")
-    order: OperatorOverride = OperatorOverride.NONE
-    order_at: float = 0.0
+    votes_counted_at: float = float("-inf")
+    override: OperatorOverride = OperatorOverride.NONE
+    override_at: float = 0.0
 
-    # what is seen
+    # evidence
 
-    def hold(self, lines: list[i.Server], whole: bool) -> None:
-        """The hall's lines of the list: all of them, or those that have changed."""
-        plan, known = self.plan, dict(self.servers)
+    def update_servers(self, listed: list[i.Server], whole: bool) -> None:
+        """Takes over the zone's servers in the list: all of them, or those that have changed."""
+        settings, known = self.settings, dict(self.servers)
         if whole:
             self.servers = {}
-        for line in lines:
-            if line.state == ServerState.GONE:
-                self.servers.pop(line.id, None)
+        for entry in listed:
+            if entry.state == ServerState.GONE:
+                self.servers.pop(entry.id, None)
                 continue
-            kb = max(1.0, plan.link_kb_per_weight * line.weight)
-            ready = line.state == ServerState.READY
-            made = Server(line.cell, ready, plan.places(line), kb, line.ready_at)
-            if (old := known.get(line.id)) and old.began == line.ready_at:
-                made.good_at, made.bad_at = old.good_at, old.bad_at
-            self.servers[line.id] = made
-        self.ready_now = sum(s.ready for s in self.servers.values())
+            link_kb = max(1.0, settings.link_kb_per_weight * entry.weight)
+            ready = entry.state == ServerState.READY
+            view = ServerView(entry.cell, ready, settings.places(entry), link_kb, entry.ready_at)
+            if (old := known.get(entry.id)) and old.started_at == entry.ready_at:
+                view.last_success_at, view.last_failure_at = old.last_success_at, old.last_failure_at
+            self.servers[entry.id] = view
+        self.ready_count = sum(s.ready for s in self.servers.values())
         self.cells = {s.cell for s in self.servers.values()}
-        self.links = sum(s.kb for s in self.servers.values())
+        self.link_kb = sum(s.link_kb for s in self.servers.values())
 
-    def listed(self, now: float, lines: list[i.Server], others: bool, fresh: bool) -> None:
-        """The hall's lines of the list as it stands; `others`: it names ready servers elsewhere."""
-        self.hold(lines, True)
-        self.judge(now, others, fresh)
+    def on_list(self, now: float, listed: list[i.Server], others: bool, fresh: bool) -> None:
+        """Handles the zone's servers of a whole list; `others`: it names ready servers of other zones."""
+        self.update_servers(listed, True)
+        self.evaluate_list(now, others, fresh)
 
-    def judge(self, now: float, others: bool, fresh: bool) -> None:
-        """What the list says of the hall as a whole."""
-        plan, ready_now = self.plan, self.ready_now
+    def evaluate_list(self, now: float, others: bool, fresh: bool) -> None:
+        """Derives evidence about the zone as a whole from the list."""
+        settings, ready_count = self.settings, self.ready_count
         if fresh:
-            self.gone = ready_now == 0 and others
-            if not self.heard_list and ready_now:
-                self.since = self.came_at = now  # as usual, until somebody says otherwise
-            self.heard_list = True
-        if ready_now >= self.most or now - self.most_at > plan.spilling.forget_ms:
-            self.most, self.most_at = ready_now, now
+            self.unlisted = ready_count == 0 and others
+            if not self.list_received and ready_count:
+                self.since = self.first_seen_at = now  # up, unless other fronts report something else
+            self.list_received = True
+        if ready_count >= self.max_ready or now - self.max_ready_at > settings.timing.flap_memory_ms:
+            self.max_ready, self.max_ready_at = ready_count, now
 
-    def ready(self) -> int:
-        return self.ready_now
+    def ready_servers(self) -> int:
+        return self.ready_count
 
-    def links_kb(self) -> float:
-        return self.links
+    def total_link_kb(self) -> float:
+        return self.link_kb
 
-    def good(self, now: float, server: int) -> None:
+    def on_success(self, now: float, server: int) -> None:
         if known := self.servers.get(server):
-            known.good_at = self.good_at = now
+            known.last_success_at = self.last_success_at = now
 
-    def bad(self, now: float, server: int) -> None:
+    def on_failure(self, now: float, server: int) -> None:
         if known := self.servers.get(server):
-            known.bad_at = self.bad_at = now
+            known.last_failure_at = self.last_failure_at = now
 
-    def said(self, now: float, front: int, state: ZoneState, progress: float) -> None:
-        self.words[front] = (state, progress, now)
+    def on_report(self, now: float, front: int, state: ZoneState, progress: float) -> None:
+        self.reports[front] = (state, progress, now)
 
-    # what it comes to
+    # state
 
-    def failing(self, now: float) -> str:
-        """The signs of a loss that hold now, by this front's own sight; "": none."""
-        if self.gone:
-            return "the list names no ready server of it" if self.most else "the list has never named it"
-        span = 2 * self.plan.spilling.notice_ms
-        if self.bad_at <= now - span:
+    def loss_evidence(self, now: float) -> str:
+        """This front's own evidence of a loss, as a reason for operators; empty if there is none."""
+        if self.unlisted:
+            return "the list names no ready server of it" if self.max_ready else "the list has never named it"
+        span = 2 * self.settings.timing.notice_ms
+        if self.last_failure_at <= now - span:
             return ""
-        lately = [s for s in self.servers.values() if max(s.good_at, s.bad_at) > now - span]
-        bad = [s for s in lately if s.bad_at > s.good_at]
+        recent = [s for s in self.servers.values() if max(s.last_success_at, s.last_failure_at) > now - span]
+        failed = [s for s in recent if s.last_failure_at > s.last_success_at]
         racks = self.cells
-        bad_racks = {s.cell for s in bad}
-        alive = {s.cell for s in lately if s.good_at >= s.bad_at}
-        few = len(bad) < min(2, len(self.servers)) or len(bad_racks) < min(2, len(racks))
-        if few or len(bad) <= BAD_PART * len(lately) or len(alive) >= BAD_PART * len(racks):
+        failed_racks = {s.cell for s in failed}
+        live_racks = {s.cell for s in recent if s.last_success_at >= s.last_failure_at}
+        too_few = len(failed) < min(2, len(self.servers)) or len(failed_racks) < min(2, len(racks))
+        if (
+            too_few
+            or len(failed) <= FAILED_SHARE * len(recent)
+            or len(live_racks) >= FAILED_SHARE * len(racks)
+        ):
             return ""
-        return f"attempts failed on {len(bad)} servers of {len(bad_racks)} racks of {len(racks)}"
-
-    def others_say(self, now: float, states: tuple[ZoneState, ...]) -> bool:
-        """Most of those who have spoken lately, and enough of them."""
-        if now - self.counted_at >= VOTES_PART * self.plan.spilling.notice_ms:
-            self.counted_at, since = now, now - self.word_ms()
-            self.votes = Counter(s for s, _, at in self.words.values() if at > since)
-        fresh = self.votes.total()
-        return fresh >= VOTES_LEAST and 2 * sum(self.votes[s] for s in states) > fresh
-
-    def word_ms(self) -> float:
-        return WORD_NOTICES * self.plan.spilling.notice_ms
-
-    def look(self, now: float) -> StateChange | None:
-        """To be called each moment: the state that follows from what is seen."""
-        s = self.plan.spilling
-        why = self.failing(now)
-        seen = self.good_at > now - s.notice_ms
-        blind = not why and not seen and self.state is not ZoneState.RETURNING
-        if blind and self.others_say(now, (ZoneState.DARK,)):
-            why = "most other fronts have lost it"
-        self.bad_since = (now if self.bad_since is None else self.bad_since) if why else None
-        held = self.bad_since is not None and now - self.bad_since >= s.notice_ms
-        if self.order is OperatorOverride.HOLD:
+        return f"attempts failed on {len(failed)} servers of {len(failed_racks)} racks of {len(racks)}"
+
+    def majority_reports(self, now: float, states: tuple[ZoneState, ...]) -> bool:
+        """Whether most fronts with a recent report, and at least `MIN_VOTES`, report one of the states."""
+        if now - self.votes_counted_at >= VOTE_COUNT_NOTICES * self.settings.timing.notice_ms:
+            self.votes_counted_at, since = now, now - self.report_max_age_ms()
+            self.votes = Counter(s for s, _, at in self.reports.values() if at > since)
+        recent = self.votes.total()
+        return recent >= MIN_VOTES and 2 * sum(self.votes[s] for s in states) > recent
+
+    def report_max_age_ms(self) -> float:
+        return REPORT_NOTICES * self.settings.timing.notice_ms
+
+    def update(self, now: float) -> StateChange | None:
+        """Derives the state from the evidence. To be called on each tick."""
+        timing = self.settings.timing
+        reason = self.loss_evidence(now)
+        succeeded = self.last_success_at > now - timing.notice_ms
+        no_evidence = not reason and not succeeded and self.state is not ZoneState.RETURNING
+        if no_evidence and self.majority_reports(now, (ZoneState.DARK,)):
+            reason = "most other fronts have lost it"
+        self.evidence_since = (
+            (now if self.evidence_since is None else self.evidence_since) if reason else None
+        )
+        confirmed = self.evidence_since is not None and now - self.evidence_since >= timing.notice_ms
+        if self.override is OperatorOverride.HOLD:
             return (
-                self.turn(now, ZoneState.DARK, "held out by order")
+                self.change_state(now, ZoneState.DARK, "held out by order")
                 if self.state is not ZoneState.DARK
                 else None
             )
         if self.state is ZoneState.UP:
-            if why:
-                return self.turn(
-                    now, ZoneState.DARK if self.gone and not self.most else ZoneState.FAILING, why
+            if reason:
+                return self.change_state(
+                    now, ZoneState.DARK if self.unlisted and not self.max_ready else ZoneState.FAILING, reason
                 )
-            new = self.came_at is not None and now - self.came_at < 2 * s.notice_ms
-            if new and self.others_say(now, (ZoneState.DARK, ZoneState.RETURNING)):
-                return self.join_return(now)
-            if self.flaps and now - max(self.flap_at, self.since) > s.forget_ms:
-                self.flaps, self.flap_at = self.flaps - 1, now
+            new = self.first_seen_at is not None and now - self.first_seen_at < 2 * timing.notice_ms
+            if new and self.majority_reports(now, (ZoneState.DARK, ZoneState.RETURNING)):
+                return self.join_recovery(now)
+            if self.flaps and now - max(self.flapped_at, self.since) > timing.flap_memory_ms:
+                self.flaps, self.flapped_at = self.flaps - 1, now
         elif self.state is ZoneState.FAILING:
-            if held:
-                return self.turn(now, ZoneState.DARK, why)
-            if not why and now - self.since >= s.notice_ms:
-                return self.turn(now, ZoneState.UP, "the signs have passed")
+            if confirmed:
+                return self.change_state(now, ZoneState.DARK, reason)
+            if not reason and now - self.since >= timing.notice_ms:
+                return self.change_state(now, ZoneState.UP, "the signs have passed")
         elif self.state is ZoneState.DARK:
-            if not why and not self.gone and self.ready() and self.life(now):
-                return self.turn(now, ZoneState.RETURNING, f"{self.ready()} servers are there of {self.most}")
-        elif held and why:
-            self.flaps, self.flap_at = self.flaps + 1, now
-            return self.turn(now, ZoneState.DARK, why)
-        elif self.progress(now) >= 1.0 and self.warm(now):
-            return self.turn(now, ZoneState.UP, "the ramp is done")
+            if not reason and not self.unlisted and self.ready_servers() and self.has_recovered(now):
+                return self.change_state(
+                    now,
+                    ZoneState.RETURNING,
+                    f"{self.ready_servers()} servers are there of {self.max_ready}",
+                )
+        elif confirmed and reason:
+            self.flaps, self.flapped_at = self.flaps + 1, now
+            return self.change_state(now, ZoneState.DARK, reason)
+        elif self.progress(now) >= 1.0 and self.is_warm(now):
+            return self.change_state(now, ZoneState.UP, "the ramp is done")
         return None
 
-    def life(self, now: float) -> bool:
-        """Signs of life since it went dark: servers that started since, or one that took a trial."""
-        new = any(s.ready and s.began > 0 and s.bad_at <= s.good_at for s in self.servers.values())
-        asked = any(s.bad_at > float("-inf") for s in self.servers.values())
-        return self.good_at > self.since or (new and not asked) or not asked
+    def has_recovered(self, now: float) -> bool:
+        """Whether servers started since the zone went dark, or one accepted a probe."""
+        restarted = any(
+            s.ready and s.started_at > 0 and s.last_failure_at <= s.last_success_at
+            for s in self.servers.values()
+        )
+        attempted = any(s.last_failure_at > float("-inf") for s in self.servers.values())
+        return self.last_success_at > self.since or (restarted and not attempted) or not attempted
 
-    def join_return(self, now: float) -> StateChange:
-        """A front that has just come: the others know how far the return is."""
-        fresh = [(s, p) for s, p, at in self.words.values() if now - at < self.word_ms()]
-        self.head_start = min([p for s, p in fresh if s is ZoneState.RETURNING], default=0.0)
-        return self.turn(now, ZoneState.RETURNING, "other fronts say that it returns")
+    def join_recovery(self, now: float) -> StateChange:
+        """This front has just started: takes the progress of the recovery from the other fronts."""
+        recent = [(s, p) for s, p, at in self.reports.values() if now - at < self.report_max_age_ms()]
+        self.initial_progress = min([p for s, p in recent if s is ZoneState.RETURNING], default=0.0)
+        return self.change_state(now, ZoneState.RETURNING, "other fronts say that it returns")
 
-    def turn(self, now: float, state: ZoneState, why: str) -> StateChange:
+    def change_state(self, now: float, state: ZoneState, reason: str) -> StateChange:
         if state is ZoneState.RETURNING:
-            self.ramp_from = now - self.head_start * self.ramp_ms()
-            self.head_start = 0.0
+            self.ramp_started_at = now - self.initial_progress * self.ramp_ms()
+            self.initial_progress = 0.0
         if state is ZoneState.DARK:
-            self.trials, self.trial_at = 0, now
+            self.probe_count, self.probed_at = 0, now
         if state in (ZoneState.UP, ZoneState.RETURNING):
-            self.bad_since = None
-        self.state, self.since, self.why, self.came_at = state, now, why, None
-        return StateChange(self.plan.zones[self.hall], state, why)
+            self.evidence_since = None
+        self.state, self.since, self.reason, self.first_seen_at = state, now, reason, None
+        return StateChange(self.settings.zones[self.zone], state, reason)
 
-    # the return
+    # recovery
 
-    def slowness(self) -> float:
-        """Doubles with each flap, up to the stated bound."""
-        return float(min(self.plan.spilling.slowest, 2.0 ** min(30, self.flaps)))
+    def slowdown(self) -> float:
+        """Factor of the ramp's length: doubles with each flap, up to the bound of the settings."""
+        return float(min(self.settings.timing.max_slowdown, 2.0 ** min(30, self.flaps)))
 
     def ramp_ms(self) -> float:
-        return self.plan.spilling.ramp_ms * self.slowness()
+        return self.settings.timing.ramp_ms * self.slowdown()
 
     def progress(self, now: float) -> float:
-        """Of the return, 0 to 1; 1 when it is up."""
+        """Progress of the recovery, 0 to 1; 1 when the zone is up."""
         if self.state is ZoneState.UP or self.state is ZoneState.FAILING:
             return 1.0
         if self.state is ZoneState.DARK:
             return 0.0
-        return min(1.0, max(0.0, (now - self.ramp_from) / max(1.0, self.ramp_ms())))
+        return min(1.0, max(0.0, (now - self.ramp_started_at) / max(1.0, self.ramp_ms())))
 
     def set_up_rate(self, now: float) -> float:
-        """Set-ups a ms that all fronts together may send: what its servers can take if each is as warm as it
-        is by its start, and no warmer than the ramp is far (DESIGN, cold servers: places over the warm time,
-        times the warmth)."""
-        done, warm = self.progress(now), max(1.0, self.plan.warm_ms)
-        taken = sum(
-            s.places * max(self.plan.cold_from, min(done, self.warmth(now, s)))
+        """Set-ups per ms that all fronts together may send to the zone.
+
+        Each server takes its places over the warm-up time, times its warmth (see the rule for cold servers in
+        DESIGN). The warmth follows from its start and is no greater than the progress of the ramp.
+        """
+        progress, warm_ms = self.progress(now), max(1.0, self.settings.warm_ms)
+        places = sum(
+            s.places * max(self.settings.cold_from, min(progress, self.warmth(now, s)))
             for s in self.servers.values()
             if s.ready
         )
-        return taken / warm / SLOW_PACE
+        return places / warm_ms / RATE_SAFETY_FACTOR
 
-    def warmth(self, now: float, server: Server) -> float:
-        """By its start, as the list tells it."""
-        if server.began <= 0:
+    def warmth(self, now: float, server: ServerView) -> float:
+        """Warmth of a server, 0 to 1, by its start in the list."""
+        if server.started_at <= 0:
             return 1.0
-        return min(1.0, max(0.0, now - server.began) / max(1.0, self.plan.warm_ms))
+        return min(1.0, max(0.0, now - server.started_at) / max(1.0, self.settings.warm_ms))
 
-    def warm(self, now: float) -> bool:
-        """Most of the servers that are there: a single one that has just started holds no hall back."""
+    def is_warm(self, now: float) -> bool:
+        """Whether most ready servers are warm: one that has just started does not delay the zone."""
         ready = [s for s in self.servers.values() if s.ready]
         return 2 * sum(self.warmth(now, s) >= 1.0 for s in ready) > len(ready)
 
-    def trial_due(self, now: float) -> bool:
-        """One session may try a dark hall whose servers are listed; less often with each that failed."""
-        wait = self.plan.spilling.trial_ms * min(self.plan.spilling.slowest, 2.0 ** min(30, self.trials))
-        wait *= self.slowness()
-        listed = self.state is ZoneState.DARK and self.ready() > 0 and self.order is OperatorOverride.NONE
-        return listed and now - self.trial_at >= wait
+    def probe_due(self, now: float) -> bool:
+        """Whether one session may probe a dark zone whose servers are listed; backs off with each probe."""
+        wait_ms = self.settings.timing.probe_interval_ms * min(
+            self.settings.timing.max_slowdown, 2.0 ** min(30, self.probe_count)
+        )
+        wait_ms *= self.slowdown()
+        can_probe = (
+            self.state is ZoneState.DARK
+            and self.ready_servers() > 0
+            and self.override is OperatorOverride.NONE
+        )
+        return can_probe and now - self.probed_at >= wait_ms
 
-    def tried(self, now: float) -> None:
-        self.trial_at, self.trials = now, self.trials + 1
+    def record_probe(self, now: float) -> None:
+        self.probed_at, self.probe_count = now, self.probe_count + 1
--- a/lemonhall/zones/settings.py
+++ b/lemonhall/zones/settings.py
@@ -1,4 +1,4 @@
-"""What the settings say of halls that are lost and come back, as the machine goes by it. Pure."""
+"""Settings of the failover between zones. Pure."""
 
 from __future__ import annotations
 
@@ -13,9 +13,11 @@
 
 @dataclass(frozen=True)
 class Tier:
-    """Sessions of `hall` may take `share` of the links of `to`. Tiers of a hall stand in their order.
+    """Sessions of the zone `hall` may use `share` of the links of the zone `to`. The tiers of a zone are
+    tried in their order.
 
-    `overflow`: also while `hall` is up, when it is full."""
+    `overflow`: also while `hall` is up, when it is full. `ZoneSettings.digest` contains the names of the
+    class and its fields. """
 
     hall: int
     to: int
@@ -25,7 +27,10 @@
 
 @dataclass(frozen=True)
 class Intake:
-    """What a hall takes in from all others: part of its links, set-ups a second; 0: no limit of that kind."""
+    """Limits on what a zone takes in from all others: share of its links, and set-ups/s; 0: no such limit.
+
+    `ZoneSettings.digest` contains the names of the class and its fields.
+    """
 
     hall: int
     links: float
@@ -34,20 +39,22 @@
 
 @dataclass(frozen=True)
 class FailoverTiming:
-    """How the loss and the return of a hall are told. Times in ms.
+    """Times of detecting the loss and the recovery of a zone, in ms.
 
-    `notice`: evidence must hold so long; `trial`: a dark hall is tried this often; `ramp`: a return takes so
-    long; `slowest`: and after flaps at most so many times that; `forget`: a flap is forgotten after."""
+    `notice_ms`: time that evidence must hold; `probe_interval_ms`: interval of probes to a dark zone;
+    `ramp_ms`: length of a recovery; `max_slowdown`: bound of the factor by which flaps lengthen it;
+    `flap_memory_ms`: time after which a flap no longer counts.
+    """
 
     notice_ms: float = 3000.0
-    trial_ms: float = 2000.0
+    probe_interval_ms: float = 2000.0
     ramp_ms: float = 30_000.0
-    slowest: float = 8.0
-    forget_ms: float = 300_000.0
+    max_slowdown: float = 8.0
+    flap_memory_ms: float = 300_000.0
 
 
 class Terms(Protocol):
-    """What is read of the terms of the service."""
+    """The fields that are read of the service's terms."""
 
     @property
     def halls(self) -> tuple[str, ...]: ...
@@ -75,15 +82,13 @@
 
 @dataclass(frozen=True)
 class ZoneSettings:
-    """`limits`: of each place the hall that takes in, and the share of its links: tiers first, then intakes.
-
-    Raises nothing: what cannot be is refused with the settings."""
+    """Settings of all zones. Nothing is validated here: invalid settings are refused when they are loaded."""
 
     zones: tuple[str, ...]
     classes: tuple[i.SessionClass, ...]
     tiers: tuple[Tier, ...]
     intakes: tuple[Intake, ...]
-    spilling: FailoverTiming
+    timing: FailoverTiming
     no_spill: frozenset[int]
     ladder_kb: tuple[float, ...]
     places_by_kind: tuple[int, ...]
@@ -98,7 +103,7 @@
             classes=terms.classes,
             tiers=tuple(Tier(t.hall, t.to, t.share, t.overflow) for t in terms.spills),
             intakes=tuple(Intake(t.hall, t.links, t.per_s) for t in terms.takes_in),
-            spilling=FailoverTiming(
+            timing=FailoverTiming(
                 terms.spilling.notice_ms,
                 terms.spilling.trial_ms,
                 terms.spilling.ramp_ms,
@@ -115,15 +120,16 @@
 
     @cached_property
     def limits(self) -> tuple[tuple[int, float], ...]:
+        """The zone that takes sessions in and the share of its links, of each tier and then each intake."""
         return tuple([(t.to, t.share) for t in self.tiers] + [(t.hall, t.links or 1.0) for t in self.intakes])
 
     @cached_property
     def digest(self) -> int:
-        """Parts are of one whole only among fronts that go by the same tiers and intakes."""
+        """Fronts share limits only with fronts that have the same tiers and intakes."""
         return zlib.crc32(repr((self.zones, self.tiers, self.intakes)).encode())
 
     def limits_of(self, tier: Tier) -> tuple[int, ...]:
-        """Places of the limits that a session under a tier counts against."""
+        """Indexes of the limits that a session under a tier counts against."""
         own = [self.tiers.index(tier)]
         return tuple(own + [len(self.tiers) + n for n, t in enumerate(self.intakes) if t.hall == tier.to])
 
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -23,7 +23,7 @@
 from lemonhall.model.played.world import World
 from tests.front.world import TERMS
 from tests.front.world import World as Front
-from tests.limits.fleet import PERIOD, exact, plan
+from tests.limits.fleet import PERIOD, exact_limit, settings_of
 
 Build = Callable[..., Front]
 
@@ -75,7 +75,7 @@
 
 
 def test_desks_share_a_limit_and_say_so() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(4)))
     for ask in range(1, 20):
         one.ask(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
@@ -87,7 +87,7 @@
 
 
 def test_a_session_that_moves_keeps_its_room() -> None:
-    loop, clock, (one, other) = desks(plan(exact(2)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(2)))
     assert not one.ask(1, 0, 0, "/a", 99, "").refused_by and not other.ask(1, 0, 0, "/a", 99, "").refused_by
     one.park(1, "s")
     one.over(1)  # its ask is over, the session is not
@@ -101,13 +101,13 @@
 
 
 def test_one_that_is_relieved_lets_nothing_in_and_its_successor_what_is_left() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(4)))
     for ask in range(1, 20):
         one.ask(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
     state = one.machine.escrow.handover_state()
-    made = FleetLimits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
+    made = FleetLimits(settings_of(exact_limit(4)), 0, 2, 0, 9, Random(9), clock.at)
     made.restore_state(clock.at, state)
     assert one.ask(50, 0, 0, "/a", 99, "").refused_by == "changing guard"
     assert made.admit(clock.at, 51, 0, 0, "/a").refused_by == "seats"  # what stands there counts
@@ -200,12 +200,12 @@
     w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
     client, _ = w.playing("/browse/a")
     machine = w.daemon.asks.limits.machine
-    room = next(iter(machine.escrow.local_limits.values()))
-    room.parts.own = 0  # as if it had been lent by another
-    machine.escrow.record_expired((room.limit.ident, 0), 1)
+    local = next(iter(machine.escrow.local_limits.values()))
+    local.share.own = 0  # as if it had been lent by another
+    machine.escrow.record_expired((local.limit.limit_id, 0), 1)
     w.until(lambda: client.byes)
     w.until(lambda: not w.daemon.asks.open)
-    assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
+    assert w.daemon.counts["ended_by_limit"] == 1 and local.share.used == 0
 
 
 def test_room_is_held_until_an_attempt_that_is_out_has_ended(world: Build) -> None:
@@ -234,7 +234,7 @@
 
 
 def test_limits_are_shown_of_a_front_and_of_the_fleet() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(4)))
     for ask in range(1, 12):
         one.ask(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
