--- a/lemonhall/config/rules.py
+++ b/lemonhall/config/rules.py
@@ -12,8 +12,8 @@
 from lemonhall.config.routing import BadPattern, compile_pattern
 from lemonhall.config.units import show
 from lemonhall.limits.settings import (
-    MAX_CLOCK_DRIFT,
     LEASE_PERIODS,
+    MAX_CLOCK_DRIFT,
     MAX_LIMITS,
     MAX_PERIOD_MS,
     lease_expiry_ms,
--- a/lemonhall/limits/__init__.py
+++ b/lemonhall/limits/__init__.py
@@ -1,7 +1,7 @@
 """Limits that all fronts hold together without a coordinator. No I/O.
 
-Exact limits use escrow with leases, rate limits on set-ups use shares of the rate, and soft limits use gossiped
-counters.
+Exact limits use escrow with leases, rate limits on set-ups use shares of the rate, and soft limits use
+gossiped counters.
 """
 
 from lemonhall.limits.escrow import OutgoingMessage
--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -434,10 +434,10 @@
         if message.to_life != self.incarnation:
             self.pending_replies.add(sender)  # it does not know this incarnation yet
             return
-        if message.counter_stamp <= peer.stamp or message.echo > self.stamp:
+        if message.stamp <= peer.stamp or message.echo > self.stamp:
             self.counts["old_words"] += 1
             return
-        peer.stamp, peer.received_at = message.counter_stamp, now
+        peer.stamp, peer.received_at = message.stamp, now
         peer.echoed = max(peer.echoed, message.echo)
         self.apply_peer_settings(now, sender, peer, message)
         listed: dict[Key, Any] = {
@@ -626,7 +626,7 @@
             state = State.FromString(data)
         except DecodeError as error:
             raise ValueError(f"limits cannot be read: {error}") from error
-        self.incarnation, self.stamp, self.grant_counter[0] = state.life, state.counter_stamp, state.numbers
+        self.incarnation, self.stamp, self.grant_counter[0] = state.life, state.stamp, state.numbers
         self.open_at, self.unreported = state.open_at, set(state.unheard)
         for p in state.peers:
             peer = self.peers.setdefault(p.front, Peer())
--- a/lemonhall/zones/machine.py
+++ b/lemonhall/zones/machine.py
@@ -9,7 +9,7 @@
 there and nowhere else, unless a tier allows what does not fit to overflow. While the zone is lost or
 recovering, a session may spill over to the first tier whose zone is up and under whose limits this front
 holds enough units. The units are reserved before the decision and released when the session has ended or
-plays in its home zone. """
+plays in its home zone."""
 
 from __future__ import annotations
 
@@ -488,11 +488,11 @@
         """Takes over stored state. Raises `ValueError` if it is unreadable.
 
         Of state with other settings only the overrides are taken: its loans belong to other limits, and this
-        is a new incarnation. """
+        is a new incarnation."""
         try:
             state = Kept.FromString(data)
         except DecodeError as error:
-            raise ValueError(f"stored state of zones cannot be read: {error}") from error
+            raise ValueError(f"stored state of halls cannot be read: {error}") from error
         for order in state.orders:
             if order.hall < len(self.monitors) and order.what in (
                 OperatorOverride.NONE,
--- a/lemonhall/zones/monitor.py
+++ b/lemonhall/zones/monitor.py
@@ -8,7 +8,7 @@
 Evidence of a loss is a fresh list that names no ready server of the zone but names others; failed attempts on
 most of its racks and on most of the servers seen lately, with no success since; or a loss reported by most
 other fronts where this front has no evidence of its own. The loss of one rack or the deployment of a few
-servers is not the loss of a zone, and an empty or outdated list is no evidence. """
+servers is not the loss of a zone, and an empty or outdated list is no evidence."""
 
 from __future__ import annotations
 
--- a/lemonhall/zones/settings.py
+++ b/lemonhall/zones/settings.py
@@ -17,7 +17,7 @@
     tried in their order.
 
     `overflow`: also while `hall` is up, when it is full. `ZoneSettings.digest` contains the names of the
-    class and its fields. """
+    class and its fields."""
 
     hall: int
     to: int
--- a/tests/limits/fleet.py
+++ b/tests/limits/fleet.py
@@ -40,7 +40,7 @@
     """`now` is true time, `clock_rates` are the rates of the fronts' clocks.
 
     `playing` holds the sessions that the servers see: a session that a front has started plays until the
-    front ends it, also while the front is paused. """
+    front ends it, also while the front is paused."""
 
     def __init__(
         self, settings: LimitSettings, fronts: int, seed: int = 1, clock_rates: tuple[float, ...] = ()
--- a/tests/limits/test_exact.py
+++ b/tests/limits/test_exact.py
@@ -343,7 +343,7 @@
 # leases
 
 
-def borrowed(session_grace_ms: float = 0.0, fronts: int = 3) -> Fleet:
+def fleet_with_borrowed_units(session_grace_ms: float = 0.0, fronts: int = 3) -> Fleet:
     """A fleet where all units are in use at front 0."""
     fleet = Fleet(
         settings_of(exact_limit(6, session_grace_ms=session_grace_ms)),
@@ -356,7 +356,7 @@
 
 
 def test_a_partitioned_borrower_ends_its_sessions_before_the_units_are_used_again() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     cut = frozenset(frozenset((0, n)) for n in (1, 2))
     began, reused_at = fleet.now, 0.0
     for _ in range(400):
@@ -373,7 +373,7 @@
 
 
 def test_sessions_with_a_grace_time_outlast_the_lease_and_are_counted() -> None:
-    fleet = borrowed(session_grace_ms=3000.0)
+    fleet = fleet_with_borrowed_units(session_grace_ms=3000.0)
     cut = frozenset(frozenset((0, n)) for n in (1, 2))
     fleet.run(20, cut=cut)
     assert len(fleet.playing[0]) == 6 and not fleet.request(1)
@@ -387,7 +387,7 @@
 
 
 def test_a_front_paused_before_a_set_up_does_not_send_it_on_an_expired_lease() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     for _ in range(3):
         fleet.end(0)
     front, clock = fleet.fronts[0], fleet.clock(0)
@@ -400,14 +400,14 @@
 
 
 def test_units_of_a_killed_borrower_return_with_its_first_message() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     fleet.restart(0)
     fleet.run(3)
     assert sum(fleet.request(n) for n in (1, 1, 2, 2)) == 4
 
 
 def test_a_killed_lender_counts_the_units_that_it_lent() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     fleet.restart(1)
     assert not fleet.request(1)
     fleet.run(6)
@@ -422,7 +422,7 @@
 
 
 def test_a_successor_continues_with_the_loans_of_its_predecessor() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     predecessor = fleet.fronts[0]
     successor = fleet.start_front(0)
     successor.restore_state(fleet.clock(0), predecessor.escrow.handover_state())
@@ -437,7 +437,7 @@
 
 
 def test_a_front_that_restores_sessions_without_its_loans_ends_those_above_its_share() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     successor = fleet.start_front(0)
     successor.escrow.fresh = False
     for request_id in fleet.playing[0]:
@@ -455,7 +455,7 @@
 
 
 def test_a_limit_lowered_below_its_use_admits_nothing_until_the_use_fits() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     less = settings_of(exact_limit(3))
     for front in fleet.fronts:
         front.apply_settings(less)
@@ -491,7 +491,7 @@
 
 
 def test_the_share_of_a_forgotten_front_goes_to_the_others_until_it_returns() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     cut = frozenset(frozenset((0, n)) for n in (1, 2))
     assert "speaks" in fleet.fronts[1].escrow.forget_front(fleet.clock(1), 0)
     fleet.paused.add(0)
@@ -526,7 +526,7 @@
 
 
 def test_unreadable_or_false_messages_cost_at_most_what_was_lent() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     front = fleet.fronts[1]
     for data in (b"\xff\xff", b"", bytes(1200), b"\x09" + b"\x01" * 40):
         front.receive(fleet.clock(1), 0, data)
@@ -561,7 +561,7 @@
 
 
 def test_fronts_killed_at_once_use_their_shares_when_all_have_reported() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     for number in range(3):
         fleet.restart(number)
     assert not any(fleet.request(number) for number in range(3))
@@ -571,7 +571,7 @@
 
 
 def test_a_front_whose_clock_was_set_back_still_takes_a_later_incarnation() -> None:
-    fleet = borrowed()
+    fleet = fleet_with_borrowed_units()
     fleet.restart(0)
     fleet.fronts[0].escrow.incarnation = 0  # its wall clock is an hour behind
     fleet.run(4)
