--- a/lemonhall/front/guarding/guard.py
+++ b/lemonhall/front/guarding/guard.py
@@ -124,7 +124,7 @@
             "list": handover.text(d.list.list.snapshot().SerializeToString()) if d.list.list.version else "",
             "born_ms": d.list.list.born_ms,
             "clock": [d.start_wall_ms, d.start],
-            "fleet": list(d.membership.share.told) if d.membership else None,
+            "fleet": list(d.membership.share.reported) if d.membership else None,
             "limits": handover.text(d.asks.limits.machine.escrow.handover_state()) if d.asks.limits else "",
         }
         assert self.channel
--- a/lemonhall/front/keeping/keeper.py
+++ b/lemonhall/front/keeping/keeper.py
@@ -169,10 +169,10 @@
         draw = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            why = f"others heard of it up to commit {later.count}, it has {self.mark.count}"
+            why = f"others heard of it up to commit {later.commit_count}, it has {self.mark.commit_count}"
             names = (("list", LIST), ("learned", MEMORY), ("learned", RETURN))
             kept = [(t, k, v, ANYTHING) for t, k in names if (v := self.store.raw(t, k)) is not None]
-            aside = self.store.renew("older", draw, max(int(self.wall() * 1000), later.made_ms + 1))
+            aside = self.store.renew("older", draw, max(int(self.wall() * 1000), later.created_ms + 1))
             self.begin()
             self.store.commit(kept)
             means = f"kept as {aside.name}; "
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -349,7 +349,7 @@
     def seen(self, view: MembershipView) -> None:
         """Another view of who is there."""
         if self.asks.limits and self.membership:
-            self.asks.limits.view(view, self.membership.machine.conflict)
+            self.asks.limits.view(view, self.membership.machine.duplicate_number)
         if self.asks.halls:
             self.asks.halls.view(view)
         if self.asks.returning:
--- a/lemonhall/limits/soft_counters.py
+++ b/lemonhall/limits/soft_counters.py
@@ -14,8 +14,8 @@
 
 @dataclass(frozen=True, order=True)
 class CounterEntry:
-    """The use of one front. `counter_stamp`: by that front's clock; `as_of`: the earliest time at which it was
-    true, by this front's clock."""
+    """The use of one front. `counter_stamp`: by that front's clock; `as_of`: the earliest time at which
+    it was true, by this front's clock."""
 
     incarnation: int
     counter_stamp: int
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -146,7 +146,7 @@
 
     @property
     def store_trust(self) -> StoreTrust:
-        return self.witnesses.trust if self.checkpoint_query else StoreTrust.SOUND
+        return self.checkpoint_query.trust if self.checkpoint_query else StoreTrust.SOUND
 
     # what is usual
 
--- a/tests/zones/test_monitor.py
+++ b/tests/zones/test_monitor.py
@@ -130,8 +130,10 @@
 def test_a_held_zone_stays_dark_until_it_is_released() -> None:
     monitor = monitor_with()
     monitor.override = OperatorOverride.HOLD
-    assert run(monitor, 1000.0, 1000.0 + 5 * NOTICE_MS) == [ZoneState.DARK]
-    assert monitor.reason == "held out by order"
+    assert (
+        run(monitor, 1000.0, 1000.0 + 5 * NOTICE_MS) == [ZoneState.DARK]
+        and monitor.reason == "held out by order"
+    )
     assert not monitor.probe_due(1e6)
     monitor.override = OperatorOverride.NONE
     assert run(monitor, 7000.0, 7000.0 + NOTICE_MS) == [ZoneState.RETURNING]
@@ -153,8 +155,9 @@
         assert monitor.update(now) is None
         now += 50
     gaps = [b - a for a, b in zip(probes, probes[1:], strict=False)]
-    assert gaps == sorted(gaps)
-    assert gaps[-1] == pytest.approx(4 * ZONE_SETTINGS.timing.probe_interval_ms, abs=100)
+    assert gaps == sorted(gaps) and gaps[-1] == pytest.approx(
+        4 * ZONE_SETTINGS.timing.probe_interval_ms, abs=100
+    )
     monitor.on_success(now, 1)
     assert run(monitor, now, now + 3 * NOTICE_MS)[:1] == [ZoneState.RETURNING]
 
