--- a/lemonhall/config/settings.py
+++ b/lemonhall/config/settings.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Tier:
+class SpillTier:
     """Sessions of `hall` may take `share` of the links of `to`; tiers of one hall stand in their order."""
 
     hall: int
@@ -89,7 +89,7 @@
     switch_cost_s: float
     may_probe: bool
     may_tell_peers: bool
-    spills: tuple[Tier, ...] = ()
+    spills: tuple[SpillTier, ...] = ()
     takes_in: tuple[TakesIn, ...] = ()
     spilling: SpillTimes = SpillTimes()
     no_spill: frozenset[int] = frozenset()  # classes whose sessions stay in their hall
@@ -389,7 +389,7 @@
         may_probe=value("allow", "probe"),
         may_tell_peers=value("allow", "peers"),
         spills=tuple(
-            Tier(names["hall"].index(s.name), names["hall"].index(s["to"]), s["share"], s["overflow"])
+            SpillTier(names["hall"].index(s.name), names["hall"].index(s["to"]), s["share"], s["overflow"])
             for s in top(typed, "spill")
         ),
         takes_in=tuple(
