--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/beside.py
@@ -67,7 +67,7 @@
             s.index,
             s.fronts,
             Random(SystemRandom().getrandbits(64)),
-            PhaseTimeouts(period=s.members.period_ms) if s.members else PhaseTimeouts(),
+            PhaseTimeouts(period_ms=s.members.period_ms) if s.members else PhaseTimeouts(),
             terms.max_pause_ms or PAUSE_MS,
             (lambda: self.front.keeper.mark if self.front.keeper else None),
             sum(t.quota_per_s for t in terms.tenants),
--- a/lemonhall/model/played/fronts.py
+++ b/lemonhall/model/played/fronts.py
@@ -183,7 +183,7 @@
             self.index,
             len(day.fronts),
             Random(f"{self.world.seed}/{self.index}/{self.life}"),
-            PhaseTimeouts(period=PERIOD_MS),
+            PhaseTimeouts(period_ms=PERIOD_MS),
             terms.max_pause_ms or MOST_PAUSE_MS,
             quota_per_s=sum(t.quota_per_s for t in terms.tenants),
         )
--- a/lemonhall/recovery/__init__.py
+++ b/lemonhall/recovery/__init__.py
@@ -1,4 +1,5 @@
-"""Coming back after many fronts were restarted at once, or what they had stored is lost. No I/O, no clock."""
+"""Recovery of a front after many fronts restarted at once or their stored state was lost. No I/O, no
+clock."""
 
 from lemonhall.recovery.admission import AdmissionResult
 from lemonhall.recovery.checkpoints import StoreCheckpoint, StoreTrust
--- a/lemonhall/recovery/admission.py
+++ b/lemonhall/recovery/admission.py
@@ -1,10 +1,9 @@
-"""Who is asked for now, who waits a little, who is told to come again, while a front comes back. Pure.
+"""Admission control while a front recovers: which requests proceed, wait, or are told to retry later. Pure.
 
-Everybody whom a killed front served comes again within a second or two. A bucket of tokens lets through as
-many as the plan has room for, the worthiest first; what may still be in time waits; the others are told at
-once when their turn would be, so that they do not come together again. Each wait has an end: part of the
-time that the request has.
-"""
+All viewers of a killed front reconnect within a second or two. A token bucket admits as many requests as the
+fleet's rate allows, highest worth first; requests that may still be admitted in time wait; the others are at
+once told when to retry, each at another time, so that they do not return together. Each wait ends after a
+share of the time that the request has left. """
 
 from __future__ import annotations
 
@@ -15,113 +14,122 @@
 
 from lemonhall.recovery.rates import SPAN_S
 
-HOLD_PART = 0.6  # of the time that a request has: the rest is for its attempts
-EASE_MS = 1000.0  # past its end the pace doubles each so often: it cannot last, whatever is asked
+MAX_WAIT_SHARE = 0.6  # of the time that a request has left; the rest is for its attempts
+RATE_DOUBLING_MS = 1000.0  # after its end the rate limit doubles at this interval, so it cannot last
 SPAN_MS = 1000 * SPAN_S
-SPREAD = 0.5  # a pause that cannot name a turn is drawn from this part of the longest on
+RETRY_JITTER = 0.5  # a retry time beyond the maximum is drawn from this share of the maximum upwards
 
 
 @dataclass(frozen=True)
 class AdmissionResult:
-    """An ask that may go on now (`pause_ms` None), or is to come again after that."""
+    """A request that proceeds now (`retry_after_ms` is None) or has to retry after that time."""
 
     request_id: int
     retry_after_ms: float | None = None
 
 
 @dataclass(frozen=True)
-class Held:
-    number: int
+class WaitingRequest:
+    request_id: int
     worth: float
     since: float
     until: float
 
 
-class Gate:
-    """`ask` and `take` give what becomes of asks; `due` says when `take` has something. Times in ms."""
+class AdmissionGate:
+    """`admit` and `poll` return results of requests; `next_due_at` is when to call `poll`. Times in ms."""
 
-    def __init__(self, random: Random, pause_most_ms: float) -> None:
-        self.random, self.pause_most = random, pause_most_ms
+    def __init__(self, random: Random, max_retry_ms: float) -> None:
+        self.random, self.max_retry_ms = random, max_retry_ms
         self.rate_per_s = inf
-        self.shut = False  # nobody is let through yet
-        self.eased_from = inf  # from when on the pace no longer stands
-        self.tokens, self.at = 1.0, 0.0
-        self.waiting: dict[int, Held] = {}
-        self.order: list[tuple[float, float, int]] = []
-        self.turn = 0.0  # until when turns have been given away
-        self.strained_at = -inf  # when somebody last had waited for long, or was told to come again
+        self.closed = False  # no request is admitted yet
+        self.rate_ends_at = inf  # from then on the rate doubles
+        self.tokens, self.updated_at = 1.0, 0.0
+        self.waiting: dict[int, WaitingRequest] = {}
+        self.queue: list[tuple[float, float, int]] = []
+        self.last_slot_at = 0.0  # the latest retry time that has been assigned
+        self.strained_at = -inf  # when a request last had waited for long or was told to retry
         self.counts = {"held": 0, "paced": 0, "told_to_wait": 0}
 
     def rate(self, now: float) -> float:
-        over = now - self.eased_from
-        return self.rate_per_s if over <= 0 else self.rate_per_s * 2.0 ** min(60.0, over / EASE_MS)
+        """The rate limit in requests/s."""
+        over_ms = now - self.rate_ends_at
+        return (
+            self.rate_per_s
+            if over_ms <= 0
+            else self.rate_per_s * 2.0 ** min(60.0, over_ms / RATE_DOUBLING_MS)
+        )
 
     def fill(self, now: float) -> None:
-        passed = max(0.0, now - self.at) / 1000
-        self.at = max(self.at, now)
+        passed_s = max(0.0, now - self.updated_at) / 1000
+        self.updated_at = max(self.updated_at, now)
         rate = self.rate(now)
         if rate == inf:
             self.tokens = inf
-        elif not self.shut:  # what was not used while nobody could go does not come in one go afterwards
-            self.tokens = min(max(1.0, rate * SPAN_S), self.tokens + passed * rate)
+        elif not self.closed:  # no tokens collect while the gate is closed, so there is no burst afterwards
+            self.tokens = min(max(1.0, rate * SPAN_S), self.tokens + passed_s * rate)
 
-    def calm(self, now: float, for_ms: float) -> bool:
-        """Whether lately nobody has waited for long or been told to come again: the pace does not bind."""
-        if any(now - h.since > SPAN_MS for h in self.waiting.values()):
+    def is_calm(self, now: float, for_ms: float) -> bool:
+        """Whether for that time no request waited for long or was told to retry: the rate does not bind."""
+        if any(now - w.since > SPAN_MS for w in self.waiting.values()):
             self.strained_at = now
         return now - self.strained_at >= for_ms
 
-    def admit(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
-        """None: it waits, and `take` will say."""
+    def admit(self, now: float, request_id: int, worth: float, left_ms: float) -> AdmissionResult | None:
+        """Returns None if the request waits; `poll` returns its result later."""
         self.fill(now)
-        if not (self.shut or self.waiting) and self.tokens >= 1:
+        if not (self.closed or self.waiting) and self.tokens >= 1:
             self.tokens -= 1
-            return AdmissionResult(number)
-        hold = HOLD_PART * left_ms
-        ahead = sum(h.worth >= worth for h in self.waiting.values())
-        if ahead + 1 > max(1.0, self.rate(now) * hold / 1000):
-            return self.later(now, number)
+            return AdmissionResult(request_id)
+        wait_ms = MAX_WAIT_SHARE * left_ms
+        ahead = sum(w.worth >= worth for w in self.waiting.values())
+        if ahead + 1 > max(1.0, self.rate(now) * wait_ms / 1000):
+            return self.defer(now, request_id)
         self.counts["held"] += 1
-        self.waiting[number] = Held(number, worth, now, now + hold)
-        heapq.heappush(self.order, (-worth, now + hold, number))
+        self.waiting[request_id] = WaitingRequest(request_id, worth, now, now + wait_ms)
+        heapq.heappush(self.queue, (-worth, now + wait_ms, request_id))
         return None
 
-    def later(self, now: float, number: int) -> AdmissionResult:
-        """Turns are given away one after the other, behind those that wait."""
+    def defer(self, now: float, request_id: int) -> AdmissionResult:
+        """Assigns the next retry time after those of the waiting requests and of earlier deferred ones."""
         self.strained_at = now
         self.counts["told_to_wait"] += 1
-        gap = 1000 / self.rate(now)
-        self.turn = max(self.turn, now + len(self.waiting) * gap) + gap
-        pause = self.turn - now
-        if pause > self.pause_most:
-            pause = self.pause_most * (SPREAD + (1 - SPREAD) * self.random.random())
-        return AdmissionResult(number, pause)
-
-    def drop(self, number: int) -> bool:
-        """It is not wanted any more. Whether it waited."""
-        return self.waiting.pop(number, None) is not None
-
-    def take(self, now: float) -> list[AdmissionResult]:
-        """Whoever may go by now, the worthiest first, and whose wait is over."""
+        gap_ms = 1000 / self.rate(now)
+        self.last_slot_at = max(self.last_slot_at, now + len(self.waiting) * gap_ms) + gap_ms
+        retry_after_ms = self.last_slot_at - now
+        if retry_after_ms > self.max_retry_ms:
+            retry_after_ms = self.max_retry_ms * (RETRY_JITTER + (1 - RETRY_JITTER) * self.random.random())
+        return AdmissionResult(request_id, retry_after_ms)
+
+    def cancel(self, request_id: int) -> bool:
+        """Drops a request. Returns whether it was waiting."""
+        return self.waiting.pop(request_id, None) is not None
+
+    def poll(self, now: float) -> list[AdmissionResult]:
+        """Requests that are admitted by now, highest worth first, and requests whose wait has ended."""
         self.fill(now)
-        out = []
-        while not self.shut and self.order and self.tokens >= 1:
-            *_, number = heapq.heappop(self.order)
-            if held := self.waiting.pop(number, None):
+        results = []
+        while not self.closed and self.queue and self.tokens >= 1:
+            *_, request_id = heapq.heappop(self.queue)
+            if request := self.waiting.pop(request_id, None):
                 self.tokens -= 1
-                if now - held.since > SPAN_MS:
+                if now - request.since > SPAN_MS:
                     self.strained_at = now
                 self.counts["paced"] += 1
-                out.append(AdmissionResult(number))
-        for late in [h for h in self.waiting.values() if h.until <= now]:
-            del self.waiting[late.number]
-            out.append(self.later(now, late.number))
+                results.append(AdmissionResult(request_id))
+        for expired in [w for w in self.waiting.values() if w.until <= now]:
+            del self.waiting[expired.request_id]
+            results.append(self.defer(now, expired.request_id))
         if not self.waiting:
-            self.order.clear()
-        return out
+            self.queue.clear()
+        return results
 
-    def due(self, now: float) -> float:
+    def next_due_at(self, now: float) -> float:
         if not self.waiting:
             return inf
-        first = min(h.until for h in self.waiting.values())
-        return first if self.shut else min(first, now + max(0.0, 1 - self.tokens) * 1000 / self.rate(now))
+        first_end = min(w.until for w in self.waiting.values())
+        return (
+            first_end
+            if self.closed
+            else min(first_end, now + max(0.0, 1 - self.tokens) * 1000 / self.rate(now))
+        )
--- a/lemonhall/recovery/checkpoints.py
+++ b/lemonhall/recovery/checkpoints.py
@@ -1,15 +1,14 @@
-"""Whether a front's store is the one that it wrote last, by the word of others. Pure.
+"""Whether a front's store is the one that it wrote last, as vouched for by other fronts. Pure.
 
-A store that was put back from an older copy is whole and fits its front; nothing in it tells what was
-written after the copy. So a store counts its commits, and its front tells the count, its *mark*, to some
-others: never more than is on disk. A front that starts asks for the furthest mark that they heard. If that
-is further than its own, the store is older than the front.
+A store restored from an older copy is intact and belongs to its front; nothing in it shows what was written
+after the copy. Therefore a store counts its commits, and its front reports the count, its checkpoint, to some
+other fronts, never one beyond what is on disk. A front that starts asks for the latest checkpoint that they
+have received. If that is later than its own, the store is outdated.
 
-Stated bound: a copy is believed only if none of the fronts that answer had heard a mark from after it; so,
-where words get through, only if it was made within a period of the end of the life before, or (if all were
-killed with it) within that and `KEEP_MS` of it. Where no front answers in time nobody can say, and then
-nothing of the ledger is believed.
-"""
+Guarantee: a copy is trusted only if no front that answers has received a checkpoint from after it. Where
+messages are delivered, the copy was then made within one period before the end of the previous incarnation
+or, if all fronts were killed together, within that period and `SAVE_INTERVAL_MS`. Where no front answers in
+time, this cannot be known, and nothing of the ledger is trusted. """
 
 from __future__ import annotations
 
@@ -18,17 +17,17 @@
 from enum import Enum
 from math import inf
 
-WITNESSES = 3  # that a mark is told to, beside one at random
-ASKED_MOST = 8  # fronts that are asked
-ENOUGH = 3  # answers of fronts that had heard of us, after which no more are waited for
-KEEP_MS = 2000.0  # a front writes down what it heard of others' marks this often
-SEEN_MOST = 4096  # fronts whose marks are remembered
+CHECKPOINT_PEERS = 3  # fronts that receive each checkpoint, beside one at random
+MAX_QUERIED = 8  # fronts
+SUFFICIENT_ANSWERS = 3  # from fronts that had received a checkpoint; no further ones are waited for
+SAVE_INTERVAL_MS = 2000.0  # a front stores the checkpoints of others this often
+MAX_PEERS = 4096  # whose checkpoints are kept
 
 
 @dataclass(frozen=True, order=True)
 class StoreCheckpoint:
-    """Of two marks of one front the greater is the later: a store that was made later, or one written
-    further."""
+    """Of two checkpoints of one front the greater is the later one: of a store that was created later, or
+    with more commits."""
 
     created_ms: int
     commit_count: int
@@ -36,61 +35,62 @@
 
 class StoreTrust(Enum):
     WAITING = "waiting"
-    SOUND = "sound"  # nobody who answered knows a later one
-    OLDER = "older"  # somebody does
-    UNKNOWN = "unknown"  # nobody answered in time who had heard of us
+    SOUND = "sound"  # no front that answered knows a later checkpoint
+    OLDER = "older"  # a front knows a later checkpoint
+    UNKNOWN = "unknown"  # no front that had received a checkpoint answered in time
 
 
-class Seen:
-    """The marks of other fronts, as they told them."""
+class PeerCheckpoints:
+    """The checkpoints that other fronts have reported."""
 
     def __init__(self) -> None:
         self.checkpoints: dict[int, StoreCheckpoint] = {}
-        self.fresh = False  # something is not written down yet
+        self.dirty = False  # not stored since the last change
 
-    def hear(self, front: int, mark: StoreCheckpoint) -> None:
+    def record(self, front: int, checkpoint: StoreCheckpoint) -> None:
         known = self.checkpoints.get(front)
-        if known is None and len(self.checkpoints) >= SEEN_MOST:
+        if known is None and len(self.checkpoints) >= MAX_PEERS:
             return
-        if known is None or mark > known:
-            self.checkpoints[front] = mark
-            self.fresh = True
+        if known is None or checkpoint > known:
+            self.checkpoints[front] = checkpoint
+            self.dirty = True
 
 
-def successors(number: int, members: Iterable[int], count: int) -> list[int]:
-    """Whoever comes next by number, in a ring: so a front finds those that it told, without a list of
-    them."""
+def ring_successors(number: int, members: Iterable[int], count: int) -> list[int]:
+    """The next members by number, in a ring. A restarted front so finds the fronts that it reported to
+    without having stored them."""
     ring = sorted(m for m in members if m != number)
-    after = [m for m in ring if m > number] + [m for m in ring if m < number]
-    return after[:count]
+    successors = [m for m in ring if m > number] + [m for m in ring if m < number]
+    return successors[:count]
 
 
-class Witnesses:
-    """Asks whether the store, at `mark` when it was opened, is the last. `until`: when it has to know."""
+class CheckpointQuery:
+    """Asks whether the store is the latest one. `checkpoint`: of the store when it was opened; `until`: the
+    time of the result at the latest."""
 
-    def __init__(self, mark: StoreCheckpoint, until: float) -> None:
-        self.mark, self.until = mark, until
+    def __init__(self, checkpoint: StoreCheckpoint, until: float) -> None:
+        self.checkpoint, self.until = checkpoint, until
         self.trust = StoreTrust.WAITING
         self.answers: dict[int, StoreCheckpoint | None] = {}
 
-    def answer(self, front: int, seen: StoreCheckpoint | None) -> None:
+    def on_answer(self, front: int, known: StoreCheckpoint | None) -> None:
         if self.trust is not StoreTrust.WAITING:
             return
-        self.answers[front] = seen
-        if seen is not None and seen > self.mark:
+        self.answers[front] = known
+        if known is not None and known > self.checkpoint:
             self.trust = StoreTrust.OLDER
 
-    def look(self, now: float, asked: int, others: int) -> StoreTrust:
-        """`asked`: fronts that are known to be there and asked; `others`: fronts that there may be beside
-        us."""
+    def evaluate(self, now: float, queried: int, other_fronts: int) -> StoreTrust:
+        """`queried`: number of fronts that are known and have been asked; `other_fronts`: number of fronts
+        that may exist beside this one."""
         if self.trust is StoreTrust.WAITING:
-            knew = sum(seen is not None for seen in self.answers.values())
-            all_there = asked >= min(others, ASKED_MOST) and len(self.answers) >= asked
-            if knew >= min(ENOUGH, others) or (all_there and knew):
+            informed = sum(known is not None for known in self.answers.values())
+            all_answered = queried >= min(other_fronts, MAX_QUERIED) and len(self.answers) >= queried
+            if informed >= min(SUFFICIENT_ANSWERS, other_fronts) or (all_answered and informed):
                 self.trust = StoreTrust.SOUND
             elif now >= self.until:
-                self.trust = StoreTrust.SOUND if knew else StoreTrust.UNKNOWN
+                self.trust = StoreTrust.SOUND if informed else StoreTrust.UNKNOWN
         return self.trust
 
-    def due(self) -> float:
+    def next_due_at(self) -> float:
         return self.until if self.trust is StoreTrust.WAITING else inf
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -1,10 +1,9 @@
-"""A front that comes back: how far it is, what it may believe, whom it asks, how many set-ups it begins. No
-I/O, no clock.
+"""Recovery of one front: its phase, the state that it may trust, the fronts that it queries, and the rate of
+set-ups that it starts. No I/O, no clock.
 
-Time, the list, the members' words and view, and what is asked of the front go in; words for others, phases
-and what becomes of asks come out. Words carry the life of the process that says them: what an earlier life
-of a front said, heard late, is void.
-"""
+Inputs are time, the server list, messages and the membership, and requests; outputs are messages, phases and
+results of requests. Messages carry the incarnation of their sender: a late message of an earlier incarnation
+is dropped. """
 
 from __future__ import annotations
 
@@ -18,55 +17,55 @@
 from google.protobuf.message import DecodeError
 
 from lemonhall.recovery import rates
-from lemonhall.recovery.admission import AdmissionResult, Gate
+from lemonhall.recovery.admission import AdmissionGate, AdmissionResult
 from lemonhall.recovery.checkpoints import (
-    ASKED_MOST,
-    WITNESSES,
-    Seen,
+    CHECKPOINT_PEERS,
+    MAX_QUERIED,
+    CheckpointQuery,
+    PeerCheckpoints,
     StoreCheckpoint,
     StoreTrust,
-    Witnesses,
-    successors,
+    ring_successors,
 )
-from lemonhall.recovery.phases import WOKE_MS, Phase, PhaseEntry, Phases, PhaseTimeouts
+from lemonhall.recovery.phases import SUSPENDED_MS, Phase, PhaseEntry, PhaseTimeouts, PhaseTracker
 from lemonhall.recovery.recovery_pb2 import Kept, Words
-from lemonhall.recovery.server_pages import WITHIN_MS, Asking, Giving
+from lemonhall.recovery.server_pages import QUERY_TIMEOUT_MS, PageQuery, PageServer
 
-SAY_IDLE = 5  # periods after which words are said though the mark is the same
-ASK_MS = 50.0  # a question is asked again after, at first; then twice as long each time
-ASK_TIMES = 6
-LIST_CALL_MS = 20.0  # that calls for the list are apart, of all fronts that come back
-LIST_WAIT_MS = 1000.0  # most that a front waits for its call
-BACK_MS = 10_000.0  # a front of that age or younger is coming back as well
-USUAL_MOST = 1e6
-WORDS_MOST = 1200  # bytes; a datagram must not be taken apart on its way
+IDLE_PERIODS = 5  # after which messages are sent although the checkpoint is unchanged
+QUERY_RETRY_MS = 50.0  # first retry interval of a checkpoint query; doubles with each retry
+MAX_QUERY_TRIES = 6
+LIST_REQUEST_GAP_MS = 20.0  # between the list requests of all recovering fronts
+MAX_LIST_WAIT_MS = 1000.0  # of one front before its list request
+RECOVERING_AGE_MS = 10_000.0  # fronts of at most this age are recovering as well
+MAX_USUAL_RATE = 1e6
+MAX_MESSAGE_BYTES = 1200  # a datagram must not be fragmented
 
 
 @dataclass(frozen=True)
 class OutgoingMessage:
-    """Words to another front, by its number."""
+    """A message to another front, by its number."""
 
     to: int
     data: bytes
 
 
 @dataclass
-class Other:
-    """What a front said last of itself."""
+class PeerReport:
+    """The last report of a front about itself."""
 
-    life: int
-    began: float  # of that life, by our clock
-    at: float
+    incarnation: int
+    started_at: float  # of that incarnation, by our clock
+    received_at: float
     usual: float
 
 
-def to_mark(message: Any) -> StoreCheckpoint:
+def to_checkpoint(message: Any) -> StoreCheckpoint:
     return StoreCheckpoint(message.made_ms, message.count)
 
 
 class Recovery:
-    """`fronts`: as the settings have it. `quota_per_s`: of all partners together, where nothing is known of
-    what is usual; 0: not told. `mark`: gives the store's, None without a store. Times in ms, of one clock."""
+    """`fronts`: by the settings. `quota_per_s`: of all partners together, used where the usual rate is
+    unknown; 0: not set. `get_checkpoint`: of the store, None without a store. Times in ms, of one clock."""
 
     def __init__(
         self,
@@ -74,308 +73,330 @@
         number: int,
         fronts: int,
         random: Random,
-        waits: PhaseTimeouts,
-        pause_most_ms: float,
-        mark: Callable[[], StoreCheckpoint | None] = lambda: None,
+        timeouts: PhaseTimeouts,
+        max_retry_ms: float,
+        get_checkpoint: Callable[[], StoreCheckpoint | None] = lambda: None,
         quota_per_s: float = 0.0,
         members: bool = True,
     ) -> None:
-        self.number, self.fronts, self.random, self.waits = number, fronts, random, waits
-        self.mark, self.quota = mark, quota_per_s
-        self.life = random.getrandbits(32)
-        self.born = self.now = now
-        self.phases = Phases(now, waits, fronts - 1 if members else 0)
-        self.gate = Gate(random, pause_most_ms)
-        self.usual = rates.Usual(now)
-        self.peer_checkpoints = Seen()
-        self.checkpoint_query: Witnesses | None = None
-        self.kept = Kept(usual=-1.0)
-        self.others: dict[int, Other] = {}
+        self.number, self.fronts, self.random, self.timeouts = number, fronts, random, timeouts
+        self.get_checkpoint, self.quota_per_s = get_checkpoint, quota_per_s
+        self.incarnation = random.getrandbits(32)
+        self.started_at = self.now = now
+        self.phases = PhaseTracker(now, timeouts, fronts - 1 if members else 0)
+        self.gate = AdmissionGate(random, max_retry_ms)
+        self.request_rate = rates.RequestRate(now)
+        self.peer_checkpoints = PeerCheckpoints()
+        self.checkpoint_query: CheckpointQuery | None = None
+        self.stored = Kept(usual=-1.0)
+        self.peers: dict[int, PeerReport] = {}
         self.members: tuple[int, ...] = (number,)
-        self.servers = 0
-        self.query_attempts: dict[
-            int, tuple[float, int]
-        ] = {}  # front: when it is asked again, how often it was
-        self.said: StoreCheckpoint | None = None
-        self.next_words = now
-        self.idle = 0
+        self.server_count = 0
+        self.query_attempts: dict[int, tuple[float, int]] = {}  # by front: time of the next try, tries so far
+        self.sent_checkpoint: StoreCheckpoint | None = None
+        self.next_period_at = now
+        self.idle_periods = 0
         self.counts: Counter[str] = Counter()
-        self.page_server = Giving(lambda: [])
-        self.asking: Asking | None = None
-        self.received_pages: list[Any] = []  # what others knew, until somebody takes it from here
-        self.entered_phases: list[PhaseEntry] = []  # phases, until somebody takes them from here
-        self.settle()
+        self.page_server = PageServer(lambda: [])
+        self.page_query: PageQuery | None = None
+        self.received_pages: list[Any] = []  # merged results, until the caller takes them
+        self.entered_phases: list[PhaseEntry] = []  # until the caller takes them
+        self.update_gate()
 
-    # what is kept
+    # stored state
 
     def restore(self, data: bytes) -> None:
-        """What an earlier life wrote down, if it did. What cannot be read is as if it had not."""
+        """Takes over the state that an earlier incarnation stored. Unreadable state counts as none."""
         if not data:
             return
         try:
-            self.kept = Kept.FromString(data)
+            self.stored = Kept.FromString(data)
         except DecodeError:
             self.counts["unreadable"] += 1
             return
-        self.phases.crowd = True
-        for one in self.kept.seen:
-            self.peer_checkpoints.hear(one.front, to_mark(one.mark))
-        self.peer_checkpoints.fresh = False
-        self.settle()
+        self.phases.expects_reconnects = True
+        for one in self.stored.seen:
+            self.peer_checkpoints.record(one.front, to_checkpoint(one.mark))
+        self.peer_checkpoints.dirty = False
+        self.update_gate()
 
     def serialize(self) -> bytes:
-        own, mean, before = self.knows()
-        made = Kept(usual=own, mean=mean, fronts=before)
-        for front, mark in self.peer_checkpoints.checkpoints.items():
-            made.seen.add(front=front).mark.MergeFrom(self.as_words_mark(mark))
-        self.peer_checkpoints.fresh = False
-        return bytes(made.SerializeToString())
+        own, mean, fronts_before = self.usual_rates()
+        state = Kept(usual=own, mean=mean, fronts=fronts_before)
+        for front, checkpoint in self.peer_checkpoints.checkpoints.items():
+            state.seen.add(front=front).mark.MergeFrom(self.encode_checkpoint(checkpoint))
+        self.peer_checkpoints.dirty = False
+        return bytes(state.SerializeToString())
 
     @staticmethod
-    def as_words_mark(mark: StoreCheckpoint) -> Any:
-        return Words(own={"made_ms": mark.created_ms, "count": mark.commit_count}).own
+    def encode_checkpoint(checkpoint: StoreCheckpoint) -> Any:
+        return Words(own={"made_ms": checkpoint.created_ms, "count": checkpoint.commit_count}).own
 
-    def query_checkpoints(self, now: float, within_ms: float) -> None:
-        """Others are to be asked whether the store is the last one."""
-        if mark := self.mark():
-            self.checkpoint_query = Witnesses(mark, now + within_ms)
+    def query_checkpoints(self, now: float, timeout_ms: float) -> None:
+        """Starts to ask other fronts whether the store is the latest one."""
+        if checkpoint := self.get_checkpoint():
+            self.checkpoint_query = CheckpointQuery(checkpoint, now + timeout_ms)
 
     def query_server_pages(self, now: float) -> None:
-        """Others are to be asked what they know of servers."""
-        self.asking = Asking(now + WITHIN_MS)
+        """Starts to ask other fronts for their state of servers."""
+        self.page_query = PageQuery(now + QUERY_TIMEOUT_MS)
 
     @property
     def store_trust(self) -> StoreTrust:
         return self.checkpoint_query.trust if self.checkpoint_query else StoreTrust.SOUND
 
-    # what is usual
+    # rates
 
-    def knows(self) -> tuple[float, float, int]:
-        """Set-ups a second that are usual here and at a front, and how many fronts that is of; -1: not
-        known."""
-        own = self.usual.per_s()
+    def usual_rates(self) -> tuple[float, float, int]:
+        """The usual rate of set-ups/s of this front (-1: unknown), the mean of all fronts, and the number of
+        fronts that the mean is of."""
+        own = self.request_rate.per_s()
         if own is None:
-            own = self.kept.usual if isfinite(self.kept.usual) else -1.0
-        known = [o.usual for o in self.others.values() if o.usual >= 0]
+            own = self.stored.usual if isfinite(self.stored.usual) else -1.0
+        known = [p.usual for p in self.peers.values() if p.usual >= 0]
         if own >= 0:
             known.append(own)
         mean = sum(known) / len(known) if known else 0.0
         if self.phases.phase is Phase.FULL:
-            return own, mean if len(known) > 1 else self.kept.mean or mean, self.fronts
-        if self.kept.mean:  # on which all agreed; whoever has been heard by now is only some
-            mean = self.kept.mean
-        return own, mean, max(self.kept.fronts, len(self.others) + 1)
+            return own, mean if len(known) > 1 else self.stored.mean or mean, self.fronts
+        if self.stored.mean:  # the mean of all fronts; only some have reported by now
+            mean = self.stored.mean
+        return own, mean, max(self.stored.fronts, len(self.peers) + 1)
 
-    def settle(self) -> None:
-        """The gate's pace, from what is known by now."""
+    def update_gate(self) -> None:
+        """Sets the gate's rate limit by what is known now."""
         phase, gate = self.phases.phase, self.gate
-        gate.shut = phase is Phase.NOTHING
-        gate.eased_from = self.phases.paced_until
+        gate.closed = phase is Phase.NOTHING
+        gate.rate_ends_at = self.phases.rate_limited_until
         if phase is Phase.FULL:
-            gate.rate_per_s, gate.eased_from = inf, inf
+            gate.rate_per_s, gate.rate_ends_at = inf, inf
             return
-        own, mean, before = self.knows()
-        if mean <= 0 and self.quota > 0:
-            own = mean = self.quota / self.fronts
-            before = self.fronts
-        per_s = rates.part(max(0.0, own if own >= 0 else mean), mean, before, self.fronts, self.servers)
-        gate.rate_per_s = per_s or rates.unknown(self.fronts, self.servers)
+        own, mean, fronts_before = self.usual_rates()
+        if mean <= 0 and self.quota_per_s > 0:
+            own = mean = self.quota_per_s / self.fronts
+            fronts_before = self.fronts
+        per_s = rates.front_rate(
+            max(0.0, own if own >= 0 else mean), mean, fronts_before, self.fronts, self.server_count
+        )
+        gate.rate_per_s = per_s or rates.default_front_rate(self.fronts, self.server_count)
 
     # evidence
 
-    def on_list(self, now: float, as_of: float, servers: int) -> None:
-        """A list that was true at `as_of`, by the same clock; `servers`: how many it names."""
-        self.pass_on(now)
-        self.servers = servers
-        self.phases.listed(as_of)
-        self.look(now)
+    def on_list(self, now: float, as_of: float, server_count: int) -> None:
+        """Handles a list that was true at `as_of`, by the same clock."""
+        self.advance(now)
+        self.server_count = server_count
+        self.phases.on_list(as_of)
+        self.update(now)
 
     def on_view(self, now: float, members: tuple[int, ...]) -> None:
-        self.pass_on(now)
+        self.advance(now)
         self.members = members
-        self.phases.view(now, members)
+        self.phases.on_members(now, members)
 
     def set_front_count(self, fronts: int) -> None:
-        """How many fronts every share goes by: no fewer than there are."""
+        """Sets the number of fronts that every share is computed from: no fewer than there are."""
         self.fronts = max(1, fronts)
-        self.settle()
+        self.update_gate()
 
     def receive(self, now: float, sender: int, data: bytes) -> list[OutgoingMessage]:
-        """A front's words; the answer, if it asked."""
-        self.pass_on(now)
+        """Handles a front's message. Returns the replies."""
+        self.advance(now)
         try:
-            words = Words.FromString(data) if len(data) <= WORDS_MOST else None
+            message = Words.FromString(data) if len(data) <= MAX_MESSAGE_BYTES else None
         except DecodeError:
-            words = None
-        if words is None or sender == self.number:
+            message = None
+        if message is None or sender == self.number:
             self.counts["unreadable"] += 1
             return []
-        began, known = now - words.age_ms, self.others.get(sender)
-        if known and known.life != words.life and began <= known.began:
+        started_at, known = now - message.age_ms, self.peers.get(sender)
+        if known and known.incarnation != message.life and started_at <= known.started_at:
             self.counts["of_an_earlier_life"] += 1
             return []
-        usual = words.usual if isfinite(words.usual) and 0 <= words.usual <= USUAL_MOST else -1.0
-        if known and known.life == words.life:
-            began = known.began  # as it was first heard: a word that is late would make it older
-        self.others[sender] = Other(words.life, began, now, usual)
-        self.phases.hear(sender)
-        if words.HasField("own"):
-            self.peer_checkpoints.hear(sender, to_mark(words.own))
-        if words.answer and self.checkpoint_query and sender in self.query_attempts:
-            seen = to_mark(words.seen) if words.HasField("seen") else None
-            self.checkpoint_query.answer(sender, seen)
-        self.look(now)
-        out = [self.say(sender, answer=True)] if words.ask else []
-        if words.want and (page := self.page_server.page(now, words.want)):
+        usual = message.usual if isfinite(message.usual) and 0 <= message.usual <= MAX_USUAL_RATE else -1.0
+        if known and known.incarnation == message.life:
+            started_at = known.started_at  # from the first message; a late one would make it seem older
+        self.peers[sender] = PeerReport(message.life, started_at, now, usual)
+        self.phases.on_report(sender)
+        if message.HasField("own"):
+            self.peer_checkpoints.record(sender, to_checkpoint(message.own))
+        if message.answer and self.checkpoint_query and sender in self.query_attempts:
+            checkpoint = to_checkpoint(message.seen) if message.HasField("seen") else None
+            self.checkpoint_query.on_answer(sender, checkpoint)
+        self.update(now)
+        out = [self.build_message(sender, answer=True)] if message.ask else []
+        if message.want and (page := self.page_server.get_page(now, message.want)):
             self.counts["pages_given"] += 1
-            out.append(self.say(sender, page=page))
-        if self.asking and words.HasField("page") and self.asking.take(sender, words.page):
-            out += self.wanted(now)
+            out.append(self.build_message(sender, page=page))
+        if self.page_query and message.HasField("page") and self.page_query.on_page(sender, message.page):
+            out += self.page_requests(now)
         return out
 
-    # asks
+    # requests
 
-    def admit_request(self, now: float, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
-        """None: it waits, and `tick` will say."""
-        self.pass_on(now)
-        self.usual.count += self.ordinary
+    def admit_request(
+        self, now: float, request_id: int, worth: float, left_ms: float
+    ) -> AdmissionResult | None:
+        """Returns None if the request waits; `tick` returns its result later."""
+        self.advance(now)
+        self.request_rate.count += self.is_usual_load
         if self.phases.phase is Phase.FULL:
-            return AdmissionResult(number)
-        return self.gate.admit(now, number, worth, left_ms)
+            return AdmissionResult(request_id)
+        return self.gate.admit(now, request_id, worth, left_ms)
 
-    def cancel_request(self, number: int) -> None:
-        self.gate.drop(number)
+    def cancel_request(self, request_id: int) -> None:
+        self.gate.cancel(request_id)
 
     # time
 
-    def pass_on(self, now: float) -> None:
-        """Time passes. What was known before a long gap is of another life."""
-        if now - self.now > WOKE_MS:
+    def advance(self, now: float) -> None:
+        """Advances the time. After a long gap a new incarnation starts, since earlier knowledge is
+        outdated."""
+        if now - self.now > SUSPENDED_MS:
             self.counts["woke"] += 1
-            self.phases.begin(now)
-            self.settle()
+            self.phases.start_incarnation(now)
+            self.update_gate()
         self.now = max(self.now, now)
-        self.usual.pass_on(now, self.ordinary)
+        self.request_rate.advance(now, self.is_usual_load)
 
     @property
-    def ordinary(self) -> bool:
-        """Whether what is asked for now is what is usual: not while a crowd has to wait."""
+    def is_usual_load(self) -> bool:
+        """Whether requests now show the usual rate: not while reconnecting viewers have to wait."""
         phase = self.phases.phase
         return phase is Phase.FULL or (phase is Phase.AGREED and self.phases.calm)
 
     def tick(self, now: float) -> tuple[list[OutgoingMessage], list[AdmissionResult]]:
-        """To be called at `due` or sooner: words, and what becomes of asks that waited."""
-        self.pass_on(now)
-        self.look(now)
-        out = self.questions(now) + self.wanted(now)
-        if now >= self.next_words:
-            self.next_words = now + self.waits.period * (0.75 + 0.5 * self.random.random())
-            out += self.words()
-        return out, self.gate.take(now)
-
-    def look(self, now: float) -> None:
-        """What the evidence makes of the phase, the pace and the store."""
-        self.phases.calm = self.gate.calm(now, self.waits.calm_ms)
-        self.entered_phases += self.phases.look(now)
-        self.settle()
+        """To be called at `next_tick_at` or earlier. Returns messages, and results of waiting requests."""
+        self.advance(now)
+        self.update(now)
+        out = self.checkpoint_requests(now) + self.page_requests(now)
+        if now >= self.next_period_at:
+            self.next_period_at = now + self.timeouts.period_ms * (0.75 + 0.5 * self.random.random())
+            out += self.period_messages()
+        return out, self.gate.poll(now)
+
+    def update(self, now: float) -> None:
+        """Derives the phase, the rate limit and the trust in the store from the evidence."""
+        self.phases.calm = self.gate.is_calm(now, self.timeouts.calm_ms)
+        self.entered_phases += self.phases.update(now)
+        self.update_gate()
         if self.checkpoint_query:
-            self.checkpoint_query.look(now, len(self.query_attempts), self.phases.other_fronts)
+            self.checkpoint_query.evaluate(now, len(self.query_attempts), self.phases.other_fronts)
 
     def next_tick_at(self) -> float:
-        times = [self.next_words, self.phases.due(), self.gate.due(self.now), self.now + WOKE_MS / 4]
-        if (asked := self.checkpoint_query) and asked.trust is StoreTrust.WAITING:
-            again = (
+        times = [
+            self.next_period_at,
+            self.phases.next_due_at(),
+            self.gate.next_due_at(self.now),
+            self.now + SUSPENDED_MS / 4,
+        ]
+        if (query := self.checkpoint_query) and query.trust is StoreTrust.WAITING:
+            retries = (
                 at
-                for n, (at, so_often) in self.query_attempts.items()
-                if so_often < ASK_TIMES and n not in asked.answers
+                for front, (at, tries) in self.query_attempts.items()
+                if tries < MAX_QUERY_TRIES and front not in query.answers
             )
-            times += [asked.due(), *again]
-        if self.asking:
-            times.append(self.asking.due())
+            times += [query.next_due_at(), *retries]
+        if self.page_query:
+            times.append(self.page_query.next_due_at())
         return min(times)
 
-    # words
+    # messages
 
-    def say(
+    def build_message(
         self, to: int, ask: bool = False, answer: bool = False, want: int = 0, page: Any = None
     ) -> OutgoingMessage:
-        usual = self.usual.per_s()
+        """`ask`: queries the checkpoint of this front's store; `answer`: replies to such a query; `want`:
+        number of a requested page; `page`: a page for the recipient."""
+        usual = self.request_rate.per_s()
         if usual is None:
-            usual = self.kept.usual if self.kept.usual >= 0 else -1.0
-        words = Words(
-            life=self.life, age_ms=max(0, round(self.now - self.born)), usual=usual, ask=ask, answer=answer
+            usual = self.stored.usual if self.stored.usual >= 0 else -1.0
+        message = Words(
+            life=self.incarnation,
+            age_ms=max(0, round(self.now - self.started_at)),
+            usual=usual,
+            ask=ask,
+            answer=answer,
         )
-        if mark := self.mark():
-            words.own.MergeFrom(self.as_words_mark(mark))
-        if answer and (seen := self.peer_checkpoints.checkpoints.get(to)):
-            words.seen.MergeFrom(self.as_words_mark(seen))
+        if checkpoint := self.get_checkpoint():
+            message.own.MergeFrom(self.encode_checkpoint(checkpoint))
+        if answer and (known := self.peer_checkpoints.checkpoints.get(to)):
+            message.seen.MergeFrom(self.encode_checkpoint(known))
         if page is not None:
-            words.page.MergeFrom(page)
-        words.want = want
-        return OutgoingMessage(to, words.SerializeToString())
-
-    def words(self) -> list[OutgoingMessage]:
-        """A mark goes to the same few, so that they are found again; and what is said to one at random, so
-        that in time everybody has heard of everybody."""
-        mark, self.idle = self.mark(), self.idle + 1
-        if mark == self.said and self.idle < SAY_IDLE and self.phases.phase is Phase.FULL:
+            message.page.MergeFrom(page)
+        message.want = want
+        return OutgoingMessage(to, message.SerializeToString())
+
+    def period_messages(self) -> list[OutgoingMessage]:
+        """Messages of this period: to the same few fronts, so that they can be found again after a restart,
+        and to one at random, so that in time all fronts hear of each other."""
+        checkpoint, self.idle_periods = self.get_checkpoint(), self.idle_periods + 1
+        if (
+            checkpoint == self.sent_checkpoint
+            and self.idle_periods < IDLE_PERIODS
+            and self.phases.phase is Phase.FULL
+        ):
             return []
-        self.said, self.idle = mark, 0
-        near = successors(self.number, self.members, WITNESSES)
-        rest = [m for m in self.members if m != self.number and m not in near]
-        return [self.say(to) for to in near + ([self.random.choice(rest)] if rest else [])]
+        self.sent_checkpoint, self.idle_periods = checkpoint, 0
+        peers = ring_successors(self.number, self.members, CHECKPOINT_PEERS)
+        rest = [m for m in self.members if m != self.number and m not in peers]
+        return [self.build_message(to) for to in peers + ([self.random.choice(rest)] if rest else [])]
 
-    def questions(self, now: float) -> list[OutgoingMessage]:
-        """Those that would have heard of us are asked, each again and again with growing waits."""
+    def checkpoint_requests(self, now: float) -> list[OutgoingMessage]:
+        """Queries to the fronts that may know this front's checkpoint, retried with exponential backoff."""
         if self.checkpoint_query is None or self.store_trust is not StoreTrust.WAITING:
             return []
         out = []
-        for front in successors(self.number, self.members, ASKED_MOST):
-            at, times = self.query_attempts.get(front, (now, 0))
-            if now < at or times >= ASK_TIMES or front in self.checkpoint_query.answers:
+        for front in ring_successors(self.number, self.members, MAX_QUERIED):
+            at, tries = self.query_attempts.get(front, (now, 0))
+            if now < at or tries >= MAX_QUERY_TRIES or front in self.checkpoint_query.answers:
                 continue
-            wait = ASK_MS * 2**times * (0.5 + self.random.random())
-            self.query_attempts[front] = (now + wait, times + 1)
+            wait_ms = QUERY_RETRY_MS * 2**tries * (0.5 + self.random.random())
+            self.query_attempts[front] = (now + wait_ms, tries + 1)
             self.counts["asked"] += 1
-            out.append(self.say(front, ask=True))
+            out.append(self.build_message(front, ask=True))
         return out
 
-    def wanted(self, now: float) -> list[OutgoingMessage]:
-        """Pages are asked for until others have given all, or their time is over."""
-        if self.asking is None:
+    def page_requests(self, now: float) -> list[OutgoingMessage]:
+        """Requests for pages until other fronts have sent all, or the query times out."""
+        if self.page_query is None:
             return []
-        if self.asking.done(now):
-            if (result := self.asking.result()) is not None:
+        if self.page_query.is_done(now):
+            if (result := self.page_query.merge_result()) is not None:
                 self.received_pages.append(result)
-            self.counts["pages_bad"] += self.asking.bad
-            self.asking = None
+            self.counts["pages_bad"] += self.page_query.invalid_count
+            self.page_query = None
             return []
         others = [m for m in self.members if m != self.number]
-        return [self.say(to, want=page) for to, page in self.asking.asks(now, others, self.random)]
+        return [
+            self.build_message(to, want=page)
+            for to, page in self.page_query.due_requests(now, others, self.random)
+        ]
 
-    # what else is spread out
+    # list requests
 
     def list_wait_ms(self) -> float:
-        """How long to wait with a call for the list: by as many fronts as are heard to come back as well."""
-        back = sum(self.now - o.began < BACK_MS for o in self.others.values())
-        return min(LIST_WAIT_MS, back * LIST_CALL_MS) * self.random.random()
+        """Random wait before a list request, longer the more other fronts are recovering."""
+        recovering = sum(self.now - p.started_at < RECOVERING_AGE_MS for p in self.peers.values())
+        return min(MAX_LIST_WAIT_MS, recovering * LIST_REQUEST_GAP_MS) * self.random.random()
 
-    # what is shown
+    # status
 
     def status(self, now: float) -> dict[str, Any]:
         phases = self.phases
-        full = phases.entered.get(Phase.FULL)
+        full_at = phases.entered_at.get(Phase.FULL)
         return {
             "phase": phases.phase.name.lower(),
-            "since_s": round((now - phases.entered[phases.phase]) / 1000, 1),
-            "full_service_s": None if full is None else round((full - phases.since) / 1000, 2),
+            "since_s": round((now - phases.entered_at[phases.phase]) / 1000, 1),
+            "full_service_s": None if full_at is None else round((full_at - phases.started_at) / 1000, 2),
             "entered_s": {
-                p.name.lower(): round((at - phases.since) / 1000, 2) for p, at in phases.entered.items()
+                p.name.lower(): round((at - phases.started_at) / 1000, 2)
+                for p, at in phases.entered_at.items()
             },
-            "lacks": {p.name.lower(): lack for p, lack in phases.lacks.items()},
-            "lives": phases.lives,
+            "lacks": {p.name.lower(): missing for p, missing in phases.missing.items()},
+            "lives": phases.incarnations,
             "store": self.store_trust.value,
-            "heard": len(phases.heard),
+            "heard": len(phases.reporting_fronts),
             "waiting": len(self.gate.waiting),
             "set_ups_per_s": None if self.gate.rate_per_s == inf else round(self.gate.rate(now), 2),
             "counts": {**self.gate.counts, **self.counts},
--- a/lemonhall/recovery/phases.py
+++ b/lemonhall/recovery/phases.py
@@ -1,19 +1,19 @@
-"""How far a front has come back: phases, each with its evidence, its longest wait and its safe side. Pure.
-
-    phase    entered with                                 at latest            else (the safe side)
-    nothing  the start of a life
-    listed   a list that is of this life                  `list_ms`            the kept list, all servers cold
-    heard    all fronts that there may be are in view,    `hear_ms` behind it  who was not heard is there
-             some of them have spoken in this life
-    agreed   the same fronts for `settle_ms`              `agree_ms` behind    shares by the number in force
-    full     nobody waited, or was told to come again,    no limit: nothing
-             for `calm_ms`; the list is of this life;     waits for it
-             `crowd_ms` have passed
-
-Up to `listed` nobody is asked for; from there to `full` the gate's pace stands, for `pace_ms` at most.
-Within a life phases only go forward. A front that did not run for a while (`woke`) begins a new life: what
-it knew is of the old one.
-"""
+"""The phases of a front's recovery, each with its evidence, its timeout and the safe assumption. Pure.
+
+    phase    entered with                                 at latest            safe assumption otherwise
+    nothing  the start of an incarnation
+    listed   a list of this incarnation                   `list_ms`            the cached list, all servers cold
+    heard    all fronts that may exist are members, and   `report_ms` later    silent fronts are counted
+             some have reported in this incarnation
+    agreed   the same members for `stable_ms`             `agreement_ms`       shares by the number in force
+                                                          later
+    full     no request waited or was told to retry for   no timeout: nothing
+             `calm_ms`; the list is of this incarnation;  waits for it
+             `reconnect_ms` have passed
+
+No requests are admitted before `listed`; from there to `full` the gate's rate limit applies, for at most
+`rate_limit_ms`. Within an incarnation phases only advance. A front that was suspended for `SUSPENDED_MS`
+starts a new incarnation, because what it knew is outdated. """
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from enum import IntEnum
 from math import inf
 
-WORDS = 3  # of fronts that were heard in this life
-WOKE_MS = 2000.0  # a front that was not called for so long was stopped, or its machine was
+MIN_REPORTS = 3  # fronts that reported in this incarnation
+SUSPENDED_MS = 2000.0  # a front that was not called for this long was stopped, or its machine was
 
 
 class Phase(IntEnum):
@@ -35,112 +35,112 @@
 
 @dataclass(frozen=True)
 class PhaseTimeouts:
-    """In ms; `period`: of the members."""
+    """In ms; `period_ms`: of the membership protocol."""
 
-    period: float = 1000.0
+    period_ms: float = 1000.0
     list_ms: float = 2000.0
     calm_ms: float = 1000.0
-    crowd_ms: float = (
-        4000.0  # in which those come again whom an earlier life served: calm before says nothing
+    reconnect_ms: float = (
+        4000.0  # in which viewers of an earlier incarnation reconnect; calm before then is no evidence
     )
-    pace_ms: float = 10_000.0
+    rate_limit_ms: float = 10_000.0
 
     @property
-    def hear_ms(self) -> float:
-        return 3 * self.period
+    def report_ms(self) -> float:
+        return 3 * self.period_ms
 
     @property
-    def settle_ms(self) -> float:
-        return 2 * self.period
+    def stable_ms(self) -> float:
+        return 2 * self.period_ms
 
     @property
-    def agree_ms(self) -> float:
-        return 6 * self.period
+    def agreement_ms(self) -> float:
+        return 6 * self.period_ms
 
 
 @dataclass(frozen=True)
 class PhaseEntry:
-    """A phase that was entered; `lacks`: it was by the longest wait, without this evidence."""
+    """A phase that was entered; `missing`: the evidence that was missing if it was entered by its timeout."""
 
     phase: Phase
     after_ms: float
     missing: str = ""
 
 
-class Phases:
-    """`other_fronts`: fronts that there may be beside this one. Times are of one clock, in ms."""
+class PhaseTracker:
+    """`other_fronts`: number of fronts that may exist beside this one. Times are of one clock, in ms."""
 
-    def __init__(self, now: float, waits: PhaseTimeouts, other_fronts: int) -> None:
-        self.waits, self.other_fronts = waits, other_fronts
-        self.lives = 0
-        self.members: tuple[int, ...] = (-1,)  # nobody but this one
-        self.crowd = other_fronts > 0  # whether there may have been an earlier life
-        self.begin(now)
+    def __init__(self, now: float, timeouts: PhaseTimeouts, other_fronts: int) -> None:
+        self.timeouts, self.other_fronts = timeouts, other_fronts
+        self.incarnations = 0
+        self.members: tuple[int, ...] = (-1,)  # this front alone
+        self.expects_reconnects = other_fronts > 0  # there may have been an earlier incarnation
+        self.start_incarnation(now)
 
-    def begin(self, now: float) -> None:
-        self.lives += 1
-        self.since = self.at = now
+    def start_incarnation(self, now: float) -> None:
+        self.incarnations += 1
+        self.started_at = self.now = now
         self.phase = Phase.NOTHING
-        self.entered = {Phase.NOTHING: now}
-        self.lacks: dict[Phase, str] = {}
-        self.fresh = False
-        self.heard: set[int] = set()
-        self.changed_at = now
+        self.entered_at = {Phase.NOTHING: now}
+        self.missing: dict[Phase, str] = {}
+        self.has_fresh_list = False
+        self.reporting_fronts: set[int] = set()
+        self.members_changed_at = now
         self.calm = False
 
     # evidence
 
-    def listed(self, as_of: float) -> None:
-        """A list, or a sign of life of it, that was true at that time."""
-        self.fresh |= as_of >= self.since
+    def on_list(self, as_of: float) -> None:
+        """A list, or an update of it, that was true at that time."""
+        self.has_fresh_list |= as_of >= self.started_at
 
-    def hear(self, front: int) -> None:
-        self.heard.add(front)
+    def on_report(self, front: int) -> None:
+        self.reporting_fronts.add(front)
 
-    def view(self, now: float, members: tuple[int, ...]) -> None:
+    def on_members(self, now: float, members: tuple[int, ...]) -> None:
         if members != self.members:
-            self.members, self.changed_at = members, now
+            self.members, self.members_changed_at = members, now
 
-    # what comes of it
+    # transitions
 
-    def look(self, now: float) -> list[PhaseEntry]:
-        """To be called at `due` or sooner, and when evidence has come."""
-        self.at = now
-        out = []
+    def update(self, now: float) -> list[PhaseEntry]:
+        """Enters phases. To be called at `next_due_at` or earlier, and after new evidence."""
+        self.now = now
+        entries = []
         while self.phase is not Phase.FULL:
-            came, until, lack = self.next()
-            if now < min(came, until):
+            ready_at, until, missing = self.next_phase()
+            if now < min(ready_at, until):
                 break
             self.phase = Phase(self.phase + 1)
-            self.entered[self.phase] = now
-            if came > now:
-                self.lacks[self.phase] = lack
-            out.append(PhaseEntry(self.phase, now - self.since, lack if came > now else ""))
-        return out
-
-    def next(self) -> tuple[float, float, str]:
-        """Of the phase that comes: when its evidence is there (inf: not yet), the longest wait, what is
-        lacking."""
-        now, waits, since = self.at, self.waits, self.entered[self.phase]
+            self.entered_at[self.phase] = now
+            if ready_at > now:
+                self.missing[self.phase] = missing
+            entries.append(PhaseEntry(self.phase, now - self.started_at, missing if ready_at > now else ""))
+        return entries
+
+    def next_phase(self) -> tuple[float, float, str]:
+        """Of the next phase: when its evidence is complete (inf: not yet), its timeout, and its evidence."""
+        now, timeouts, since = self.now, self.timeouts, self.entered_at[self.phase]
         if self.phase is Phase.NOTHING:
-            return now if self.fresh else inf, since + waits.list_ms, "a list of this life"
+            return now if self.has_fresh_list else inf, since + timeouts.list_ms, "a list of this life"
         if self.phase is Phase.LISTED:
-            enough = (
-                len(self.heard) >= min(WORDS, self.other_fronts) and len(self.members) > self.other_fronts
+            complete = (
+                len(self.reporting_fronts) >= min(MIN_REPORTS, self.other_fronts)
+                and len(self.members) > self.other_fronts
             )
-            return now if enough else inf, since + waits.hear_ms, "a word of every front"
+            return now if complete else inf, since + timeouts.report_ms, "a word of every front"
         if self.phase is Phase.HEARD:
-            settled = self.changed_at + waits.settle_ms if self.other_fronts else now
-            return settled, since + waits.agree_ms, "the same fronts for a while"
-        crowd_until = self.since + (waits.crowd_ms if self.crowd else 0.0)
-        return max(now, crowd_until) if self.calm and self.fresh else inf, inf, "calm"
+            stable_at = self.members_changed_at + timeouts.stable_ms if self.other_fronts else now
+            return stable_at, since + timeouts.agreement_ms, "the same fronts for a while"
+        reconnected_at = self.started_at + (timeouts.reconnect_ms if self.expects_reconnects else 0.0)
+        return max(now, reconnected_at) if self.calm and self.has_fresh_list else inf, inf, "calm"
 
-    def due(self) -> float:
+    def next_due_at(self) -> float:
         if self.phase is Phase.FULL:
             return inf
-        came, until, _ = self.next()
-        return min(came if came > self.at else inf, until)
+        ready_at, until, _ = self.next_phase()
+        return min(ready_at if ready_at > self.now else inf, until)
 
     @property
-    def paced_until(self) -> float:
-        return self.since + self.waits.pace_ms
+    def rate_limited_until(self) -> float:
+        return self.started_at + self.timeouts.rate_limit_ms
--- a/lemonhall/recovery/server_pages.py
+++ b/lemonhall/recovery/server_pages.py
@@ -1,11 +1,10 @@
-"""What others know of servers, for a front that has lost what it knew. Pure.
+"""Server state that other fronts provide to a front that has lost its own. Pure.
 
-Up to three are asked, page by page, for a stated time. What they say is held against one another, so that one
-that is mad, or lies, can make a front miss servers or go to wrong ones for a while, never break a rule: what
-more than half of them name is taken, of two states the more cautious one, of two starts the later one, of
-loads and evidence the middle. It counts as a kept list does: as of another time. The box list's own word
-takes its place when it comes.
-"""
+Up to three fronts are queried, page by page, for a limited time. Their pages are compared, so that a faulty
+or lying front can make a front miss servers or use wrong ones for a while, but never break a rule: servers
+named by more than half of the sources are taken over, with the more cautious of two states, the later of two
+starts, and the median of loads and evidence. The result counts like a cached list: as of another time, and
+replaced by the server list when that arrives. """
 
 from __future__ import annotations
 
@@ -18,158 +17,164 @@
 
 from lemonhall.recovery.recovery_pb2 import Page
 
-ASKED = 3  # fronts
-WITHIN_MS = 1500.0  # then what has come is taken
-AGAIN_MS = 150.0  # a page is asked for again after
-SILENT = 2  # tries without an answer, after which another is asked as well
+MAX_SOURCES = 3  # fronts queried at once
+QUERY_TIMEOUT_MS = 1500.0  # then the pages received so far are used
+RETRY_MS = 150.0
+SILENT_TRIES = 2  # tries without an answer after which another front is queried as well
 PAGE_BYTES = 900
-PAGES_MOST = 64
-GIVEN_PER_S = 200.0  # pages that a front gives away, to whomever
-HEARSAY = 0.5  # weight of others' evidence against one's own
-NUMBER_MOST = 1 << 20
-EVIDENCE_MOST = 4.0
-STATES = (1, 2)  # ready, draining
+MAX_PAGES = 64
+PAGES_PER_S = 200.0  # served to all other fronts together
+PEER_EVIDENCE_WEIGHT = 0.5  # relative to own evidence
+MAX_NUMBER = 1 << 20
+MAX_EVIDENCE = 4.0
+VALID_STATES = (1, 2)  # ready, draining
 
 
 def build_pages(entries: Iterable[Any], as_of_ms: float, version: int) -> list[Any]:
-    """Entries (of recovery.proto), in pages that fit into datagrams."""
-    made: list[Any] = [Page()]
+    """Pages of entries (recovery.proto) that fit into datagrams."""
+    pages: list[Any] = [Page()]
     size = 0
     for entry in entries:
         size += entry.ByteSize() + 3
-        if size > PAGE_BYTES and made[-1].entries:
-            made.append(Page())
+        if size > PAGE_BYTES and pages[-1].entries:
+            pages.append(Page())
             size = entry.ByteSize() + 3
-        made[-1].entries.append(entry)
-    del made[PAGES_MOST:]
-    for number, page in enumerate(made, 1):
-        page.number, page.pages, page.as_of_ms, page.version = number, len(made), as_of_ms, version
-    return made
+        pages[-1].entries.append(entry)
+    del pages[MAX_PAGES:]
+    for number, page in enumerate(pages, 1):
+        page.number, page.pages, page.as_of_ms, page.version = number, len(pages), as_of_ms, version
+    return pages
 
 
-def sane(entry: Any) -> bool:
+def is_valid(entry: Any) -> bool:
     numbers = (entry.weight, entry.started_ms, entry.evidence, entry.others_kb)
-    if not all(isfinite(n) and n >= 0 for n in numbers) or entry.state not in STATES or entry.weight <= 0:
+    if (
+        not all(isfinite(n) and n >= 0 for n in numbers)
+        or entry.state not in VALID_STATES
+        or entry.weight <= 0
+    ):
         return False
-    small = max(entry.kind, entry.zone, entry.cell) < NUMBER_MOST
-    return small and entry.id > 0 and 0 < len(entry.address) <= 100
+    in_range = max(entry.kind, entry.zone, entry.cell) < MAX_NUMBER
+    return in_range and entry.id > 0 and 0 < len(entry.address) <= 100
 
 
 @dataclass
-class Giver:
-    """One that was asked."""
+class PageSource:
+    """A front that is queried."""
 
-    page: int = 1  # that is waited for
-    asked_at: float = -inf
-    tries: int = 0  # at that page
-    pages: int = 0  # 0: not known yet
+    next_page: int = 1
+    requested_at: float = -inf
+    tries: int = 0  # at the next page
+    page_count: int = 0  # 0: not known yet
     as_of_ms: float = 0.0
     version: int = 0
     entries: dict[int, Any] = field(default_factory=dict)
 
     @property
-    def whole(self) -> bool:
-        return bool(self.pages) and self.page > self.pages
+    def complete(self) -> bool:
+        return bool(self.page_count) and self.next_page > self.page_count
 
 
-class Asking:
-    """`until`: by when there has to be a result."""
+class PageQuery:
+    """`until`: the time of the result at the latest."""
 
     def __init__(self, until: float) -> None:
         self.until = until
-        self.givers: dict[int, Giver] = {}
-        self.bad = 0
-
-    def asks(self, now: float, members: Iterable[int], random: Random) -> list[tuple[int, int]]:
-        """Whom to ask for which page now."""
-        others = [m for m in members if m not in self.givers]
-        while sum(g.tries < SILENT or g.whole for g in self.givers.values()) < ASKED and others:
-            self.givers[others.pop(random.randrange(len(others)))] = Giver()
-        out = []
-        for front, giver in self.givers.items():
-            if not giver.whole and now - giver.asked_at >= AGAIN_MS:
-                giver.asked_at, giver.tries = now, giver.tries + 1
-                out.append((front, giver.page))
-        return out
-
-    def take(self, front: int, page: Any) -> bool:
-        """A page that was asked for. Whether the next may be asked for at once."""
-        giver = self.givers.get(front)
-        if giver is None or page.number != giver.page or not 1 <= page.pages <= PAGES_MOST:
-            self.bad += 1
+        self.sources: dict[int, PageSource] = {}
+        self.invalid_count = 0
+
+    def due_requests(self, now: float, members: Iterable[int], random: Random) -> list[tuple[int, int]]:
+        """The fronts and page numbers to request now."""
+        others = [m for m in members if m not in self.sources]
+        while (
+            sum(s.tries < SILENT_TRIES or s.complete for s in self.sources.values()) < MAX_SOURCES and others
+        ):
+            self.sources[others.pop(random.randrange(len(others)))] = PageSource()
+        requests = []
+        for front, source in self.sources.items():
+            if not source.complete and now - source.requested_at >= RETRY_MS:
+                source.requested_at, source.tries = now, source.tries + 1
+                requests.append((front, source.next_page))
+        return requests
+
+    def on_page(self, front: int, page: Any) -> bool:
+        """Handles a page. Returns whether the next one may be requested at once."""
+        source = self.sources.get(front)
+        if source is None or page.number != source.next_page or not 1 <= page.pages <= MAX_PAGES:
+            self.invalid_count += 1
             return False
-        giver.pages, giver.as_of_ms, giver.version = page.pages, page.as_of_ms, page.version
+        source.page_count, source.as_of_ms, source.version = page.pages, page.as_of_ms, page.version
         for entry in page.entries:
-            if sane(entry):
-                giver.entries[entry.id] = entry
+            if is_valid(entry):
+                source.entries[entry.id] = entry
             else:
-                self.bad += 1
-        giver.page, giver.tries = giver.page + 1, 0
-        giver.asked_at = -inf
-        return not giver.whole
-
-    def done(self, now: float) -> bool:
-        whole = sum(g.whole for g in self.givers.values())
-        return now >= self.until or whole >= ASKED
-
-    def due(self) -> float:
-        again = (g.asked_at + AGAIN_MS for g in self.givers.values() if not g.whole)
-        return min([self.until, *again])
-
-    def result(self) -> Any:
-        """One page of all that is believed, None if nobody has said anything whole."""
-        said = [g for g in self.givers.values() if g.whole]
-        if not said:
+                self.invalid_count += 1
+        source.next_page, source.tries = source.next_page + 1, 0
+        source.requested_at = -inf
+        return not source.complete
+
+    def is_done(self, now: float) -> bool:
+        complete = sum(s.complete for s in self.sources.values())
+        return now >= self.until or complete >= MAX_SOURCES
+
+    def next_due_at(self) -> float:
+        retries = (s.requested_at + RETRY_MS for s in self.sources.values() if not s.complete)
+        return min([self.until, *retries])
+
+    def merge_result(self) -> Any:
+        """One page of all entries that are taken over; None if no source is complete."""
+        complete = [s for s in self.sources.values() if s.complete]
+        if not complete:
             return None
-        made = Page(number=1, pages=1)
-        made.as_of_ms = min(g.as_of_ms for g in said)
-        made.version = min(g.version for g in said)
-        for ident in sorted({i for g in said for i in g.entries}):
-            named = [g.entries[ident] for g in said if ident in g.entries]
-            if 2 * len(named) > len(said):
-                made.entries.append(agreed(named))
-        return made
-
-
-def agreed(named: list[Any]) -> Any:
-    """One entry of what several say of one server."""
-    made = type(named[0])()
-    made.CopyFrom(usual(named))
-    made.state = max(e.state for e in named)
-    made.started_ms = max(e.started_ms for e in named)
-    made.evidence = HEARSAY * min(EVIDENCE_MOST, median(e.evidence for e in named))
-    heard = [e for e in named if e.heard_ms_ago]
-    made.others_kb = median(e.others_kb for e in heard) if heard else 0.0
-    made.heard_ms_ago = max((e.heard_ms_ago for e in heard), default=0)
-    return made
-
-
-def usual(named: list[Any]) -> Any:
-    """Whoever says what most say of where and what it is."""
-
-    def same(entry: Any) -> tuple[Any, ...]:
+        result = Page(number=1, pages=1)
+        result.as_of_ms = min(s.as_of_ms for s in complete)
+        result.version = min(s.version for s in complete)
+        for server_id in sorted({i for s in complete for i in s.entries}):
+            named = [s.entries[server_id] for s in complete if server_id in s.entries]
+            if 2 * len(named) > len(complete):
+                result.entries.append(merge_entries(named))
+        return result
+
+
+def merge_entries(named: list[Any]) -> Any:
+    """One entry of what several fronts report about one server."""
+    merged = type(named[0])()
+    merged.CopyFrom(majority_entry(named))
+    merged.state = max(e.state for e in named)
+    merged.started_ms = max(e.started_ms for e in named)
+    merged.evidence = PEER_EVIDENCE_WEIGHT * min(MAX_EVIDENCE, median(e.evidence for e in named))
+    with_load = [e for e in named if e.heard_ms_ago]
+    merged.others_kb = median(e.others_kb for e in with_load) if with_load else 0.0
+    merged.heard_ms_ago = max((e.heard_ms_ago for e in with_load), default=0)
+    return merged
+
+
+def majority_entry(named: list[Any]) -> Any:
+    """The first entry with the address and properties that most of the entries have."""
+
+    def properties(entry: Any) -> tuple[Any, ...]:
         return entry.address, entry.kind, entry.weight, entry.zone, entry.cell
 
-    counts = [sum(same(other) == same(entry) for other in named) for entry in named]
+    counts = [sum(properties(other) == properties(entry) for other in named) for entry in named]
     return named[counts.index(max(counts))]
 
 
-class Giving:
-    """What this front gives away: `know` makes the pages, which are used for a second."""
+class PageServer:
+    """Serves pages to other fronts; `build` makes them, and they are used for a second."""
 
     def __init__(self, build: Callable[[], list[Any]]) -> None:
         self.build = build
-        self.made: list[Any] = []
-        self.made_at = -inf
-        self.room, self.at = GIVEN_PER_S, 0.0
-
-    def page(self, now: float, number: int) -> Any:
-        """None where there is nothing, or too much is asked."""
-        self.room = min(GIVEN_PER_S, self.room + max(0.0, now - self.at) / 1000 * GIVEN_PER_S)
-        self.at = max(self.at, now)
-        if self.room < 1:
+        self.pages: list[Any] = []
+        self.built_at = -inf
+        self.tokens, self.updated_at = PAGES_PER_S, 0.0
+
+    def get_page(self, now: float, number: int) -> Any:
+        """None if the page does not exist or the rate limit is exceeded."""
+        self.tokens = min(PAGES_PER_S, self.tokens + max(0.0, now - self.updated_at) / 1000 * PAGES_PER_S)
+        self.updated_at = max(self.updated_at, now)
+        if self.tokens < 1:
             return None
-        if now - self.made_at > 1000:
-            self.made, self.made_at = self.build(), now
-        self.room -= 1
-        return self.made[number - 1] if 1 <= number <= len(self.made) else None
+        if now - self.built_at > 1000:
+            self.pages, self.built_at = self.build(), now
+        self.tokens -= 1
+        return self.pages[number - 1] if 1 <= number <= len(self.pages) else None
