--- a/lemonhall/recovery/admission.py
+++ b/lemonhall/recovery/admission.py
@@ -3,7 +3,8 @@
 All viewers of a killed front reconnect within a second or two. A token bucket admits as many requests as the
 fleet's rate allows, highest worth first; requests that may still be admitted in time wait; the others are at
 once told when to retry, each at another time, so that they do not return together. Each wait ends after a
-share of the time that the request has left. """
+share of the time that the request has left.
+"""
 
 from __future__ import annotations
 
--- a/lemonhall/recovery/checkpoints.py
+++ b/lemonhall/recovery/checkpoints.py
@@ -8,7 +8,8 @@
 Guarantee: a copy is trusted only if no front that answers has received a checkpoint from after it. Where
 messages are delivered, the copy was then made within one period before the end of the previous incarnation
 or, if all fronts were killed together, within that period and `SAVE_INTERVAL_MS`. Where no front answers in
-time, this cannot be known, and nothing of the ledger is trusted. """
+time, this cannot be known, and nothing of the ledger is trusted.
+"""
 
 from __future__ import annotations
 
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -3,7 +3,8 @@
 
 Inputs are time, the server list, messages and the membership, and requests; outputs are messages, phases and
 results of requests. Messages carry the incarnation of their sender: a late message of an earlier incarnation
-is dropped. """
+is dropped.
+"""
 
 from __future__ import annotations
 
@@ -82,7 +83,7 @@
         self.number, self.fronts, self.random, self.timeouts = number, fronts, random, timeouts
         self.get_checkpoint, self.quota_per_s = get_checkpoint, quota_per_s
         self.incarnation = random.getrandbits(32)
-        self.started_at = self.now = now
+        self.created_at = self.now = now
         self.phases = PhaseTracker(now, timeouts, fronts - 1 if members else 0)
         self.gate = AdmissionGate(random, max_retry_ms)
         self.request_rate = rates.RequestRate(now)
@@ -313,7 +314,7 @@
             usual = self.stored.usual if self.stored.usual >= 0 else -1.0
         message = Words(
             life=self.incarnation,
-            age_ms=max(0, round(self.now - self.started_at)),
+            age_ms=max(0, round(self.now - self.created_at)),
             usual=usual,
             ask=ask,
             answer=answer,
@@ -388,9 +389,11 @@
         return {
             "phase": phases.phase.name.lower(),
             "since_s": round((now - phases.entered_at[phases.phase]) / 1000, 1),
-            "full_service_s": None if full_at is None else round((full_at - phases.started_at) / 1000, 2),
+            "full_service_s": None
+            if full_at is None
+            else round((full_at - phases.incarnation_started_at) / 1000, 2),
             "entered_s": {
-                p.name.lower(): round((at - phases.started_at) / 1000, 2)
+                p.name.lower(): round((at - phases.incarnation_started_at) / 1000, 2)
                 for p, at in phases.entered_at.items()
             },
             "lacks": {p.name.lower(): missing for p, missing in phases.missing.items()},
--- a/lemonhall/recovery/phases.py
+++ b/lemonhall/recovery/phases.py
@@ -1,19 +1,21 @@
 """The phases of a front's recovery, each with its evidence, its timeout and the safe assumption. Pure.
 
-    phase    entered with                                 at latest            safe assumption otherwise
+    phase    entered with                                 at latest            otherwise it is assumed that
     nothing  the start of an incarnation
-    listed   a list of this incarnation                   `list_ms`            the cached list, all servers cold
-    heard    all fronts that may exist are members, and   `report_ms` later    silent fronts are counted
+    listed   a list of this incarnation                   `list_ms`            the cached list holds, and all
+                                                                               servers are cold
+    heard    all fronts that may exist are members, and   `report_ms` later    silent fronts exist
              some have reported in this incarnation
-    agreed   the same members for `stable_ms`             `agreement_ms`       shares by the number in force
-                                                          later
+    agreed   the same members for `stable_ms`             `agreement_ms`       the number of fronts in force
+                                                          later                holds
     full     no request waited or was told to retry for   no timeout: nothing
              `calm_ms`; the list is of this incarnation;  waits for it
              `reconnect_ms` have passed
 
 No requests are admitted before `listed`; from there to `full` the gate's rate limit applies, for at most
 `rate_limit_ms`. Within an incarnation phases only advance. A front that was suspended for `SUSPENDED_MS`
-starts a new incarnation, because what it knew is outdated. """
+starts a new incarnation, because what it knew is outdated.
+"""
 
 from __future__ import annotations
 
@@ -79,7 +81,7 @@
 
     def start_incarnation(self, now: float) -> None:
         self.incarnations += 1
-        self.started_at = self.now = now
+        self.incarnation_started_at = self.now = now
         self.phase = Phase.NOTHING
         self.entered_at = {Phase.NOTHING: now}
         self.missing: dict[Phase, str] = {}
@@ -92,7 +94,7 @@
 
     def on_list(self, as_of: float) -> None:
         """A list, or an update of it, that was true at that time."""
-        self.has_fresh_list |= as_of >= self.started_at
+        self.has_fresh_list |= as_of >= self.incarnation_started_at
 
     def on_report(self, front: int) -> None:
         self.reporting_fronts.add(front)
@@ -115,7 +117,9 @@
             self.entered_at[self.phase] = now
             if ready_at > now:
                 self.missing[self.phase] = missing
-            entries.append(PhaseEntry(self.phase, now - self.started_at, missing if ready_at > now else ""))
+            entries.append(
+                PhaseEntry(self.phase, now - self.incarnation_started_at, missing if ready_at > now else "")
+            )
         return entries
 
     def next_phase(self) -> tuple[float, float, str]:
@@ -132,7 +136,9 @@
         if self.phase is Phase.HEARD:
             stable_at = self.members_changed_at + timeouts.stable_ms if self.other_fronts else now
             return stable_at, since + timeouts.agreement_ms, "the same fronts for a while"
-        reconnected_at = self.started_at + (timeouts.reconnect_ms if self.expects_reconnects else 0.0)
+        reconnected_at = self.incarnation_started_at + (
+            timeouts.reconnect_ms if self.expects_reconnects else 0.0
+        )
         return max(now, reconnected_at) if self.calm and self.has_fresh_list else inf, inf, "calm"
 
     def next_due_at(self) -> float:
@@ -143,4 +149,4 @@
 
     @property
     def rate_limited_until(self) -> float:
-        return self.started_at + self.timeouts.rate_limit_ms
+        return self.incarnation_started_at + self.timeouts.rate_limit_ms
--- a/lemonhall/recovery/rates.py
+++ b/lemonhall/recovery/rates.py
@@ -4,7 +4,8 @@
 (Poisson). A recovering fleet may double that peak and no more, which bounds the rate of the whole fleet. The
 share of each front follows half from its own usual request rate and half from the mean of all fronts, because
 viewers of a front that is still down reconnect to other fronts. The shares of all fronts never add up to more
-than the whole, as long as no front counts fewer fronts than there are (see members/front_count.py). """
+than the whole, as long as no front counts fewer fronts than there are (see members/front_count.py).
+"""
 
 from __future__ import annotations
 
--- a/lemonhall/recovery/server_pages.py
+++ b/lemonhall/recovery/server_pages.py
@@ -4,7 +4,8 @@
 or lying front can make a front miss servers or use wrong ones for a while, but never break a rule: servers
 named by more than half of the sources are taken over, with the more cautious of two states, the later of two
 starts, and the median of loads and evidence. The result counts like a cached list: as of another time, and
-replaced by the server list when that arrives. """
+replaced by the server list when that arrives.
+"""
 
 from __future__ import annotations
 
--- a/tests/recovery/test_checkpoints.py
+++ b/tests/recovery/test_checkpoints.py
@@ -1,4 +1,5 @@
-"""An older store is told by those who heard a later mark; the stated bound holds, and no more is promised."""
+"""An outdated store is detected by fronts that received a later checkpoint, within the guarantee of the
+module and no further."""
 
 from __future__ import annotations
 
@@ -7,54 +8,60 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonhall.recovery.checkpoints import Seen, StoreCheckpoint, StoreTrust, Witnesses, successors
+from lemonhall.recovery.checkpoints import (
+    CheckpointQuery,
+    PeerCheckpoints,
+    StoreCheckpoint,
+    StoreTrust,
+    ring_successors,
+)
 
 
-def judged(
-    mark: StoreCheckpoint, answers: list[StoreCheckpoint | None], others: int, now: float = 0.0
+def trust_of(
+    checkpoint: StoreCheckpoint, answers: list[StoreCheckpoint | None], other_fronts: int, now: float = 0.0
 ) -> StoreTrust:
-    made = Witnesses(mark, until=1000.0)
-    for n, seen in enumerate(answers, 1):
-        made.answer(n, seen)
-    return made.look(now, len(answers), others)
-
-
-def test_every_history_on_a_small_scope() -> None:
-    """Writes, words that come through or not, a copy; then the copy or the file is put back: every order."""
-    wrong = 0
-    for history in product(("write", "tell", "lost", "copy"), repeat=6):
-        count, copy, heard = 1, None, None
-        seen = Seen()
+    query = CheckpointQuery(checkpoint, until=1000.0)
+    for n, known in enumerate(answers, 1):
+        query.on_answer(n, known)
+    return query.evaluate(now, len(answers), other_fronts)
+
+
+def test_every_short_history_of_writes_messages_and_copies() -> None:
+    """All sequences of six steps; then the copy or the file itself is restored."""
+    wrongly_trusted = 0
+    for history in product(("write", "send", "lost", "copy"), repeat=6):
+        count, copied, received = 1, None, None
+        peer = PeerCheckpoints()
         for step in history:
             if step == "write":
                 count += 1
             elif step == "copy":
-                copy = count
-            elif step == "tell":
-                seen.hear(7, StoreCheckpoint(100, count))
-                heard = count
-        answer = seen.checkpoints.get(7)
-        assert judged(StoreCheckpoint(100, count), [answer], 1, 2000.0) in (
+                copied = count
+            elif step == "send":
+                peer.record(7, StoreCheckpoint(100, count))
+                received = count
+        answer = peer.checkpoints.get(7)
+        assert trust_of(StoreCheckpoint(100, count), [answer], 1, 2000.0) in (
             StoreTrust.SOUND,
             StoreTrust.UNKNOWN,
         )  # the file itself
-        if copy is not None and copy < count:
-            trust = judged(StoreCheckpoint(100, copy), [answer], 1, 2000.0)
-            if heard is None:
+        if copied is not None and copied < count:
+            trust = trust_of(StoreCheckpoint(100, copied), [answer], 1, 2000.0)
+            if received is None:
                 assert trust is StoreTrust.UNKNOWN
             else:
-                assert (trust is StoreTrust.OLDER) == (heard > copy)
-                wrong += trust is StoreTrust.SOUND
-    assert wrong  # what the bound excepts: a copy made after the last word that came through
+                assert (trust is StoreTrust.OLDER) == (received > copied)
+                wrongly_trusted += trust is StoreTrust.SOUND
+    assert wrongly_trusted  # outside the guarantee: copies made after the last message that arrived
 
 
-def test_a_store_that_was_lost_and_begun_anew_is_later_and_the_old_one_older() -> None:
-    seen = Seen()
-    seen.hear(7, StoreCheckpoint(100, 50))
-    seen.hear(7, StoreCheckpoint(900, 2))
-    seen.hear(7, StoreCheckpoint(100, 51))  # late words
-    assert judged(StoreCheckpoint(100, 60), [seen.checkpoints[7]], 1) is StoreTrust.OLDER
-    assert judged(StoreCheckpoint(900, 5), [seen.checkpoints[7]], 1) is StoreTrust.SOUND
+def test_a_newly_created_store_is_later_than_the_lost_one() -> None:
+    peer = PeerCheckpoints()
+    peer.record(7, StoreCheckpoint(100, 50))
+    peer.record(7, StoreCheckpoint(900, 2))
+    peer.record(7, StoreCheckpoint(100, 51))  # a late message
+    assert trust_of(StoreCheckpoint(100, 60), [peer.checkpoints[7]], 1) is StoreTrust.OLDER
+    assert trust_of(StoreCheckpoint(900, 5), [peer.checkpoints[7]], 1) is StoreTrust.SOUND
 
 
 @settings(max_examples=200)
@@ -63,36 +70,36 @@
     st.integers(1, 20),
     st.integers(1, 30),
 )
-def test_whoever_answers_and_in_whatever_order(
-    answers: list[StoreCheckpoint | None], count: int, others: int
+def test_the_result_does_not_depend_on_the_order_of_answers(
+    answers: list[StoreCheckpoint | None], count: int, other_fronts: int
 ) -> None:
-    mark = StoreCheckpoint(1, count)
-    at_end = judged(mark, answers, others, 2000.0)
+    checkpoint = StoreCheckpoint(1, count)
+    at_end = trust_of(checkpoint, answers, other_fronts, 2000.0)
     assert at_end is not StoreTrust.WAITING
-    later = any(a and a > mark for a in answers)
+    later = any(a and a > checkpoint for a in answers)
     assert (at_end is StoreTrust.OLDER) == later
     assert (at_end is StoreTrust.UNKNOWN) == (not any(answers))
-    assert judged(mark, answers[::-1], others, 2000.0) is at_end
+    assert trust_of(checkpoint, answers[::-1], other_fronts, 2000.0) is at_end
 
 
-def test_it_is_known_at_once_when_enough_have_said() -> None:
-    mark = StoreCheckpoint(1, 5)
-    assert judged(mark, [mark], 7) is StoreTrust.WAITING
-    assert judged(mark, [mark, None, mark], 7) is StoreTrust.WAITING
-    assert judged(mark, [mark] * 3, 7) is StoreTrust.SOUND
-    assert judged(mark, [mark], 1) is StoreTrust.SOUND
-    assert judged(mark, [None, StoreCheckpoint(1, 6)], 7) is StoreTrust.OLDER
+def test_the_result_is_known_as_soon_as_enough_fronts_have_answered() -> None:
+    checkpoint = StoreCheckpoint(1, 5)
+    assert trust_of(checkpoint, [checkpoint], 7) is StoreTrust.WAITING
+    assert trust_of(checkpoint, [checkpoint, None, checkpoint], 7) is StoreTrust.WAITING
+    assert trust_of(checkpoint, [checkpoint] * 3, 7) is StoreTrust.SOUND
+    assert trust_of(checkpoint, [checkpoint], 1) is StoreTrust.SOUND
+    assert trust_of(checkpoint, [None, StoreCheckpoint(1, 6)], 7) is StoreTrust.OLDER
 
 
-def test_those_that_are_told_are_those_that_are_asked() -> None:
+def test_checkpoints_go_to_the_fronts_that_are_queried_later() -> None:
     members = [0, 3, 5, 8, 11]
-    assert successors(5, members, 3) == [8, 11, 0]
-    assert successors(11, members, 9) == [0, 3, 5, 8]
-    assert successors(5, [5], 3) == []
+    assert ring_successors(5, members, 3) == [8, 11, 0]
+    assert ring_successors(11, members, 9) == [0, 3, 5, 8]
+    assert ring_successors(5, [5], 3) == []
 
 
-def test_what_is_remembered_has_an_end() -> None:
-    seen = Seen()
+def test_the_number_of_kept_checkpoints_is_bounded() -> None:
+    peer = PeerCheckpoints()
     for n in range(10_000):
-        seen.hear(n, StoreCheckpoint(1, 1))
-    assert len(seen.checkpoints) == 4096
+        peer.record(n, StoreCheckpoint(1, 1))
+    assert len(peer.checkpoints) == 4096
