--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -204,7 +204,7 @@
         self.held_verdicts[ask.number] = verdict
         made = self.recovery.request_admission(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
         if made:
-            self.release_held_request(made.number, made.pause_ms)
+            self.release_held_request(made.request_id, made.retry_after_ms)
 
     def release_held_request(self, number: int, pause_ms: float | None) -> None:
         """An ask that was held back: on with it, or it is wished away with a pause."""
@@ -250,11 +250,11 @@
         said = ask.said
         moved = said.session if said.moved else ""
         ruling = limits.reserve(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
-        advice = i.Advice(cap=ruling.cap)
-        if ruling.refused:
+        advice = i.Advice(cap=ruling.rung_cap)
+        if ruling.refused_by:
             self.counts["over_limit"] += 1
-            ask.reason = f"limit {ruling.refused}"
-            advice = i.Advice(refuse=True, pause_ms=max(1.0, ruling.pause_ms))
+            ask.reason = f"limit {ruling.refused_by}"
+            advice = i.Advice(refuse=True, pause_ms=max(1.0, ruling.retry_after_ms))
         ask.advice = merge(ask.advice, advice)
 
     def new_session(self, ask: Ask, left_ms: float, ran: bool) -> i.NewSession:
--- a/lemonhall/front/decider/zones.py
+++ b/lemonhall/front/decider/zones.py
@@ -9,11 +9,11 @@
 import structlog
 
 from lemonhall import interface as i
-from lemonhall.halls import Halls, Order
 from lemonhall.interface import Outcome
 from lemonhall.loop import Loop, Timer
-from lemonhall.members.machine import View
+from lemonhall.members.machine import MembershipView
 from lemonhall.members.members_pb2 import HALLS, Message
+from lemonhall.zones import OperatorOverride, ZoneFailover
 
 log = structlog.get_logger("lemonhall.front")
 TICK_PART = 0.5  # of a period of words: evidence is looked at this often
@@ -39,7 +39,7 @@
         self,
         loop: Loop,
         now: Callable[[], float],
-        machine: Halls,
+        machine: ZoneFailover,
         cells: int,
         wall: Callable[[], float],
         messenger: Carrier | None,
@@ -64,19 +64,19 @@
     # what is seen
 
     def on_server_list(self, servers: list[i.Server], fresh: bool) -> None:
-        self.machine.listed(self.now(), servers, fresh)
+        self.machine.on_list(self.now(), servers, fresh)
         self.report_changes()
 
-    def update_members(self, view: View) -> None:
+    def update_members(self, view: MembershipView) -> None:
         self.machine.members = view.members
 
     def on_outcome(self, server: int, outcome: Outcome) -> None:
-        self.machine.seen(self.now(), server, outcome)
+        self.machine.on_attempt_result(self.now(), server, outcome)
 
     def on_message(self, message: Any) -> None:
-        self.machine.hear(self.now(), message.sender, message.halls)
+        self.machine.receive(self.now(), message.sender, message.halls)
         self.report_changes()
-        if self.machine.answer:
+        if self.machine.pending_replies:
             self.send(self.machine.tick(self.now()))
 
     # asks
@@ -85,20 +85,20 @@
         row = None
         if cells < self.cells:
             row = frozenset((first + n) % self.cells for n in range(cells))
-        ruling = self.machine.ask(self.now(), ask, cls, row)
-        return i.Advice(prefer=ruling.prefer, cap=ruling.cap, bars=ruling.bars)
+        ruling = self.machine.choose_zones(self.now(), ask, cls, row)
+        return i.Advice(prefer=ruling.preferred, cap=ruling.rung_cap, bars=ruling.barred)
 
     def on_set_up(self, ask: int, server: int) -> None:
-        self.machine.set_up(self.now(), ask, server)
+        self.machine.on_set_up(self.now(), ask, server)
 
     def on_playing(self, ask: int, server: int) -> None:
-        self.machine.playing(self.now(), ask, server)
+        self.machine.on_playing(self.now(), ask, server)
 
     def adopt_session(self, ask: int, cls: int, rung: int, server: int) -> None:
-        self.machine.carried(self.now(), ask, cls, rung, server)
+        self.machine.restore_session(self.now(), ask, cls, rung, server)
 
     def on_session_over(self, ask: int) -> None:
-        self.machine.over(self.now(), ask)
+        self.machine.release(self.now(), ask)
 
     # words
 
@@ -107,11 +107,11 @@
         self.report_changes()
         for ask in self.take_moves():
             self.on_move_home(ask)
-        self.timer = self.loop.call_later(TICK_PART * self.machine.period() / 1000, self.on_tick)
+        self.timer = self.loop.call_later(TICK_PART * self.machine.message_period_ms() / 1000, self.on_tick)
 
     def take_moves(self) -> list[int]:
         """Asks that had better come home, each told once."""
-        found, self.machine.moves = self.machine.moves, []
+        found, self.machine.pending_moves = self.machine.pending_moves, []
         return found
 
     def send(self, words: list[Any]) -> None:
@@ -121,11 +121,11 @@
         if not self.machine.dirty:
             self.send_now(words)
         elif self.store is None:
-            self.machine.to_keep()
+            self.machine.serialize()
             self.send_now(words)
         else:
             self.store.save_zones(
-                self.machine.to_keep(), lambda why: self.send_now(words) if not why else None
+                self.machine.serialize(), lambda why: self.send_now(words) if not why else None
             )
 
     def send_now(self, words: list[Any]) -> None:
@@ -137,24 +137,24 @@
             )
 
     def report_changes(self) -> None:
-        changes, self.machine.changes = self.machine.changes, []
+        changes, self.machine.state_changes = self.machine.state_changes, []
         for change in changes:
-            log.warning("hall", hall=change.hall, state=change.state.name.lower(), why=change.why)
-            self.record_event(f"{change.hall} is {change.state.name.lower()}: {change.why}")
+            log.warning("hall", hall=change.zone, state=change.state.name.lower(), why=change.reason)
+            self.record_event(f"{change.zone} is {change.state.name.lower()}: {change.reason}")
 
     # operators
 
     def page(self) -> tuple[int, str, bytes]:
-        shown = self.machine.show(self.now())
+        shown = self.machine.status(self.now())
         return 200, "application/json", json.dumps(shown).encode() + b"\n"
 
-    def order(self, hall: str, what: Order) -> tuple[int, str, bytes]:
+    def order(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
         """An operator's order, which goes to all fronts and is kept over a restart."""
-        names = self.machine.plan.halls
+        names = self.machine.settings.zones
         if hall not in names:
             return 404, "text/plain", f"no hall {hall!r}; there are {' '.join(names)}\n".encode()
-        self.machine.order(names.index(hall), what, self.wall() * 1000)
-        self.machine.answer |= set(self.machine.members) - {self.machine.number}
+        self.machine.set_override(names.index(hall), what, self.wall() * 1000)
+        self.machine.pending_replies |= set(self.machine.members) - {self.machine.number}
         self.send(self.machine.tick(self.now()))
         self.report_changes()
         return self.page()
--- a/lemonhall/front/guarding/guard.py
+++ b/lemonhall/front/guarding/guard.py
@@ -126,8 +126,8 @@
             else "",
             "born_ms": d.list_client.server_list.front_started_ms,
             "clock": [d.start_wall_ms, d.start],
-            "fleet": list(d.membership.share.told) if d.membership else None,
-            "limits": handover.text(d.set_up_requests.limits.machine.escrow.state())
+            "fleet": list(d.membership.share.reported) if d.membership else None,
+            "limits": handover.text(d.set_up_requests.limits.machine.escrow.handover_state())
             if d.set_up_requests.limits
             else "",
         }
@@ -265,7 +265,7 @@
     def ended(self) -> None:
         self.carry_out(self.taker.gone())
         if self.daemon.set_up_requests.limits:
-            self.daemon.set_up_requests.limits.machine.carried_all()
+            self.daemon.set_up_requests.limits.machine.finish_handover()
         if self.taker.serving:
             log.info("the old front has ended", viewers=self.took)
 
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -15,7 +15,7 @@
 from lemonhall import interface as i
 from lemonhall.config.settings import StoreSettings
 from lemonhall.loop import Loop, Timer
-from lemonhall.recovery import Mark
+from lemonhall.recovery import StoreCheckpoint
 from lemonhall.store import (
     BadRecord,
     Hold,
@@ -158,21 +158,23 @@
         self.writer = Writer(self.loop, self.store)
 
     @property
-    def checkpoint(self) -> Mark:
+    def checkpoint(self) -> StoreCheckpoint:
         """How far the store is written; a later mark of this front's is greater."""
-        return Mark(int(self.store.about.made_ms), self.store.commits)
+        return StoreCheckpoint(int(self.store.about.made_ms), self.store.commits)
 
-    def reject_store(self, later: Mark | None) -> None:
+    def reject_store(self, later: StoreCheckpoint | None) -> None:
         """The store is not the last one (others heard of `later`), or nobody can say so: nothing of its
         ledger is used, before anything was. What may be believed by its age is kept; an older file is put
         aside."""
         draw = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            why = f"others heard of it up to commit {later.count}, it has {self.checkpoint.count}"
+            why = (
+                f"others heard of it up to commit {later.commit_count}, it has {self.checkpoint.commit_count}"
+            )
             names = (("list", LIST), ("learned", MEMORY), ("learned", RETURN))
             kept = [(t, k, v, ANYTHING) for t, k in names if (v := self.store.raw(t, k)) is not None]
-            aside = self.store.renew("older", draw, max(int(self.wall() * 1000), later.made_ms + 1))
+            aside = self.store.renew("older", draw, max(int(self.wall() * 1000), later.created_ms + 1))
             self.open_ledger()
             self.store.commit(kept)
             means = f"kept as {aside.name}; "
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/shown.py
@@ -20,9 +20,9 @@
 from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.process import status
 from lemonhall.front.viewers.worker import Worker
-from lemonhall.halls import Order
 from lemonhall.loop import Loop
 from lemonhall.recovery import Phase
+from lemonhall.zones import OperatorOverride
 
 SET_UP_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)  # the steps of the histogram
 
@@ -73,8 +73,8 @@
             "/limits": self.limits_page,
         }
         acts: dict[str, status.Act] = {
-            "/halls/hold": lambda hall: self.order_hall(hall, Order.HOLD),
-            "/halls/release": lambda hall: self.order_hall(hall, Order.NONE),
+            "/halls/hold": lambda hall: self.order_hall(hall, OperatorOverride.HOLD),
+            "/halls/release": lambda hall: self.order_hall(hall, OperatorOverride.NONE),
             "/limits/forget": self.forget_front,
         }
         return status.serve(self.front.loop, pages, acts)
@@ -117,7 +117,7 @@
             return 404, "text/plain", b"no spill in the settings\n"
         return self.front.set_up_requests.zones.page()
 
-    def order_hall(self, hall: str, what: Order) -> tuple[int, str, bytes]:
+    def order_hall(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
         if self.front.set_up_requests.zones is None:
             return 404, "text/plain", b"no spill in the settings\n"
         return self.front.set_up_requests.zones.order(unquote(hall.removeprefix("hall=")), what)
@@ -151,7 +151,7 @@
         held = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
         refused = CounterMetricFamily("lemonhall_limit_refused", "Told that it is full", labels=["limit"])
         if desk := self.front.set_up_requests.limits:
-            for told in desk.machine.show(desk.now())["limits"]:
+            for told in desk.machine.status(desk.now())["limits"]:
                 refused.add_metric([told["limit"]], told["refused"])
                 for what in ("goes_by", "used", "held", "borrowed", "lent", "needed", "others", "off_most"):
                     if what in told:
