--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -17,7 +17,7 @@
 
 from lemonhall.boxlist import Box, State, Update, delimit
 from lemonhall.loop import Handler, Loop, Stream, listen
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 from lemonhall.rtsp import Frames, Parser, Request, Response, rtp
 from lemonhall.rtsp.messages import make_request
 from lemonhall.rtsp.parser import frame, split_frames
@@ -44,9 +44,9 @@
         self.block = packets(64)
         self.sent = 0
         self.timer: Any = None
-        self.stream = Stream(loop, sock, self, high=1 << 20)
+        self.stream = Stream(loop, sock, self, high_watermark=1 << 20)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
                 self.respond(event)
@@ -76,13 +76,13 @@
         self.sent += 1
 
     def pour(self) -> None:
-        while self.stream.open and not (self.stream.closing or self.stream.was_full):
+        while self.stream.open and not (self.stream.closing or self.stream.above_high_watermark):
             self.stream.write(self.block)
 
-    def drained(self) -> None:
+    def on_backlog_drained(self) -> None:
         self.pour()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if self.timer:
             self.timer.cancel()
 
@@ -119,7 +119,7 @@
             self.stream = Stream(loop, sock, self)
             kept.append(self.stream)
 
-        def data(self, view: memoryview) -> None:
+        def on_data(self, view: memoryview) -> None:
             head = f"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{len(body):x}\r\n"
             self.stream.write(head.encode() + body + b"\r\n")
 
@@ -145,11 +145,11 @@
         url = f"{self.url}/trackID=0" if method == "SETUP" else self.url
         self.stream.write(make_request(method, url, self.cseq, *session, *headers).encode())
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.asked = self.loop.now()
         self.send("SETUP", ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Response):
                 if self.cseq == 1:
@@ -166,7 +166,7 @@
         self.send("TEARDOWN")
         self.stream.close()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if not self.seen:
             self.refused = self.seen = True
             self.played(self, -1.0)
@@ -232,7 +232,7 @@
             orders.sendall((word + chr(10)).encode())
 
     threading.Thread(target=pass_on, daemon=True).start()
-    loop.watch(inbox, READ, lambda _: [go(w) for w in inbox.recv(4096).decode().split()])
+    loop.watch_socket(inbox, READ, lambda _: [go(w) for w in inbox.recv(4096).decode().split()])
     if keep:
         hold()
     else:
@@ -311,7 +311,7 @@
             orders.sendall((word + chr(10)).encode())
 
     threading.Thread(target=pass_on, daemon=True).start()
-    loop.watch(inbox, READ, lambda _: [go(w) for w in inbox.recv(4096).decode().split()])
+    loop.watch_socket(inbox, READ, lambda _: [go(w) for w in inbox.recv(4096).decode().split()])
     more()
     loop.run()
 
@@ -373,7 +373,7 @@
         self.server: Stream | None = None
         self.stream = Stream(loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.asked += 1
         if self.asked == 1:
             self.stream.write(self.OK % 1)
@@ -383,7 +383,7 @@
             self.server.write(self.DOWN)
             self.stream.write(self.OK % 3)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if self.server:
             self.server.close()
 
@@ -392,11 +392,11 @@
     def __init__(self, viewer: BareViewer) -> None:
         self.viewer, self.heard = viewer, 0
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         assert self.viewer.server
         self.viewer.server.write(self.viewer.SETUP)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.heard += 1
         assert self.viewer.server
         if self.heard == 1:
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -63,7 +63,7 @@
         self.fleet, self.parser = fleet, Parser()
         self.stream = Stream(fleet.loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
                 self.respond(event)
@@ -103,13 +103,13 @@
         self.timer = fleet.loop.call_later(7.0, self.again)
         self.stream = Stream.connect(fleet.loop, ("127.0.0.1", port), self, 1.0)
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         claim = [("X-Claim", self.token)] if self.token and not self.fleet.forget else []
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
         request = make_request("SETUP", f"{self.url}/trackID=0", 1, transport, *claim)
         self.stream.write(request.encode())
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Response) and not self.over:
                 self.on_response(event)
@@ -127,7 +127,7 @@
             self.fleet.answers[response.status] += 1
             self.again() if response.status in (453, 503) else self.end()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if not self.over:
             self.fleet.cut += self.asked
             self.again()
@@ -195,13 +195,13 @@
         assert out
 
         def said(_: int) -> None:
-            self.loop.watch(out, 0, said)
+            self.loop.watch_socket(out, 0, said)
             line = out.readline()
             if line:
                 self.ports[n] = int(json.loads(line)["serving"].rpartition(":")[2])
                 self.loop.call_later(self.random.uniform(0.2, 0.9), self.kill, n)
 
-        self.loop.watch(out, 1, said)
+        self.loop.watch_socket(out, 1, said)
 
     def kill(self, n: int) -> None:
         if self.killed >= self.kills:
@@ -279,7 +279,7 @@
         self.loop, self.every_s, self.parser, self.sequence = loop, every_s, Parser(), 0
         self.stream = Stream(loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
                 transport = f"Transport: {event.headers.get('Transport')}\r\n" * (event.method == "SETUP")
@@ -325,11 +325,11 @@
         self.url = f"rtsp://127.0.0.1:{port}/browse/{number}"
         self.stream = Stream.connect(loop, ("127.0.0.1", port), self, 5.0)
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
         self.stream.write(make_request("SETUP", f"{self.url}/trackID=0", 1, transport).encode())
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Response) and event.cseq == "1":
                 self.stream.write(make_request("PLAY", self.url, 2, ("Session", event.session)).encode())
@@ -344,7 +344,7 @@
                     self.sequence = sequence
                     at += 4 + size
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.lost = True
 
     def gap(self, since: float, until: float) -> float:
@@ -378,7 +378,7 @@
         )
         gone = os.pidfd_open(pid)
         ended: list[bool] = []
-        loop.watch(gone, 1, lambda _: (ended.append(True), loop.watch(gone, 0, lambda _: None)))
+        loop.watch_socket(gone, 1, lambda _: (ended.append(True), loop.watch_socket(gone, 0, lambda _: None)))
         began = loop.now()
         loop.run(until=lambda: bool(ended))
         took = (began, loop.now())
--- a/lemonhall/cli/serve.py
+++ b/lemonhall/cli/serve.py
@@ -75,7 +75,7 @@
         relieve(daemon, settings)
     else:
         opened(daemon, settings)
-    daemon.loop.on_signal(signal.SIGINT, daemon.stop)
+    daemon.loop.add_signal_handler(signal.SIGINT, daemon.stop)
     say({"serving": daemon.host})
     run(daemon)
     if limits := daemon.asks.limits:
@@ -189,7 +189,7 @@
         signal.SIGUSR1: daemon.drain,
         signal.SIGHUP: daemon.reload,
     }.items():
-        daemon.loop.on_signal(number, act)
+        daemon.loop.add_signal_handler(number, act)
     daemon.hooks.on_load = lambda fine: say({"hooks": fine})
     if folder := os.environ.get(DEAF):
         if daemon.asks.returning:
--- a/lemonhall/day/children.py
+++ b/lemonhall/day/children.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lemonhall.loop import Loop
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 
 Said = Callable[[dict[str, Any]], None]
 
@@ -48,15 +48,15 @@
         self.on_end = ended
         assert self.process.stdout
         os.set_blocking(self.process.stdout.fileno(), False)
-        loop.watch(self.process.stdout, READ, self.on_ready)
-        loop.on_child(self.process.pid, self.ended)
+        loop.watch_socket(self.process.stdout, READ, self.on_ready)
+        loop.add_child_handler(self.process.pid, self.ended)
 
     def on_ready(self, _: int) -> None:
         assert self.process.stdout
         data = self.process.stdout.read(65536)
         if not data:
             if data == b"":
-                self.loop.watch(self.process.stdout, 0, self.on_ready)
+                self.loop.watch_socket(self.process.stdout, 0, self.on_ready)
             return
         self.kept += data
         while (end := self.kept.find(b"\n")) >= 0:
--- a/lemonhall/front/deciding/listclient.py
+++ b/lemonhall/front/deciding/listclient.py
@@ -130,14 +130,14 @@
 
     # the stream's side
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         assert self.stream
         self.stream.write(
             f"GET {self.path} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n"
             f"User-Agent: lemonhall/{self.name}\r\nAccept: application/x-protobuf\r\n\r\n".encode()
         )
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         assert self.parser and self.stream
         try:
             self.parser.feed_data(view)
@@ -167,7 +167,7 @@
                 self.cache_due = True
                 self.loop.call_later(CACHE_EVERY_S, self.save_cache)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.stream = None
         self.fresh = False
         if self.wanted:
--- a/lemonhall/front/deciding/membership.py
+++ b/lemonhall/front/deciding/membership.py
@@ -15,7 +15,7 @@
 
 from lemonhall import interface as i
 from lemonhall.loop import Loop, Timer
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 from lemonhall.members import BadSeal, Config, Keys, Machine, Send
 from lemonhall.members.machine import State as MemberState
 from lemonhall.members.machine import View
@@ -105,7 +105,7 @@
         self.on_share: Callable[[int], object] = lambda fronts: None  # that shares go by
         self.deaf_to: set[int] = set()  # for tests: ports that nothing is heard from
         self.on_view: Callable[[View], object] = lambda view: None
-        loop.watch(self.sock, READ, self.on_ready)
+        loop.watch_socket(self.sock, READ, self.on_ready)
         self.send(self.machine.start(self.now_ms()))
         self.arm()
 
@@ -198,10 +198,10 @@
         """Says and hears nothing, while it is not clear who is this front."""
         if self.timer:
             self.timer.cancel()
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
 
     def resume(self) -> None:
-        self.loop.watch(self.sock, READ, self.on_ready)
+        self.loop.watch_socket(self.sock, READ, self.on_ready)
         self.arm()
 
     def say_leaving(self) -> None:
@@ -217,7 +217,7 @@
         if self.timer:
             self.timer.cancel()
         if self.sock.fileno() >= 0:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
             self.sock.close()
 
     def page(self) -> tuple[int, str, bytes]:
--- a/lemonhall/front/deciding/peers.py
+++ b/lemonhall/front/deciding/peers.py
@@ -8,7 +8,7 @@
 
 from lemonhall import interface as i
 from lemonhall.loop import Loop
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 
 HEADER = struct.Struct(">BH")
 MAGIC = 0x4C
@@ -45,7 +45,7 @@
         if sock is None:
             self.sock.bind(listen)
         self.strange = 0  # datagrams that were none of ours
-        loop.watch(self.sock, READ, self.on_ready)
+        loop.watch_socket(self.sock, READ, self.on_ready)
 
     def send(self, action: i.TellPeers) -> None:
         """A message that cannot leave is lost, like one that is lost on its way."""
@@ -72,5 +72,5 @@
             self.tell(i.PeerMessage(*got))
 
     def close(self) -> None:
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
         self.sock.close()
--- a/lemonhall/front/guarding/giving.py
+++ b/lemonhall/front/guarding/giving.py
@@ -99,7 +99,7 @@
 
     def close_listener(self) -> None:
         if self.listener:
-            self.loop.watch(self.listener, 0, self.accept)
+            self.loop.watch_socket(self.listener, 0, self.accept)
             self.listener.close()
             self.listener = None
 
--- a/lemonhall/front/guarding/handover.py
+++ b/lemonhall/front/guarding/handover.py
@@ -65,11 +65,11 @@
 
 def pack_stream(stream: Stream) -> Packed:
     return {
-        "out": text(b"".join(bytes(part) for part in stream.out)),
-        "written": stream.written,
-        "read": stream.read,
-        "paused": stream.paused,
-        "was_full": stream.was_full,
+        "out": text(b"".join(bytes(part) for part in stream.send_queue)),
+        "written": stream.bytes_written,
+        "read": stream.bytes_read,
+        "paused": stream.reading_paused,
+        "was_full": stream.above_high_watermark,
         "stalled_since": stream.stalled_since,
     }
 
@@ -155,12 +155,12 @@
 
 def unpack_stream(daemon: Daemon, packed: Packed, fd: int, handler: Handler, high: int) -> Stream:
     """As it was, but frozen."""
-    stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, frozen=True)
+    stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, io_suspended=True)
     if waiting := base64.b64decode(packed["out"]):
-        stream.out = deque([memoryview(waiting)])
-        stream.backlog = len(waiting)
-    stream.written, stream.read = packed["written"], packed["read"]
-    stream.paused, stream.was_full = packed["paused"], packed["was_full"]
+        stream.send_queue = deque([memoryview(waiting)])
+        stream.backlog_bytes = len(waiting)
+    stream.bytes_written, stream.bytes_read = packed["written"], packed["read"]
+    stream.reading_paused, stream.above_high_watermark = packed["paused"], packed["was_full"]
     stream.stalled_since = packed["stalled_since"]
     return stream
 
@@ -263,10 +263,10 @@
             worker.asks[ask.number] = ask
             worker.tell(ask)
     for stream in streams(viewer):
-        stream.thaw()
+        stream.resume_io()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
     viewer.watch_head()
-    if viewer.stream.was_full:
+    if viewer.stream.above_high_watermark:
         daemon.loop.call_later(viewer.limits.stalled_ms / 1000, viewer.check_stalled)
 
 
@@ -276,7 +276,7 @@
     if viewer.head_timer:
         viewer.head_timer.cancel()
     for stream in streams(viewer):
-        stream.let_go()
+        stream.detach()
 
 
 # at the front that is relieved
@@ -289,7 +289,7 @@
         viewer.head_timer.cancel()
         viewer.head_timer = None
     for stream in streams(viewer):
-        stream.freeze()
+        stream.suspend_io()
     for session in viewer.sessions.values():
         if session.ask:
             daemon.worker.asks.pop(session.ask.number, None)
@@ -301,7 +301,7 @@
         if session.ask and session.state is State.PLAYING:
             daemon.worker.asks[session.ask.number] = session.ask
     for stream in streams(viewer):
-        stream.thaw()
+        stream.resume_io()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
     viewer.watch_head()
 
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -69,7 +69,7 @@
         self.reload_timer: Timer | None = None
         self.end_after_s = bounds.end_after_term_s(max(told.names.deadlines_ms) / 1000)
         loop.on_error = self.fault
-        loop.after_pass.append(self.flush)
+        loop.end_of_pass_callbacks.append(self.flush)
         self.tell_list(i.ListKind.CACHED, told.seq, tuple(told.servers.values()), ())
         self.bridge.call()
         self.resolver = Resolver(loop, told.dns, told.seq, self.random, self.on_list, self.counts, log.say)
@@ -192,8 +192,8 @@
         """Words that the kernel has not taken yet, or that wait for a connection which is coming up."""
         servers = self.servers.by_id.values()
         return (
-            any(viewer.stream.backlog for viewer in self.viewers.links)
-            or any(link.stream.backlog for server in servers for link in server.links)
+            any(viewer.stream.backlog_bytes for viewer in self.viewers.links)
+            or any(link.stream.backlog_bytes for server in servers for link in server.links)
             or any(server.orders and server.links for server in servers)
         )
 
@@ -218,7 +218,7 @@
             viewer.finish(bounds.LINGER_END_S)
         for server in list(self.servers.by_id.values()):
             for link in list(server.links):
-                link.stream.finish(bounds.LINGER_END_S)
+                link.stream.close_lingering(bounds.LINGER_END_S)
         self.loop.call_later(bounds.LINGER_END_S, self.loop.stop)
 
     # upkeep
@@ -269,8 +269,8 @@
             node.stop()
 
     # Before anything else, since neither signal may end the process while it starts.
-    loop.on_signal(signal.SIGHUP, on_hup)
-    loop.on_signal(signal.SIGTERM, on_term)
+    loop.add_signal_handler(signal.SIGHUP, on_hup)
+    loop.add_signal_handler(signal.SIGTERM, on_term)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     try:
         with open(path, encoding="utf-8") as file:
--- a/lemonhall/front/node/resolver.py
+++ b/lemonhall/front/node/resolver.py
@@ -8,7 +8,7 @@
 from random import Random
 
 from lemonhall.loop import Loop, Timer
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 from lemonhall.node import bounds, records
 from lemonhall.node.records import Listed, Spoilt
 
@@ -53,7 +53,7 @@
 
     def shut(self) -> None:
         if self.sock:
-            self.loop.watch(self.sock, 0, self.ready)
+            self.loop.watch_socket(self.sock, 0, self.ready)
             self.sock.close()
             self.sock = None
 
@@ -64,7 +64,7 @@
                 self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 self.sock.setblocking(False)
                 self.sock.connect(self.address)  # from the asked address only
-                self.loop.watch(self.sock, READ, self.ready)
+                self.loop.watch_socket(self.sock, READ, self.ready)
             self.ident = self.random.randrange(1 << 16)
             self.counts["asked_resolver"] += 1
             self.sock.send(records.question(self.ident, SERVICE))
--- a/lemonhall/front/node/servers.py
+++ b/lemonhall/front/node/servers.py
@@ -36,16 +36,16 @@
             desk.loop, server.address, self, desk.connect_s, bounds.BACKLOG_BYTES, bounds.GULP_BYTES
         )
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.up = True
         self.used = self.server.desk.loop.now()
         self.server.link_up(self)
 
-    def full(self) -> None:
+    def on_backlog_full(self) -> None:
         # A server that reads nothing any more: what was written may have run, the rest waits for nobody.
         self.stream.abort()
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         desk = self.server.desk
         self.used = desk.loop.now()
         self.lines.feed(view)
@@ -61,7 +61,7 @@
             self.stream.abort()
         self.server.serve_waiting()  # a set-up that has ended leaves room
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.server.link_closed(self, reason)
 
     def send(self, line: bytes) -> None:
@@ -74,18 +74,18 @@
             self.ends.append((self.used, ref, line))
 
     def put(self, attempt: Attempt, line: bytes) -> None:
-        attempt.link, attempt.offset = self, self.stream.written + self.stream.backlog
+        attempt.link, attempt.offset = self, self.stream.bytes_written + self.stream.backlog_bytes
         attempt.line = line
         self.open[attempt.session.ref] = attempt
         self.send(line)
 
     def left(self, attempt: Attempt) -> bool:
         """Whether any byte of it was handed to the kernel: if none was, it provably never ran."""
-        return self.stream.written > attempt.offset
+        return self.stream.bytes_written > attempt.offset
 
     def take_back(self, attempt: Attempt) -> bool:
         """Takes a set-up out of the backlog of which no byte has left; whether that was still so."""
-        if self.left(attempt) or not self.stream.take_back(attempt.line):
+        if self.left(attempt) or not self.stream.cancel_write(attempt.line):
             return False
         for other in self.open.values():
             if other.offset > attempt.offset:
@@ -126,7 +126,7 @@
             fresh = now - link.used < bounds.IDLE_PART * desk.idle_s  # else it may be closing at this moment
             able = link.up and link.address == self.address and fresh and len(link.open) < desk.streams
             # What is written after the server's close may have run for all that we could prove: read first.
-            if able and link.stream.look():
+            if able and link.stream.read_pending():
                 return link
         return None
 
@@ -296,7 +296,9 @@
         for link in list(self.links):
             if self.idle(link, now):
                 if not self.standing or any(o is not link and o.up for o in self.links):
-                    if link.stream.look() and self.idle(link, now):  # a word of the server's may lie there
+                    if link.stream.read_pending() and self.idle(
+                        link, now
+                    ):  # a word of the server's may lie there
                         link.stream.close()
                 elif not any(not other.up for other in self.links):
                     self.dial()  # first the new line, then the old one goes
@@ -365,7 +367,9 @@
         self.by_id.pop(server.id, None)
         self.by_number.pop(server.number, None)
         for link in list(server.links):
-            link.stream.finish(bounds.LINGER_S)  # the last word there may be an end that has to arrive
+            link.stream.close_lingering(
+                bounds.LINGER_S
+            )  # the last word there may be an end that has to arrive
 
     def hear(self, link: Link, message: object) -> None:
         if isinstance(message, Up):
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -170,7 +170,7 @@
             return  # it is ended by us: what was written to it still goes out
         unsent, viewer.unsent = viewer.unsent, []
         for end, session in unsent:
-            if session.standing and end > viewer.stream.written:  # its answer never left whole
+            if session.standing and end > viewer.stream.bytes_written:  # its answer never left whole
                 self.counts["up_undelivered"] += 1
                 self.cut(session, ENDED_BY_VIEWER)
                 self.over(session, Outcome.CANCELLED)
@@ -251,9 +251,9 @@
         if viewer is None or not viewer.usable:
             return False
         viewer.send(line)
-        if viewer.usable and viewer.stream.backlog:
-            viewer.unsent = [(end, s) for end, s in viewer.unsent if end > viewer.stream.written]
-            viewer.unsent.append((viewer.stream.written + viewer.stream.backlog, session))
+        if viewer.usable and viewer.stream.backlog_bytes:
+            viewer.unsent = [(end, s) for end, s in viewer.unsent if end > viewer.stream.bytes_written]
+            viewer.unsent.append((viewer.stream.bytes_written + viewer.stream.backlog_bytes, session))
         return viewer.usable
 
     def server_down(self, link: Link, down: Down) -> None:
--- a/lemonhall/front/node/viewers.py
+++ b/lemonhall/front/node/viewers.py
@@ -9,7 +9,7 @@
 
 from lemonhall.front.node.session import Session
 from lemonhall.loop import Handler, Loop, Stream, listen
-from lemonhall.loop.stream import BACKLOG, take_queued
+from lemonhall.loop.stream import LISTEN_BACKLOG, accept_queued
 from lemonhall.node import bounds, messages
 from lemonhall.node.lines import Lines, TooLong
 from lemonhall.node.messages import Ack, Bad, Down, Names, NewSetUp, Test
@@ -33,9 +33,9 @@
         self.useful = False  # it brought a message that could be used
         self.proven = False  # a session came to stand through it: whoever is there reads releases
         self.bad = 0
-        self.stream = Stream(desk.loop, sock, self, bounds.BACKLOG_BYTES, gulp=bounds.GULP_BYTES)
+        self.stream = Stream(desk.loop, sock, self, bounds.BACKLOG_BYTES, max_read_bytes=bounds.GULP_BYTES)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         desk = self.desk
         self.used = desk.loop.now()
         self.lines.feed(view)
@@ -89,7 +89,7 @@
 
     def look(self) -> None:
         """Reads what lies there now: its leaving may be in it."""
-        self.stream.look()
+        self.stream.read_pending()
 
     def send(self, line: bytes) -> None:
         self.stream.write(line)
@@ -97,7 +97,7 @@
     def release(self, ref: str, line: bytes) -> None:
         """Kept until it is heard, or so old that it has arrived or never will."""
         self.send(line)
-        self.releases[ref] = self.desk.loop.now(), self.stream.written + self.stream.backlog, line
+        self.releases[ref] = self.desk.loop.now(), self.stream.bytes_written + self.stream.backlog_bytes, line
         while len(self.releases) > 1:
             oldest = next(iter(self.releases))
             if self.may_be_lost(self.releases[oldest]):
@@ -106,22 +106,22 @@
 
     def may_be_lost(self, release: tuple[float, int, bytes]) -> bool:
         when, end, _ = release
-        return self.desk.loop.now() - when < bounds.OVERTAKEN_S or end > self.stream.written
+        return self.desk.loop.now() - when < bounds.OVERTAKEN_S or end > self.stream.bytes_written
 
     def heard(self, ref: str) -> None:
         self.releases.pop(ref, None)
 
     def finish(self, within_s: float = bounds.LINGER_S) -> None:
         """What is open on it is given up now; what was written to it still arrives."""
-        self.stream.finish(within_s)
+        self.stream.close_lingering(within_s)
         if self.stream.open:  # else its close has been told
             self.desk.on_left(self)
 
-    def full(self) -> None:
+    def on_backlog_full(self) -> None:
         self.desk.counts["viewer_reads_nothing"] += 1
         self.stream.abort()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.desk.left(self)
 
 
@@ -149,8 +149,8 @@
     def stop_listening(self) -> None:
         """What was accepted by the kernel was taken: it is accepted here before the door closes."""
         if self.listener:
-            take_queued(self.listener, self.accept, BACKLOG)
-            self.loop.watch(self.listener, 0, self.accept)
+            accept_queued(self.listener, self.accept, LISTEN_BACKLOG)
+            self.loop.watch_socket(self.listener, 0, self.accept)
             self.listener.close()
             self.listener = None
 
@@ -170,7 +170,7 @@
         """
         idle = [v for v in self.links if not v.open]
         for least in sorted(idle, key=lambda v: (v.usable, v.proven, v.useful, v.used)):
-            if least.stream.look() and least.open:
+            if least.stream.read_pending() and least.open:
                 continue
             self.counts["evicted"] += 1
             if least.usable:
--- a/lemonhall/front/process/builder.py
+++ b/lemonhall/front/process/builder.py
@@ -58,15 +58,15 @@
         def ended(status: int) -> None:
             child.returncode = status
 
-        self.loop.on_child(child.pid, ended)
-        self.stream = Stream(self.loop, ours, self, high=1 << 28)
+        self.loop.add_child_handler(child.pid, ended)
+        self.stream = Stream(self.loop, ours, self, high_watermark=1 << 28)
 
     def expect(self, within_s: float) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(within_s, self.end)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.kept += view
         if len(self.kept) < LENGTH.size:
             return
@@ -75,7 +75,7 @@
             self.expect(IDLE_S)
             self.finish(pickle.loads(memoryview(self.kept)[LENGTH.size :]))
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The process is gone: too slow, too large, or no longer needed."""
         if self.timer:
             self.timer.cancel()
--- a/lemonhall/front/process/channel.py
+++ b/lemonhall/front/process/channel.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lemonhall.loop import Loop
-from lemonhall.loop.core import READ, WRITE
+from lemonhall.loop.event_loop import READ, WRITE
 
 LENGTH = struct.Struct(">I")
 FDS_MOST = 200  # in one message; the kernel takes 253
@@ -36,7 +36,7 @@
 
     def watch(self) -> None:
         if self.open:
-            self.loop.watch(self.sock, READ | (WRITE if self.out else 0), self.on_ready)
+            self.loop.watch_socket(self.sock, READ | (WRITE if self.out else 0), self.on_ready)
 
     def send(self, message: dict[str, Any], fds: Sequence[int] = ()) -> None:
         """The descriptors stay open here; copies of them travel. Raises `ValueError` for too many."""
@@ -114,7 +114,7 @@
         if not self.open:
             return
         self.open = False
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
         self.sock.close()
         for fd in [*self.fds, *(fd for _, fds in self.out for fd in fds)]:
             os.close(fd)
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -39,8 +39,8 @@
 from lemonhall.front.viewers.worker import STOP_S, Worker
 from lemonhall.interface import Outcome
 from lemonhall.loop import Loop, listen
-from lemonhall.loop.core import READ
-from lemonhall.loop.stream import accept_on
+from lemonhall.loop.event_loop import READ
+from lemonhall.loop.stream import start_accepting
 from lemonhall.members import Config
 from lemonhall.members.machine import View
 from lemonhall.problem import BadInput
@@ -174,7 +174,7 @@
                 i.Remark: lambda a: log.info("remark", text=a.text),
             }
         )
-        self.loop.after_pass.append(self.bridge.flush)
+        self.loop.end_of_pass_callbacks.append(self.bridge.flush)
         self.loop.on_error = self.on_error
 
     # settings, anew
@@ -264,11 +264,11 @@
         self.beside.open_return(anew)
         self.hooks.start()
         if taken.viewers is None:
-            viewers = listen(self.loop, s.listen, self.worker.accept, share=s.share_port)
+            viewers = listen(self.loop, s.listen, self.worker.accept, reuse_port=s.share_port)
         else:
             viewers = taken.viewers
             if self.workers is None:
-                accept_on(self.loop, viewers, self.worker.accept)
+                start_accepting(self.loop, viewers, self.worker.accept)
         self.listeners.append(viewers)
         at = viewers.getsockname()
         self.host = self.worker.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
@@ -339,7 +339,7 @@
         self, accept: Callable[[socket.socket, Any], object], taken: socket.socket | None
     ) -> None:
         if taken:
-            accept_on(self.loop, taken, accept)
+            start_accepting(self.loop, taken, accept)
             self.listeners.append(taken)
         else:
             assert self.settings.status
@@ -364,17 +364,17 @@
     def pause_front(self) -> None:
         """While it is not clear which process is this front: nobody is taken, no other front is spoken to."""
         for sock in self.listeners:
-            self.loop.watch(sock, 0, self.worker.accept)
+            self.loop.watch_socket(sock, 0, self.worker.accept)
         if self.membership:
             self.membership.pause()
         self.beside.stop()
         if self.peers:
-            self.loop.watch(self.peers.sock, 0, self.peers.on_ready)
+            self.loop.watch_socket(self.peers.sock, 0, self.peers.on_ready)
 
     def resume_front(self) -> None:
-        accept_on(self.loop, self.listeners[0], self.worker.accept)
+        start_accepting(self.loop, self.listeners[0], self.worker.accept)
         if len(self.listeners) > 1:
-            accept_on(self.loop, self.listeners[1], self.serve_status)
+            start_accepting(self.loop, self.listeners[1], self.serve_status)
         if self.membership:
             self.membership.resume()
         if self.asks.halls:
@@ -384,7 +384,7 @@
         if self.asks.returning:
             self.asks.returning.start()
         if self.peers:
-            self.loop.watch(self.peers.sock, READ, self.peers.on_ready)
+            self.loop.watch_socket(self.peers.sock, READ, self.peers.on_ready)
 
     def leave_front(self) -> None:
         """All has been handed over: this process goes, without a word to viewers, servers or other fronts."""
@@ -449,7 +449,7 @@
         if self.workers:
             self.workers.send_all(Retire(False))
         for sock in self.listeners[:1]:
-            self.loop.watch(sock, 0, self.worker.accept)
+            self.loop.watch_socket(sock, 0, self.worker.accept)
             sock.close()
         self.loop.call_later(self.settings.limits.drain_ms / 1000, self.stop)
         self.drained()
@@ -467,7 +467,7 @@
             "front": self.settings.name,
             "error": repr(error),
             "trace": traceback.format_exception(error),
-            "passes": self.loop.passes,
+            "passes": self.loop.pass_count,
             "longest_pass_s": self.loop.longest_pass_s,
             "viewers": self.gauges()[0],
             "sessions": self.gauges()[1],
@@ -506,7 +506,7 @@
         log.info("stopping", asked=len(self.asks.open), viewers=self.gauges()[0])
         for sock in self.listeners:
             if sock.fileno() >= 0:
-                self.loop.watch(sock, 0, self.worker.accept)
+                self.loop.watch_socket(sock, 0, self.worker.accept)
                 sock.close()
         self.builder.stop()
         self.loop.call_later(STOP_S, self.end)
--- a/lemonhall/front/process/status.py
+++ b/lemonhall/front/process/status.py
@@ -24,7 +24,7 @@
         self.stream = Stream(loop, sock, self)
         self.timer = loop.call_later(IDLE_S, self.stream.close)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         try:
             self.parser.feed_data(view)
         except httptools.HttpParserUpgrade:
@@ -55,7 +55,7 @@
         self.stream.write(head.encode() + b"Connection: close\r\n\r\n" + body)
         self.stream.close()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.timer.cancel()
 
 
--- a/lemonhall/front/process/supervise.py
+++ b/lemonhall/front/process/supervise.py
@@ -56,7 +56,7 @@
     def run(self) -> int:
         """Until the front ends well, or is told to end, or is given up. Returns the exit status."""
         for number in PASSED_ON:
-            self.loop.on_signal(number, lambda n=number: self.signalled(n))
+            self.loop.add_signal_handler(number, lambda n=number: self.signalled(n))
         self.start()
         self.loop.run()
         self.loop.close()
@@ -66,7 +66,7 @@
         self.began = self.loop.now()
         self.starts += 1
         self.child = subprocess.Popen(self.command)
-        self.loop.on_child(self.child.pid, self.ended)
+        self.loop.add_child_handler(self.child.pid, self.ended)
         self.on_start(self.child.pid)
 
     def signalled(self, number: int) -> None:
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -78,7 +78,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        return self.stream.written > 0
+        return self.stream.bytes_written > 0
 
     def send(self, method: str, url: str, *headers: tuple[str, str], body: bytes = b"") -> None:
         self.cseq += 1
@@ -88,7 +88,7 @@
 
     # the stream's side
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.state = State.SETTING_UP
         if self.clear:
             self.send_set_up()
@@ -113,7 +113,7 @@
         """What the session may take, in bits a second (RFC 2326, 12.6)."""
         return "Bandwidth", str(round(self.bandwidth * 8000))
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if self.state is State.ENDED:
                 return
@@ -126,13 +126,13 @@
             elif isinstance(event, Malformed):
                 self.end(Outcome.RESET if self.state is State.PLAYING else Outcome.ERROR)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if self.state is State.ENDED:
             return
         if self.state is State.LEAVING:
             self.end(self.left_as)
         else:
-            self.end(Outcome.RESET if self.stream.written else Outcome.CONNECT_FAILED)
+            self.end(Outcome.RESET if self.stream.bytes_written else Outcome.CONNECT_FAILED)
 
     # the protocol
 
@@ -215,7 +215,7 @@
         """Ends it in order: TEARDOWN, its answer, `outcome`. Before it plays the connection is dropped."""
         if self.state is State.PLAYING:
             self.state, self.left_as = State.LEAVING, outcome
-            self.stream.resume()
+            self.stream.resume_reading()
             self.send("TEARDOWN", self.url)
             self.timer = self.loop.call_later(TEARDOWN_S, self.end, outcome)
         elif self.state is not State.LEAVING:
--- a/lemonhall/front/servers/catalogue.py
+++ b/lemonhall/front/servers/catalogue.py
@@ -45,16 +45,16 @@
         self.timer = loop.call_later(TRY_S, self.finish, 504, b"")
         self.stream = Stream.connect(loop, address, self, TRY_S)
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.stream.write(make_request("DESCRIBE", self.url, 1, ("Accept", "application/sdp")).encode())
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Response):
                 self.finish(event.status, event.body)
                 return
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.finish(502, b"")
 
     def finish(self, status: int, body: bytes) -> None:
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -216,7 +216,7 @@
             ]
             self.answer(answer(200, self.cseq, *headers))
         if self.held_back:
-            attempt.stream.pause()
+            attempt.stream.pause_reading()
 
     def attempt_media(self, attempt: Attempt, run: Frames) -> None:
         if self.state is not State.PLAYING or self.ask is None or self.ask.attempt is not attempt:
@@ -245,7 +245,7 @@
         ask = self.ask
         if self.state is not State.PLAYING or ask is None or ask.attempt is None:
             return
-        if all(t.rtp.offsets is None for t in self.tracks.values()) and ask.attempt.stream.backlog == 0:
+        if all(t.rtp.offsets is None for t in self.tracks.values()) and ask.attempt.stream.backlog_bytes == 0:
             ask.attempt.stream.write(frame(channel, payload))
 
     # back-pressure
@@ -254,9 +254,9 @@
         self.held_back = True
         attempt = self.ask.attempt if self.ask else None
         if attempt and attempt.state is AttemptState.PLAYING:  # before that its answers are waited for
-            attempt.stream.pause()
+            attempt.stream.pause_reading()
 
     def let_flow(self) -> None:
         self.held_back = False
         if self.ask and self.ask.attempt:
-            self.ask.attempt.stream.resume()
+            self.ask.attempt.stream.resume_reading()
--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -73,12 +73,12 @@
         self.asked = 0  # requests of ours to the viewer
         self.head_timer: Timer | None = None
         self.active_at = worker.loop.now()
-        self.stream = Stream(worker.loop, sock, self, high=self.limits.viewer_backlog)
+        self.stream = Stream(worker.loop, sock, self, high_watermark=self.limits.viewer_backlog)
         self.idle_timer = worker.loop.call_later(self.limits.idle_ms / 1000, self.idle)
 
     # bytes
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if self.ending:
                 return
@@ -127,7 +127,7 @@
         self.stream.write(make_response(what.status, what.cseq, ("Connection", "close")).encode())
         self.stream.close()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.idle_timer.cancel()
         if self.head_timer:
             self.head_timer.cancel()
@@ -155,7 +155,11 @@
             assert first.answer is not None
             self.stream.write(b"".join([first.answer, *first.tail]))
             for session in self.sessions.values():
-                if session.held_back and not self.stream.was_full and self.slot_of(session) is None:
+                if (
+                    session.held_back
+                    and not self.stream.above_high_watermark
+                    and self.slot_of(session) is None
+                ):
                     session.let_flow()
         self.rest()
 
@@ -183,7 +187,7 @@
             return
         self.stream.write(data)
 
-    def full(self) -> None:
+    def on_backlog_full(self) -> None:
         for session in self.sessions.values():
             session.hold_back()
         self.worker.loop.call_later(self.limits.stalled_ms / 1000, self.check_stalled)
@@ -199,7 +203,7 @@
         self.worker.counts["viewer_stalled"] += 1
         stream.abort()
 
-    def drained(self) -> None:
+    def on_backlog_drained(self) -> None:
         for session in self.sessions.values():
             if self.slot_of(session) is None:
                 session.let_flow()
--- a/lemonhall/front/workers/carrier.py
+++ b/lemonhall/front/workers/carrier.py
@@ -69,7 +69,7 @@
         at = listener.getsockname()
         self.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
         self.door = Door(self.loop, listener, self.take, self.may_take)
-        self.loop.after_pass.append(self.flush)
+        self.loop.end_of_pass_callbacks.append(self.flush)
         self.loop.on_error = self.on_error
         self.connect()
         self.loop.call_later(COUNT_S, self.count)
@@ -98,8 +98,8 @@
         if self.ending or self.alone:
             return
         link = self.link = Link(self.heard, self.cut)
-        link.on_connected = self.greet
-        link.stream = Stream.connect(self.loop, self.seam, link, 2.0, high=1 << 20)
+        link.connected_callback = self.greet
+        link.stream = Stream.connect(self.loop, self.seam, link, 2.0, high_watermark=1 << 20)
 
     def greet(self) -> None:
         assert self.link
@@ -211,7 +211,7 @@
     carrier = Carrier(given["number"], given["family"], given["seam"], listener, control)
     control.heard = carrier.ordered
     control.ended = lambda: carrier.retire(True)  # the parent is gone
-    loop.on_signal(signal.SIGTERM, lambda: carrier.retire(True))
+    loop.add_signal_handler(signal.SIGTERM, lambda: carrier.retire(True))
     settle_memory()
     loop.run()
 
--- a/lemonhall/front/workers/door.py
+++ b/lemonhall/front/workers/door.py
@@ -31,9 +31,9 @@
         """Opens or shuts, by what `may` says now."""
         open_now = self.wanted and self.may()
         if open_now and not self.watching:
-            self.loop.watch_alone(self.sock, self.on_ready)
+            self.loop.watch_socket_exclusively(self.sock, self.on_ready)
         elif not open_now:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
         self.watching = open_now
 
     def on_ready(self, _: int) -> None:
@@ -57,7 +57,7 @@
     def step_back(self) -> None:
         """Whoever has taken some goes to the end of those that wait: the kernel wakes them in their order."""
         if self.watching:
-            self.loop.watch_alone(self.sock, self.on_ready)
+            self.loop.watch_socket_exclusively(self.sock, self.on_ready)
 
     def open(self) -> None:
         self.wanted = True
@@ -66,5 +66,5 @@
     def close(self) -> None:
         """For good, in this process: others go on at the listener."""
         if self.sock.fileno() >= 0:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
             self.sock.close()
--- a/lemonhall/front/workers/lines.py
+++ b/lemonhall/front/workers/lines.py
@@ -15,7 +15,7 @@
 from lemonhall.front.workers.build import build
 from lemonhall.front.workers.link import Link
 from lemonhall.loop import Stream
-from lemonhall.loop.stream import accept_on
+from lemonhall.loop.stream import start_accepting
 from lemonhall.seam import (
     LEAST,
     VERSION,
@@ -45,7 +45,7 @@
         self.lines, self.number = lines, number
         self.link = Link(self.heard, self.ended)
         self.link.on_bytes = lambda: lines.pulse.heard(number, lines.loop.now())
-        self.link.stream = Stream(lines.loop, sock, self.link, high=1 << 20)
+        self.link.stream = Stream(lines.loop, sock, self.link, high_watermark=1 << 20)
         self.hello: Hello | None = None
         self.mine = False  # it takes new viewers: of this parent, and of the same program
         self.viewers = self.sessions = 0
@@ -90,13 +90,13 @@
         self.lines: dict[int, Line] = {}
         self.links = 0
         self.pulse = Pulse(HUNG_S, TICK_S)
-        daemon.loop.after_pass.append(self.flush)
+        daemon.loop.end_of_pass_callbacks.append(self.flush)
         daemon.list.list.on_news = self.on_list
 
     # the daemon's side
 
     def opened(self) -> None:
-        accept_on(self.loop, self.seam, self.accept)
+        start_accepting(self.loop, self.seam, self.accept)
         self.tick()
 
     def settle(self, settings: FrontSettings) -> None:
@@ -119,7 +119,7 @@
 
     def close(self) -> None:
         """This process goes: what its workers have stays theirs, and is not written of any more."""
-        self.loop.watch(self.seam, 0, self.accept)
+        self.loop.watch_socket(self.seam, 0, self.accept)
         for line in list(self.lines.values()):
             line.link.ended = lambda: None
             if line.link.stream:
--- a/lemonhall/front/workers/link.py
+++ b/lemonhall/front/workers/link.py
@@ -19,7 +19,7 @@
         self.heard, self.ended = heard, ended
         self.reader, self.outbox = Reader(), Outbox()
         self.stream: Stream | None = None
-        self.on_connected: Callable[[], object] = lambda: None
+        self.connected_callback: Callable[[], object] = lambda: None
         self.on_bytes: Callable[[], object] = lambda: None
 
     @property
@@ -28,22 +28,22 @@
 
     def send(self, message: Message) -> bool:
         """False: there is no room for it, or nobody to hear it."""
-        return self.open and self.stream is not None and self.outbox.put(message, self.stream.backlog)
+        return self.open and self.stream is not None and self.outbox.put(message, self.stream.backlog_bytes)
 
     def flush(self) -> None:
         stream = self.stream
         if stream is None or not stream.open:
             return
-        if data := self.outbox.take(stream.backlog):
+        if data := self.outbox.take(stream.backlog_bytes):
             stream.write(data)
-        if self.outbox.over(stream.backlog):
-            log.error("link given up, too much waits", bytes=stream.backlog)
+        if self.outbox.over(stream.backlog_bytes):
+            log.error("link given up, too much waits", bytes=stream.backlog_bytes)
             stream.abort()
 
-    def connected(self) -> None:
-        self.on_connected()
+    def on_connected(self) -> None:
+        self.connected_callback()
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.on_bytes()
         for message in self.reader.feed(view):
             if isinstance(message, Broken):
@@ -53,8 +53,8 @@
                 return
             self.heard(message)
 
-    def drained(self) -> None:
+    def on_backlog_drained(self) -> None:
         self.flush()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.ended()
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -65,7 +65,7 @@
             self.channel.close()
             ended(self, status)
 
-        loop.on_child(self.process.pid, reaped)
+        loop.add_child_handler(self.process.pid, reaped)
 
     def tell(self, message: dict[str, Any], fds: tuple[int, ...] = ()) -> None:
         if self.channel.open:
@@ -128,8 +128,8 @@
             sock.close()
 
         def bound(address: Address, share: bool) -> socket.socket:
-            sock = listen(self.loop, address, nobody, share=share)
-            self.loop.watch(sock, 0, nobody)
+            sock = listen(self.loop, address, nobody, reuse_port=share)
+            self.loop.watch_socket(sock, 0, nobody)
             return sock
 
         self.viewers = bound(s.listen, s.share_port)
@@ -410,7 +410,7 @@
     def run(self) -> int:
         """Until the front has ended. Returns the exit status."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
-            self.loop.on_signal(number, lambda n=number: self.signalled(n))
+            self.loop.add_signal_handler(number, lambda n=number: self.signalled(n))
         self.loop.run()
         self.loop.close()
         return self.exit_status
@@ -436,7 +436,7 @@
     loop.run(until=lambda: bool(over) or any("go" in m for m in told))
     if over:
         raise SystemExit(0)
-    loop.watch(control, 0, channel.on_ready)
+    loop.watch_socket(control, 0, channel.on_ready)
     loop.close()
     go = next(m for m in told if "go" in m)
     named = {name: socket.socket(fileno=fd) for name, fd in zip(go["sockets"], sockets, strict=True)}
--- a/lemonhall/links/relay.py
+++ b/lemonhall/links/relay.py
@@ -15,8 +15,8 @@
 from lemonhall.config.day import Shape
 from lemonhall.links.pipe import Bytes, Datagrams, End
 from lemonhall.loop import Handler, Loop, Stream
-from lemonhall.loop.core import READ, Timer
-from lemonhall.loop.stream import accept_on
+from lemonhall.loop.event_loop import READ, Timer
+from lemonhall.loop.stream import start_accepting
 
 Address = tuple[str, int]
 HOST = "127.0.0.1"
@@ -55,7 +55,7 @@
         self.back: Wire | None = None  # the same two, seen from the other
         self.pipe = Datagrams(random)
         self.timer = Due(loop, self.pass_on)
-        loop.watch(self.sock, READ, self.on_ready)
+        loop.watch_socket(self.sock, READ, self.on_ready)
 
     def on_ready(self, _: int) -> None:
         for _turn in range(64):
@@ -94,7 +94,7 @@
     def other(self) -> Side:
         return self.pair.far if self.forth else self.pair.near
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.came += len(view)
         if self.pipe.idle and not self.other.stream.connecting:
             self.deliver(view)
@@ -104,19 +104,19 @@
         self.pipe.put(self.pair.door.loop.now() * 1000, bytes(view))
         self.pass_on()
         if self.pipe.full:
-            self.stream.pause()
+            self.stream.pause_reading()
 
     def deliver(self, data: bytes | memoryview) -> None:
         self.other.stream.write(data)
         self.pair.passed(self.forth, len(data))
-        if self.other.stream.backlog > self.other.stream.high:
-            self.stream.pause()
+        if self.other.stream.backlog_bytes > self.other.stream.high_watermark:
+            self.stream.pause_reading()
 
-    def drained(self) -> None:
+    def on_backlog_drained(self) -> None:
         if self.other.stream.open and not self.other.pipe.full:
-            self.other.stream.resume()
+            self.other.stream.resume_reading()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """Its end travels behind its last byte."""
         if self.pair.over:
             return
@@ -133,15 +133,15 @@
                 self.pair.end(self.other.stream, piece.reset)
                 return
             self.deliver(piece)
-        if self.stream.open and self.stream.paused and not self.pipe.full:
+        if self.stream.open and self.stream.reading_paused and not self.pipe.full:
             self.drained_here()
         self.timer.at(self.pipe.due())
 
     def drained_here(self) -> None:
-        if self.other.stream.backlog <= self.other.stream.high:
-            self.stream.resume()
+        if self.other.stream.backlog_bytes <= self.other.stream.high_watermark:
+            self.stream.resume_reading()
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         """Of the far side: the target took the connection."""
         self.pair.up()
 
@@ -241,11 +241,11 @@
         self.target = target
         if target and not self.listening:
             self.sock.listen(BACKLOG)
-            accept_on(self.loop, self.sock, self.accept)
+            start_accepting(self.loop, self.sock, self.accept)
             self.listening = True
             self.plug()
         elif target is None and self.listening:
-            self.loop.watch(self.sock, 0, lambda _: None)
+            self.loop.watch_socket(self.sock, 0, lambda _: None)
             self.sock.shutdown(socket.SHUT_RD)  # a listener that is shut keeps its port and refuses
             self.listening = False
             self.unplug()
@@ -259,7 +259,7 @@
     def plug(self) -> None:
         cut = self.forth.cut or self.back.cut
         if cut and self.listening and not self.plugs:
-            self.loop.watch(self.sock, 0, lambda _: None)
+            self.loop.watch_socket(self.sock, 0, lambda _: None)
             self.sock.listen(0)
             for _ in range(PLUGS):
                 plug = socket.socket()
@@ -272,7 +272,7 @@
             self.unplug()
             if self.listening:
                 self.sock.listen(BACKLOG)
-                accept_on(self.loop, self.sock, self.accept)
+                start_accepting(self.loop, self.sock, self.accept)
 
     def unplug(self) -> None:
         for plug in self.plugs:
--- a/lemonhall/loop/stream.py
+++ b/lemonhall/loop/stream.py
@@ -1,7 +1,7 @@
-"""Buffered TCP streams: a write goes out at once when it can, the rest waits within bounds.
+"""Buffered TCP streams: a write is sent at once if possible, the rest waits in a send queue.
 
-A stream never drops or reorders bytes. Who writes to it asks `backlog` or is told by `full` and `drained`,
-and holds back its own source: that is the whole of the back-pressure.
+A stream never drops or reorders bytes. Back-pressure is the writer's task: it reads `backlog_bytes`, or
+reacts to `on_backlog_full` and `on_backlog_drained`, and slows down its own source.
 """
 
 from __future__ import annotations
@@ -13,64 +13,65 @@
 from collections.abc import Callable
 from typing import Any
 
-from lemonhall.loop.core import READ, WRITE, Loop, Timer
+from lemonhall.loop.event_loop import READ, WRITE, Loop, Timer
 
 Address = tuple[str, int] | str  # host and port, or the path of a Unix socket
-LINGER_NONE = struct.pack("ii", 1, 0)
-READS_A_TURN = 4  # so that one busy stream leaves its neighbours their turn
-BACKLOG = 1024  # connections that the kernel takes before they are accepted here
-READS_A_LOOK = 8  # the same, where somebody has to know what has come
-DROPPED_BYTES = 1 << 18  # read and dropped while a connection ends: a peer that goes on is cut off
+NO_LINGER = struct.pack("ii", 1, 0)
+READS_PER_EVENT = 4  # so that a busy stream does not starve the others
+LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
+READS_PER_READ_PENDING = 8  # higher than READS_PER_EVENT: the caller depends on what has arrived
+MAX_DISCARDED_BYTES = 1 << 18  # during a lingering close: a peer that sends more is disconnected
 
 
 class Handler:
-    """What a stream tells its owner. `data` must copy what it wants to keep: the buffer is used again."""
+    """Callbacks of a stream to its owner. `on_data` must copy what it keeps: the buffer is reused."""
 
-    def connected(self) -> None: ...
+    def on_connected(self) -> None: ...
 
-    def data(self, view: memoryview) -> None: ...
+    def on_data(self, view: memoryview) -> None: ...
 
-    def closed(self, reason: str) -> None:
-        """Once, whoever closed it: `refused` or `timeout` (never connected), `eof`, `reset`, `local`."""
+    def on_closed(self, reason: str) -> None:
+        """Called once, whichever side closed: `refused` or `timeout` (never connected), `eof`, `reset`,
+        `local`."""
 
-    def full(self) -> None:
-        """More than `high` bytes wait to be sent."""
+    def on_backlog_full(self) -> None:
+        """More than `high_watermark` bytes wait to be sent."""
 
-    def drained(self) -> None:
-        """No byte waits any more, after `full`."""
+    def on_backlog_drained(self) -> None:
+        """No byte waits any more, after `on_backlog_full`."""
 
 
 class Stream:
-    """One TCP connection. `written` counts the bytes that the kernel has taken: 0 proves that none left."""
+    """One TCP connection. `bytes_written` counts the bytes that the kernel took: 0 proves that nothing left."""
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
         handler: Handler,
-        high: int = 1 << 18,
+        high_watermark: int = 1 << 18,
         connecting: bool = False,
-        frozen: bool = False,
-        gulp: int = 0,
+        io_suspended: bool = False,
+        max_read_bytes: int = 0,
     ) -> None:
-        """`gulp`: bytes read in a turn of the loop, at most; 0: what the loop's buffer holds, and again."""
-        self.loop, self.sock, self.handler, self.high = loop, sock, handler, high
-        self.gulp = gulp
-        self.out: deque[memoryview | bytes] = deque()
-        self.backlog = 0
-        self.written = self.read = 0
-        self.open, self.connecting, self.paused = True, connecting, False
-        self.closing = self.was_full = False
-        self.broken = False  # a write found that the peer is gone; its owner has yet to be told
-        self.dropped: int | None = None  # bytes since it began to end by `finish`
-        self.frozen = frozen  # neither read nor written: another process may have it soon
-        self.stalled_since: float | None = None  # when the peer last stopped taking what waits
+        """`max_read_bytes` limits what is read per event; 0: several reads of the loop's whole buffer."""
+        self.loop, self.sock, self.handler, self.high_watermark = loop, sock, handler, high_watermark
+        self.max_read_bytes = max_read_bytes
+        self.send_queue: deque[memoryview | bytes] = deque()
+        self.backlog_bytes = 0
+        self.bytes_written = self.bytes_read = 0
+        self.open, self.connecting, self.reading_paused = True, connecting, False
+        self.closing = self.above_high_watermark = False
+        self.write_failed = False  # the peer is gone, and `on_closed` has not been called yet
+        self.discarded_bytes: int | None = None  # since `close_lingering` was called
+        self.io_suspended = io_suspended  # neither read nor written: the socket may move to another process
+        self.stalled_since: float | None = None  # when the peer last stopped taking the queued bytes
         self._timer: Timer | None = None
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if not connecting:
-            self._watch()
+            self._update_watch()
 
     @classmethod
     def connect(
@@ -79,85 +80,86 @@
         address: Address,
         handler: Handler,
         timeout_s: float,
-        high: int = 1 << 18,
-        gulp: int = 0,
+        high_watermark: int = 1 << 18,
+        max_read_bytes: int = 0,
     ) -> Stream:
-        """Starts a connection; `connected` or `closed` follows, never before this returns."""
+        """Starts a connection; `on_connected` or `on_closed` follows, never before this returns."""
         family = socket.AF_UNIX if isinstance(address, str) else socket.AF_INET
         if not isinstance(address, str) and ":" in address[0]:
             family = socket.AF_INET6
         sock = socket.socket(family, socket.SOCK_STREAM)
-        stream = cls(loop, sock, handler, high, connecting=True, gulp=gulp)
+        stream = cls(loop, sock, handler, high_watermark, connecting=True, max_read_bytes=max_read_bytes)
         error = sock.connect_ex(address)
         if error in (0, errno.EINPROGRESS):
             stream._timer = loop.call_later(timeout_s, stream._close, "timeout")
-            stream._watch()
+            stream._update_watch()
         else:
             loop.call_soon(stream._close, "refused")
         return stream
 
-    def _watch(self) -> None:
+    def _update_watch(self) -> None:
         if not self.open:
             return
-        ends = self.closing and self.dropped is None
-        events = 0 if self.paused or self.connecting or ends else READ
-        if self.out or self.connecting:
+        flushing = self.closing and self.discarded_bytes is None
+        events = 0 if self.reading_paused or self.connecting or flushing else READ
+        if self.send_queue or self.connecting:
             events |= WRITE
-        if self.frozen:
+        if self.io_suspended:
             events = 0
-        self.loop.watch(self.sock, events, self._on_ready)
+        self.loop.watch_socket(self.sock, events, self._on_ready)
 
     def _on_ready(self, mask: int) -> None:
         if self.connecting:
-            self._on_connected()
+            self._finish_connect()
             return
         if mask & WRITE:
-            self._flush()
-        if mask & READ and self.open and self.dropped is not None:
-            self._drop()
-        elif mask & READ and self.open and not self.paused:
+            self._flush_send_queue()
+        if mask & READ and self.open and self.discarded_bytes is not None:
+            self._read_and_discard()
+        elif mask & READ and self.open and not self.reading_paused:
             self._read()
 
-    def _on_connected(self) -> None:
+    def _finish_connect(self) -> None:
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self._close("refused")
             return
         self.connecting = False
         if self._timer:
             self._timer.cancel()
-        self._watch()
-        self.handler.connected()
-        if self.open and self.out:
-            self._flush()
+        self._update_watch()
+        self.handler.on_connected()
+        if self.open and self.send_queue:
+            self._flush_send_queue()
 
-    def look(self) -> bool:
-        """Reads what lies there now, not in the loop's own time; whether the stream can still be used.
+    def read_pending(self) -> bool:
+        """Reads at once what has arrived, without waiting for the loop; returns whether the stream is usable.
 
-        For who is about to act on what a peer said: its leaving may lie behind it, or have shown at a write.
+        For a caller that is about to act on a message of the peer: the peer's close may be queued behind that
+        message, or may have shown when a write failed.
         """
-        if self.broken:
+        if self.write_failed:
             self._close("reset")
-        if self.open and not (self.connecting or self.closing or self.paused or self.frozen):
-            self._read(READS_A_LOOK, to_end=True)
+        if self.open and not (self.connecting or self.closing or self.reading_paused or self.io_suspended):
+            self._read(READS_PER_READ_PENDING, to_end=True)
         return self.open and not self.closing
 
-    def _drop(self) -> None:
+    def _read_and_discard(self) -> None:
         try:
-            count = self.sock.recv_into(self.loop.buffer, self.gulp)
+            count = self.sock.recv_into(self.loop.read_buffer, self.max_read_bytes)
         except BlockingIOError:
             return
         except OSError:
             count = 0
-        assert self.dropped is not None
-        self.dropped += count
-        if not count or self.dropped > DROPPED_BYTES:
+        assert self.discarded_bytes is not None
+        self.discarded_bytes += count
+        if not count or self.discarded_bytes > MAX_DISCARDED_BYTES:
             self._close("local")
 
-    def _read(self, turns: int = 0, to_end: bool = False) -> None:
-        view = memoryview(self.loop.buffer)
-        if self.gulp:
-            view = view[: self.gulp]
-        for _ in range(turns or (1 if self.gulp else READS_A_TURN)):
+    def _read(self, max_reads: int = 0, to_end: bool = False) -> None:
+        view = memoryview(self.loop.read_buffer)
+        if self.max_read_bytes:
+            view = view[: self.max_read_bytes]
+        for _ in range(max_reads or (1 if self.max_read_bytes else READS_PER_EVENT)):
             try:
                 count = self.sock.recv_into(view)
             except BlockingIOError:
@@ -168,41 +170,41 @@
             if not count:
                 self._close("eof")
                 return
-            self.read += count
-            self.handler.data(view[:count])
-            if not self.open or self.paused or self.closing or (count < len(view) and not to_end):
+            self.bytes_read += count
+            self.handler.on_data(view[:count])
+            if not self.open or self.reading_paused or self.closing or (count < len(view) and not to_end):
                 return
 
     def write(self, data: bytes | memoryview) -> None:
-        """Sends now what the kernel takes; a copy of the rest waits. On a closed stream it does nothing."""
+        """Sends what the kernel takes now and queues a copy of the rest; does nothing on a closed stream."""
         if not self.open or self.closing:
             return
         sent = 0
-        if not self.out and not self.connecting and not self.frozen:
+        if not self.send_queue and not self.connecting and not self.io_suspended:
             try:
                 sent = self.sock.send(data)
             except BlockingIOError:
                 sent = 0
-            except OSError:  # from here on it takes nothing; its owner is told in the loop's own time
-                self.closing = self.broken = True
+            except OSError:  # nothing more can be sent; `on_closed` follows from the loop, not from this call
+                self.closing = self.write_failed = True
                 self.loop.call_soon(self._close, "reset")
                 return
-            self.written += sent
+            self.bytes_written += sent
             if sent == len(data):
                 return
         rest = bytes(data[sent:])
-        if not self.out:
+        if not self.send_queue:
             self.stalled_since = self.loop.now()
-        self.out.append(memoryview(rest))
-        self.backlog += len(rest)
-        if self.backlog > self.high and not self.was_full:
-            self.was_full = True
-            self.handler.full()
-        self._watch()
-
-    def _flush(self) -> None:
-        while self.out and self.open:
-            chunk = memoryview(self.out[0])
+        self.send_queue.append(memoryview(rest))
+        self.backlog_bytes += len(rest)
+        if self.backlog_bytes > self.high_watermark and not self.above_high_watermark:
+            self.above_high_watermark = True
+            self.handler.on_backlog_full()
+        self._update_watch()
+
+    def _flush_send_queue(self) -> None:
+        while self.send_queue and self.open:
+            chunk = memoryview(self.send_queue[0])
             try:
                 sent = self.sock.send(chunk)
             except BlockingIOError:
@@ -210,64 +212,64 @@
             except OSError:
                 self._close("reset")
                 return
-            self.written += sent
-            self.backlog -= sent
+            self.bytes_written += sent
+            self.backlog_bytes -= sent
             self.stalled_since = self.loop.now()
             if sent < len(chunk):
-                self.out[0] = chunk[sent:]
+                self.send_queue[0] = chunk[sent:]
                 return
-            self.out.popleft()
+            self.send_queue.popleft()
         if not self.open:
             return
         self.stalled_since = None
         if self.closing:
             self._end_sending()
             return
-        self._watch()
-        if self.was_full:
-            self.was_full = False
-            self.handler.drained()
+        self._update_watch()
+        if self.above_high_watermark:
+            self.above_high_watermark = False
+            self.handler.on_backlog_drained()
 
-    def pause(self) -> None:
-        """Reads no more until `resume`; the kernel's window then holds the peer back."""
-        self.paused = True
-        self._watch()
+    def pause_reading(self) -> None:
+        """Reads nothing until `resume_reading`; the TCP window then slows the peer down."""
+        self.reading_paused = True
+        self._update_watch()
 
-    def resume(self) -> None:
-        self.paused = False
-        self._watch()
+    def resume_reading(self) -> None:
+        self.reading_paused = False
+        self._update_watch()
 
     def close(self, within_s: float = 2.0) -> None:
-        """Closes once all is sent, or when `within_s` has passed."""
+        """Closes once everything is sent, or after `within_s`."""
         if not self.open or self.closing:
             return
-        if not self.out:
+        if not self.send_queue:
             self._close("local")
             return
         self.closing = True
         self._timer = self.loop.call_later(within_s, self._close, "local")
-        self._watch()
+        self._update_watch()
 
-    def finish(self, within_s: float = 1.0) -> None:
-        """Closes so that what was written arrives: sends all, ends its own side, then reads on and drops
-        what comes until the peer closes, `DROPPED_BYTES` have come or `within_s` has passed.
+    def close_lingering(self, within_s: float = 1.0) -> None:
+        """Closes so that what was written arrives: sends everything, shuts down the sending side, then reads
+        and discards until the peer closes, `MAX_DISCARDED_BYTES` are exceeded or `within_s` has passed.
 
-        A close with bytes unread is a reset, and a reset may undo an answer that is still on its way.
+        A close with unread bytes sends a reset, and a reset may destroy an answer that is still in flight.
         """
         if not self.open or self.closing:
             return
-        if not self.written and not self.out:  # there is no last word
+        if not self.bytes_written and not self.send_queue:  # nothing was written that could get lost
             self._close("local")
             return
-        self.closing, self.dropped = True, 0
+        self.closing, self.discarded_bytes = True, 0
         self._timer = self.loop.call_later(within_s, self._close, "local")
-        if self.out:
-            self._watch()
+        if self.send_queue:
+            self._update_watch()
         else:
             self._end_sending()
 
     def _end_sending(self) -> None:
-        if self.dropped is None:
+        if self.discarded_bytes is None:
             self._close("local")
             return
         try:
@@ -275,85 +277,93 @@
         except OSError:
             self._close("local")
             return
-        self._watch()
-
-    def take_back(self, data: bytes) -> bool:
-        """Takes a write out of what waits; False: a byte of it has left, or it is not there."""
-        for n, chunk in enumerate(self.out):
-            if len(chunk) == len(data) and chunk == data:  # one that has begun to leave is shorter by now
-                del self.out[n]
-                self.backlog -= len(data)
-                self._watch()
+        self._update_watch()
+
+    def cancel_write(self, data: bytes) -> bool:
+        """Removes a write from the send queue; False if a byte of it was sent or it is not queued."""
+        for index, chunk in enumerate(self.send_queue):
+            if len(chunk) == len(data) and chunk == data:  # a chunk that was sent in part is shorter by now
+                del self.send_queue[index]
+                self.backlog_bytes -= len(data)
+                self._update_watch()
                 return True
         return False
 
-    def freeze(self) -> None:
-        """Touches the socket no more until `thaw`; what is written meanwhile waits."""
-        self.frozen = True
-        self._watch()
+    def suspend_io(self) -> None:
+        """Neither reads nor writes the socket until `resume_io`; writes are queued meanwhile."""
+        self.io_suspended = True
+        self._update_watch()
 
-    def thaw(self) -> None:
-        self.frozen = False
-        self._watch()
+    def resume_io(self) -> None:
+        self.io_suspended = False
+        self._update_watch()
 
-    def let_go(self) -> None:
-        """Closes this process's copy; the connection goes on where the other copy is. Nobody is told."""
+    def detach(self) -> None:
+        """Closes this process's descriptor without `on_closed`; the connection stays up if another process
+        holds a copy of the descriptor."""
         if not self.open:
             return
         self.open = False
         if self._timer:
             self._timer.cancel()
-        self.loop.watch(self.sock, 0, self._on_ready)
+        self.loop.watch_socket(self.sock, 0, self._on_ready)
         self.sock.close()
-        self.out.clear()
-        self.backlog = 0
+        self.send_queue.clear()
+        self.backlog_bytes = 0
 
     def abort(self) -> None:
-        """Resets the connection; what waits is dropped."""
+        """Resets the connection and drops what is queued."""
         if self.open:
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             self._close("local")
 
     def _close(self, reason: str) -> None:
         if self.open:
-            self.let_go()
-            self.handler.closed(reason)
+            self.detach()
+            self.handler.on_closed(reason)
 
 
 def listen(
-    loop: Loop, address: Address, accept: Callable[[socket.socket, Any], object], share: bool = False
+    loop: Loop,
+    address: Address,
+    on_accept: Callable[[socket.socket, Any], object],
+    reuse_port: bool = False,
 ) -> socket.socket:
-    """Listens and calls `accept(socket, peer)`; `share` sets SO_REUSEPORT. Raises `OSError` if it cannot."""
+    """Listens and calls `on_accept(socket, peer)`; `reuse_port` sets SO_REUSEPORT. Raises `OSError`."""
     if isinstance(address, str):
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     else:
         sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    if share:
+    if reuse_port:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
     sock.bind(address)
-    sock.listen(BACKLOG)
-    accept_on(loop, sock, accept)
+    sock.listen(LISTEN_BACKLOG)
+    start_accepting(loop, sock, on_accept)
     return sock
 
 
-def accept_on(loop: Loop, sock: socket.socket, accept: Callable[[socket.socket, Any], object]) -> None:
-    """Calls `accept(socket, peer)` for what comes at a socket that listens already."""
+def start_accepting(
+    loop: Loop, sock: socket.socket, on_accept: Callable[[socket.socket, Any], object]
+) -> None:
+    """Calls `on_accept(socket, peer)` for each connection to a socket that listens already."""
     sock.setblocking(False)
-    loop.watch(sock, READ, lambda _: take_queued(sock, accept))
+    loop.watch_socket(sock, READ, lambda _: accept_queued(sock, on_accept))
 
 
-def take_queued(sock: socket.socket, accept: Callable[[socket.socket, Any], object], most: int = 64) -> None:
-    """Takes what waits in the kernel's queue, `most` at a time: others have their turn."""
-    for _turn in range(most):
+def accept_queued(
+    sock: socket.socket, on_accept: Callable[[socket.socket, Any], object], limit: int = 64
+) -> None:
+    """Accepts at most `limit` connections from the kernel's queue, so that other callbacks can run."""
+    for _attempt in range(limit):
         try:
-            taken, peer = sock.accept()
+            connection, peer = sock.accept()
         except BlockingIOError:
             return
         except OSError as error:
-            if error.errno == errno.ECONNABORTED:  # its peer is gone already: the others are not
+            if error.errno == errno.ECONNABORTED:  # this peer is gone already; the others are not
                 continue
-            if error.errno not in (errno.EMFILE, errno.ENFILE):  # out of descriptors: the next pass tries
+            if error.errno not in (errno.EMFILE, errno.ENFILE):  # out of descriptors: the next pass retries
                 raise
             return
-        accept(taken, peer)
+        on_accept(connection, peer)
--- a/lemonhall/standins/arrival.py
+++ b/lemonhall/standins/arrival.py
@@ -37,18 +37,18 @@
     def __init__(self, loop: Loop) -> None:
         self.loop, self.counted = loop, -1
         self.last = self.before = self.older = loop.now()  # ends of passes: the next thing is a look
-        loop.after_pass.append(self.ended)
+        loop.end_of_pass_callbacks.append(self.ended)
         self.tick()
 
     def tick(self) -> None:
         self.loop.call_later(LOOK_S, self.tick)
 
     def ended(self) -> None:
-        if self.counted != self.loop.passes:
-            self.counted = self.loop.passes
+        if self.counted != self.loop.pass_count:
+            self.counted = self.loop.pass_count
             self.older, self.before = self.before, self.last
         self.last = self.loop.now()
 
     def since_ms(self) -> float:
         """In ms of the loop's clock. What came before the look of the pass before was read in that pass."""
-        return 1000 * (self.older if self.counted == self.loop.passes else self.before)
+        return 1000 * (self.older if self.counted == self.loop.pass_count else self.before)
--- a/lemonhall/standins/box.py
+++ b/lemonhall/standins/box.py
@@ -17,7 +17,7 @@
 from lemonhall.config.settings import Terms
 from lemonhall.interface import NoteKind
 from lemonhall.loop import Handler, Loop, Stream, listen
-from lemonhall.loop.core import Timer
+from lemonhall.loop.event_loop import Timer
 from lemonhall.rtsp import Malformed, Parser, Request, reports, rtp
 from lemonhall.rtsp.messages import make_response, parse_npt, parse_transport, split_url
 from lemonhall.rtsp.parser import frame
@@ -50,14 +50,14 @@
         self.parser = Parser()
         self.via = ""
         self.sessions: dict[str, Playing] = {}
-        self.stream = Stream(box.loop, sock, self, high=1 << 18)
+        self.stream = Stream(box.loop, sock, self, high_watermark=1 << 18)
 
-    def data(self, view: memoryview) -> None:
-        self.box.loop.call_soon(self.stream.look)  # an end behind it is read now, not a pass later
+    def on_data(self, view: memoryview) -> None:
+        self.box.loop.call_soon(self.stream.read_pending)  # an end behind it is read now, not a pass later
         ago_ms = data_ago_ms(self.stream.sock)
         for event in self.parser.feed(view):
             if isinstance(event, Request):
-                self.box.tap.message(self.box.who, self.conn, "in", event, self.stream.read, ago_ms)
+                self.box.tap.message(self.box.who, self.conn, "in", event, self.stream.bytes_read, ago_ms)
                 self.via = event.headers.get("Via").rpartition(" ")[2] or self.via
                 self.box.on_request(self, event, ago_ms)
             elif isinstance(event, Malformed):
@@ -71,7 +71,7 @@
             self.box.tap.message(self.box.who, self.conn, "out", response)
             self.stream.write(response.encode())
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         since = round(self.box.looks.since_ms(), 2)
         self.box.tap.write(self.box.who, self.conn, "close", reason=reason, since=since)
         for playing in list(self.sessions.values()):
@@ -114,7 +114,7 @@
             self.end()
             return
         self.credit = min(2.0, self.credit + box.share())
-        if box.still or self.credit < 1 or self.conn.stream.backlog > self.conn.stream.high:
+        if box.still or self.credit < 1 or self.conn.stream.backlog_bytes > self.conn.stream.high_watermark:
             return
         self.credit -= 1
         parts = media.fragments(max(64, round(self.rate() * 1000 / fps)), self.ticks % 3)
@@ -187,7 +187,7 @@
             self.reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             self.reserved.bind(("127.0.0.1", 0))
             self.port = self.reserved.getsockname()[1]
-        self.listener = listen(self.loop, ("127.0.0.1", self.port), self.accept, share=True)
+        self.listener = listen(self.loop, ("127.0.0.1", self.port), self.accept, reuse_port=True)
         self.tap.write(self.who, 0, "start", life=life, cold=cold, port=self.port)
         self.loop.call_later(self.random.random(), self.tell_late, life)
         started = self.started_ms if cold else 0.0
@@ -196,7 +196,7 @@
     def die(self, why: str) -> None:
         if self.listener is None:
             return
-        self.loop.watch(self.listener, 0, self.accept)
+        self.loop.watch_socket(self.listener, 0, self.accept)
         self.listener.close()
         self.listener = None
         self.tap.write(self.who, 0, "die", life=self.life, why=why)
--- a/lemonhall/standins/boxlist.py
+++ b/lemonhall/standins/boxlist.py
@@ -26,7 +26,7 @@
         self.port = sock.getpeername()[1]
         self.stream = Stream(service.loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         try:
             self.parser.feed_data(view)
         except httptools.HttpParserError:
@@ -66,10 +66,10 @@
             boxes=told,
             started=started,
             port=self.port,
-            sent=self.stream.written + self.stream.backlog,
+            sent=self.stream.bytes_written + self.stream.backlog_bytes,
         )
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.service.followers.discard(self)
 
 
--- a/lemonhall/standins/control.py
+++ b/lemonhall/standins/control.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lemonhall.loop import Loop
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 from lemonhall.standins.tap import Tap
 
 
@@ -42,4 +42,4 @@
             else:
                 command(asked)
 
-    loop.watch(0, READ, on_ready)
+    loop.watch_socket(0, READ, on_ready)
--- a/lemonhall/standins/viewers.py
+++ b/lemonhall/standins/viewers.py
@@ -12,7 +12,7 @@
 from lemonhall.config.day import Day, Mix
 from lemonhall.interface import Repeat
 from lemonhall.loop import Handler, Loop, Stream
-from lemonhall.loop.core import Timer
+from lemonhall.loop.event_loop import Timer
 from lemonhall.rtsp import Frames, Parser, Request, Response, rtp
 from lemonhall.rtsp.messages import make_request
 from lemonhall.rtsp.parser import split_frames
@@ -66,7 +66,7 @@
         self.crowd.tap.message("viewer", self.conn, "out", request)
         self.stream.write(request.encode())
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.crowd.tap.write("viewer", self.conn, "open", front=self.front, ask=self.ask)
         self.state = "describing"
         if self.crowd.random.random() < 0.3:
@@ -92,7 +92,7 @@
     def later(self, ms: float, call: Any) -> None:
         self.timers.append(self.crowd.loop.call_later(ms / 1000, call))
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Response):
                 self.crowd.tap.message("viewer", self.conn, "in", event)
@@ -165,7 +165,7 @@
             self.wish.watched_ms += time.monotonic() * 1000 - self.playing_at
             self.again_or_done(None)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.crowd.tap.write("viewer", self.conn, "close", ask=self.ask, reason=reason)
         if self.over:
             return
--- a/lemonhall/store/writer.py
+++ b/lemonhall/store/writer.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from lemonhall.loop import Loop, Timer
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 from lemonhall.store.file import Change, Store
 
 Then = Callable[[str], object]  # told "" once it is on disk, else why it is not
@@ -38,7 +38,7 @@
         self.wake, self.woken = socket.socketpair()
         for end in (self.wake, self.woken):
             end.setblocking(False)
-        loop.watch(self.woken, READ, self.on_woken)
+        loop.watch_socket(self.woken, READ, self.on_woken)
         self.thread = threading.Thread(target=self.run, name="store", daemon=True)
         self.thread.start()
 
@@ -106,7 +106,7 @@
             self.ending = True
             self.more.notify()
         self.thread.join()
-        self.loop.watch(self.woken, 0, self.on_woken)
+        self.loop.watch_socket(self.woken, 0, self.on_woken)
         self.woken.close()
         self.wake.close()
         self.deliver()
--- a/tests/day/test_arrival.py
+++ b/tests/day/test_arrival.py
@@ -31,11 +31,11 @@
         self.since: float | None = None
         self.stream = Stream(loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.read.append(bytes(view))
-        self.loop.call_soon(self.stream.look)
+        self.loop.call_soon(self.stream.read_pending)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.since = self.looks.since_ms() / 1000
 
 
--- a/tests/front/site.py
+++ b/tests/front/site.py
@@ -99,10 +99,10 @@
         out = child.stdout
 
         def on_ready(_: int) -> None:
-            self.loop.watch(out, 0, on_ready)
+            self.loop.watch_socket(out, 0, on_ready)
             said.append(out.readline())
 
-        self.loop.watch(out, 1, on_ready)
+        self.loop.watch_socket(out, 1, on_ready)
         self.until(lambda: said)
         host, _, port = json.loads(said[0])["serving"].rpartition(":")
         return host, int(port)
@@ -159,6 +159,6 @@
                 if conn.stream.open:
                     conn.stream.abort()
             box.shut()
-        self.loop.watch(self.list.listener, 0, lambda _: None)
+        self.loop.watch_socket(self.list.listener, 0, lambda _: None)
         self.list.listener.close()
         self.loop.close()
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -83,14 +83,14 @@
         daemon.membership.close()
         daemon.up.heard = lambda message: None
         for sock in daemon.listeners:
-            self.loop.watch(sock, 0, lambda _: None)
+            self.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
         for ask in list(daemon.worker.asks.values()):
             if ask.attempt:
                 ask.attempt.stream.abort()
         for viewer in list(daemon.worker.viewers):
             viewer.stream.abort()
-        self.loop.after_pass.remove(daemon.bridge.flush)
+        self.loop.end_of_pass_callbacks.remove(daemon.bridge.flush)
         keeper.close()
 
     def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -46,7 +46,7 @@
         server = self
 
         class Conn(Handler):
-            def data(self, view: memoryview) -> None:
+            def on_data(self, view: memoryview) -> None:
                 server.heads.append(bytes(view))
                 stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 server.streams.append(stream)
--- a/tests/front/test_guard.py
+++ b/tests/front/test_guard.py
@@ -55,7 +55,7 @@
     assert new.counts["played"] == 1 and not faults
     for daemon in (new,):
         for sock in daemon.listeners:
-            site.loop.watch(sock, 0, lambda _: None)
+            site.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
         assert daemon.guard
         daemon.guard.close()
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -332,19 +332,19 @@
     slow_conn = w.boxes[0].conns[-1]
     good, _ = w.playing("/browse/good")
     good_conn = w.boxes[0].conns[-1]
-    slow.stream.pause()
+    slow.stream.pause_reading()
     viewer = next(s.viewer for s in w.daemon.worker.by_id.values() if "/slow" in s.path)
     most = 0
     packet = slow_conn.packet(b"z" * 1200)
     heard = len(good.media)
     for n in range(200):
-        if slow_conn.stream.open and slow_conn.stream.backlog < 1 << 20:
+        if slow_conn.stream.open and slow_conn.stream.backlog_bytes < 1 << 20:
             slow_conn.stream.write(packet * 100)
         good_conn.media(b"on")
         w.until(lambda n=n: len(good.media) == heard + n + 1)  # type: ignore[misc]
-        most = max(most, viewer.stream.backlog)
+        most = max(most, viewer.stream.backlog_bytes)
     assert 64_000 <= most <= 64_000 + (1 << 17)  # its bound and what one turn may add
-    assert slow_conn.stream.backlog > 0  # held back all the way to the server
+    assert slow_conn.stream.backlog_bytes > 0  # held back all the way to the server
     w.until(lambda: w.daemon.counts["viewer_stalled"] == 1)
     w.until(lambda: len(w.daemon.asks.open) == 1)
     assert good.reason == "" and good.byes == 0
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -85,7 +85,7 @@
         for box in self.boxes:
             box.shut()
         for sock in self.daemon.listeners:
-            self.loop.watch(sock, 0, lambda _: None)
+            self.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
         self.loop.close()
 
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -74,13 +74,13 @@
         self.text, self.over = b"", False
         self.stream = Stream.connect(site.loop, ("127.0.0.1", int(port.rpartition(":")[2])), self, 5.0)
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.stream.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.text += view
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.over = True
 
 
--- a/tests/front/world.py
+++ b/tests/front/world.py
@@ -44,7 +44,7 @@
         self.open, self.sequence, self.reason, self.channel = True, 100, "", 0
         self.stream = Stream(box.loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
                 self.box.requests.append(event)
@@ -68,7 +68,7 @@
     def media(self, payload: bytes = b"media", stamp: int = 9000) -> None:
         self.stream.write(self.packet(payload, stamp=stamp))
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.open, self.reason = False, reason
 
 
@@ -102,7 +102,7 @@
         return sum(r.method == method for r in self.requests)
 
     def shut(self) -> None:
-        self.loop.watch(self.listener, 0, lambda _: None)
+        self.loop.watch_socket(self.listener, 0, lambda _: None)
         self.listener.close()
 
 
@@ -115,14 +115,14 @@
         self.stream = Stream.connect(loop, address, self, 2.0)
         self.base = f"rtsp://{address[0]}:{address[1]}"
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Frames):
                 self.heard += [(c, bytes(p)) for c, p in split_frames(event.data)]
             else:
                 self.heard.append(event)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.reason = reason
 
     def send(self, method: str, path: str, *headers: tuple[str, str], body: bytes = b"") -> int:
@@ -258,6 +258,6 @@
                 box.shut()
         for sock in self.daemon.listeners:
             if sock.fileno() >= 0:
-                self.loop.watch(sock, 0, lambda _: None)
+                self.loop.watch_socket(sock, 0, lambda _: None)
                 sock.close()
         self.loop.close()
--- a/tests/links/test_relay.py
+++ b/tests/links/test_relay.py
@@ -173,7 +173,7 @@
         nonlocal sent
         with contextlib.suppress(BlockingIOError):
             sent += near.send(b"x" * 65536)
-        return next(iter(site.door.pairs)).near.stream.paused
+        return next(iter(site.door.pairs)).near.stream.reading_paused
 
     site.until(push)
     assert next(iter(site.door.pairs)).near.pipe.held < 1 << 20
--- a/tests/loop/test_loop.py
+++ b/tests/loop/test_loop.py
@@ -12,7 +12,7 @@
 import pytest
 
 from lemonhall.loop import Handler, Loop, Stream, listen
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 
 
 @pytest.fixture
@@ -34,19 +34,19 @@
         self.got, self.reasons, self.marks = bytearray(), list[str](), list[str]()
         self.stream: Stream | None = None
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.marks.append("connected")
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.got += view
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.reasons.append(reason)
 
-    def full(self) -> None:
+    def on_backlog_full(self) -> None:
         self.marks.append("full")
 
-    def drained(self) -> None:
+    def on_backlog_drained(self) -> None:
         self.marks.append("drained")
 
 
@@ -86,7 +86,7 @@
 def test_work_made_by_work_runs_in_the_same_pass_and_after_pass_sees_all(loop: Loop) -> None:
     seen: list[str] = []
     loop.call_soon(lambda: loop.call_soon(seen.append, "inner"))
-    loop.after_pass.append(lambda: seen.append("after"))
+    loop.end_of_pass_callbacks.append(lambda: seen.append("after"))
     loop.run_once(0.0)
     assert "inner" in seen and seen[-1] == "after"
 
@@ -110,27 +110,27 @@
 def test_bytes_arrive_whole_and_in_order_through_a_full_buffer(loop: Loop) -> None:
     a, b = pair(loop)
     assert a.stream and b.stream
-    b.stream.pause()
+    b.stream.pause_reading()
     sent = bytearray()
     for n in range(400):
         chunk = bytes([n % 251]) * 9973
         sent += chunk
         a.stream.write(memoryview(chunk))
-    assert "full" in a.marks and a.stream.backlog > 0
-    b.stream.resume()
+    assert "full" in a.marks and a.stream.backlog_bytes > 0
+    b.stream.resume_reading()
     until(loop, lambda: len(b.got) == len(sent))
     assert b.got == sent and a.marks == ["full", "drained"]
-    assert a.stream.backlog == 0 and a.stream.stalled_since is None
+    assert a.stream.backlog_bytes == 0 and a.stream.stalled_since is None
 
 
 def test_close_sends_what_waits_first(loop: Loop) -> None:
     a, b = pair(loop)
     assert a.stream and b.stream
-    b.stream.pause()
+    b.stream.pause_reading()
     a.stream.write(b"x" * 3_000_000)
     a.stream.close(within_s=5.0)
     a.stream.write(b"too late")
-    b.stream.resume()
+    b.stream.resume_reading()
     until(loop, lambda: b.reasons)
     assert len(b.got) == 3_000_000 and a.reasons == ["local"] and b.reasons == ["eof"]
 
@@ -138,7 +138,7 @@
 def test_close_does_not_wait_for_ever(loop: Loop) -> None:
     a, b = pair(loop)
     assert a.stream and b.stream
-    b.stream.pause()
+    b.stream.pause_reading()
     a.stream.write(b"x" * 3_000_000)
     a.stream.close(within_s=0.05)
     until(loop, lambda: a.reasons)
@@ -153,7 +153,7 @@
     stream.write(b"queued")
     assert peer.reasons == []  # never before connect returns
     until(loop, lambda: peer.reasons)
-    assert peer.reasons == ["refused"] and stream.written == 0
+    assert peer.reasons == ["refused"] and stream.bytes_written == 0
     held.close()
 
 
@@ -193,7 +193,7 @@
     until(loop, lambda: all(c.reasons for c in clients))
     assert sorted(c.reasons[0] for c in clients) == ["eof", "reset"]
     assert all(len(c.reasons) == 1 for c in clients)
-    loop.watch(server, 0, lambda _: None)
+    loop.watch_socket(server, 0, lambda _: None)
     server.close()
 
 
@@ -209,9 +209,9 @@
 
 def test_signals_and_children_are_heard_on_the_loop(loop: Loop) -> None:
     heard: list[str] = []
-    loop.on_signal(signal.SIGUSR1, lambda: heard.append("signal"))
+    loop.add_signal_handler(signal.SIGUSR1, lambda: heard.append("signal"))
     child = subprocess.Popen([sys.executable, "-c", "import sys; sys.exit(7)"])
-    loop.on_child(child.pid, lambda status: heard.append(f"child {status}"))
+    loop.add_child_handler(child.pid, lambda status: heard.append(f"child {status}"))
     os.kill(os.getpid(), signal.SIGUSR1)
     until(loop, lambda: len(heard) == 2)
     assert sorted(heard) == ["child 7", "signal"]
@@ -225,16 +225,16 @@
     def close_the_other(n: int) -> None:
         called.append(n)
         other = pairs[1 - n][0]
-        loop.watch(other, 0, lambda _: None)
+        loop.watch_socket(other, 0, lambda _: None)
         other.close()
 
     for n, (ours, theirs) in enumerate(pairs):
-        loop.watch(ours, READ, lambda _, n=n: close_the_other(n))
+        loop.watch_socket(ours, READ, lambda _, n=n: close_the_other(n))
         theirs.send(b"x")
     loop.run_once(1.0)
     assert len(called) == 1
     for pair in pairs:
         for end in pair:
             if end.fileno() >= 0:
-                loop.watch(end, 0, lambda _: None)
+                loop.watch_socket(end, 0, lambda _: None)
                 end.close()
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -37,7 +37,7 @@
         look("server", server)
     for link in node.viewers.links:
         look("viewer", link)
-    found["loop.timers"] = len([t for t in world.loop.timers if t[2].alive])
+    found["loop.timers"] = len([t for t in world.loop.timers if t[2].is_pending])
     return found
 
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -81,6 +81,6 @@
         "dns",
     }
     packages = {".".join(n.split(".")[1:3]) for n in own if n.count(".") > 1}
-    assert packages <= {"front.node", "front.deciding", "loop.core", "loop.stream"} | {
+    assert packages <= {"front.node", "front.deciding", "loop.event_loop", "loop.stream"} | {
         p for p in packages if p.startswith("node.")
     }
--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -179,7 +179,7 @@
     viewer = world.connect()
     refs = []
     for _ in range(100):
-        if len(node_link.stream.out) >= 3:
+        if len(node_link.stream.send_queue) >= 3:
             break
         made = world.new(extras=f"home:0;copies:4;viewer:{len(refs) + 500:016x}", left="4000")
         made["d"] = "v" * 7000
@@ -209,7 +209,7 @@
     node_link = world.node.servers.by_id[world.servers[0].name].links[0]
     waits = [ref for ref in refs if not node_link.left(node_link.open[ref])]
     begun = [ref for ref in refs if ref not in waits][-1]
-    assert len(waits) >= 2 and node_link.stream.backlog
+    assert len(waits) >= 2 and node_link.stream.backlog_bytes
     for ref in (waits[0], begun):
         viewer.say(down(ref, 16))
     world.pump(3)
@@ -298,7 +298,7 @@
     mine = next(v for v in world.node.viewers.links if made["ref"] in v.open)
     mine.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     for _ in range(100):
-        if not mine.stream.backlog:
+        if not mine.stream.backlog_bytes:
             viewer.say(b'{"t":"hb","f":{},"c":0}\n' * 500)
             world.pump(2)
     link.say(up(made["ref"]))
--- a/tests/node/world.py
+++ b/tests/node/world.py
@@ -312,7 +312,7 @@
             *self.node.viewers.links,
             *(k for s in self.node.servers.by_id.values() for k in s.links),
         ]:
-            handler.stream.let_go()
+            handler.stream.detach()
         for sock in [*(s.door for s in self.servers), self.names.sock, *(v.sock for v in self.viewers)]:
             sock.close()
         for server in self.servers:
