--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -251,7 +251,7 @@
         self.gap = 0.0
         self.lost = False
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Response):
                 if self.cseq == 1:
@@ -271,7 +271,7 @@
             self.gap = max(self.gap, now - self.at)
         self.last, self.at, self.packets = sequence, now, self.packets + 1
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.lost = True
 
 
--- a/lemonhall/loop/stream.py
+++ b/lemonhall/loop/stream.py
@@ -42,7 +42,7 @@
 
 
 class Stream:
-    """One TCP connection. `bytes_written` counts the bytes that the kernel took: 0 proves that nothing left."""
+    """One TCP connection. `bytes_written` counts the bytes that the kernel took; 0 proves that none left."""
 
     def __init__(
         self,
