--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -240,7 +240,7 @@
 def test_a_set_up_that_the_sweep_finds_out_of_time_is_not_sent_on(world: World) -> None:
     """The request and the sweep in one pass: the module sent an attempt whose end nobody told it."""
     world.viewer.say(world.new(left="1"))
-    at = max(timer[0] for timer in world.loop.timers if timer[2].call == world.node.sweep)
+    at = max(timer[0] for timer in world.loop.timers if timer[2].callback == world.node.sweep)
     world.now = at  # the sweep is due in the very pass that reads the request
     original = bounds.answer_margin_s
     try:
@@ -535,7 +535,7 @@
     """SIGTERM has come; the time at which what is queued and unread is looked for the last time."""
     world.loop.running = True
     world.node.stop()
-    end = next(t[0] for t in world.loop.timers if t[2].call == world.node.end_when_answered)
+    end = next(t[0] for t in world.loop.timers if t[2].callback == world.node.end_when_answered)
     world.pass_s(end - world.now - 0.01, 0.01)
     return end
 
@@ -880,7 +880,7 @@
     assert len(at_server.links) == 2
     mine = next(k for k in at_server.links if k.stream.sock.getsockname() == links[0].sock.getpeername())
     mine.used -= world.node.servers.idle_s
-    due = next(t[0] for t in sorted(world.loop.timers) if t[2].call == world.node.sweep)
+    due = next(t[0] for t in sorted(world.loop.timers) if t[2].callback == world.node.sweep)
     # Behind all reads of that pass.
     world.loop.call_at(due - 1e-6, come, mine, links[0], down(refs[0], 16))
     world.now = due
