--- a/lemonhall/front/node/__init__.py
+++ b/lemonhall/front/node/__init__.py
@@ -1,1 +1,1 @@
-"""The front node: the platform's protocol on the loop and streams, round the module behind its bridge."""
+"""The front node: the platform's protocol on event loop and streams, around the decider behind its bridge."""
--- a/lemonhall/front/node/__main__.py
+++ b/lemonhall/front/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonhall.front.node`: a front node by `PROXY_CONFIG` alone."""
+"""`python -m lemonhall.front.node`: runs a front node, configured by the file that `PROXY_CONFIG` names."""
 
 import sys
 
--- a/lemonhall/front/node/log.py
+++ b/lemonhall/front/node/log.py
@@ -1,6 +1,7 @@
-"""JSON lines on standard error, limited in rate: a flood of bad input is no flood of log.
+"""JSON lines on standard error, rate-limited so that a flood of bad input does not flood the log.
 
-The house's logs are structlog's; the node writes the same form without it, since that costs 13 MB and 0.12 s.
+The other programs log with structlog; the node writes the same format without it, because it costs 13 MB and
+0.12 s.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 import time
 from collections import Counter
 
-A_SECOND = 20  # lines of each event
+MAX_LINES_PER_SECOND = 20  # per event
 
 
 class Log:
@@ -19,23 +20,23 @@
         self.written: Counter[str] = Counter()
         self.left_out: Counter[str] = Counter()
 
-    def say(self, event: str, **facts: object) -> None:
+    def write(self, event: str, **fields: object) -> None:
         now = time.time()
         if int(now) != self.second:
             self.second = int(now)
             self.written.clear()
         self.written[event] += 1
-        if self.written[event] > A_SECOND:
+        if self.written[event] > MAX_LINES_PER_SECOND:
             self.left_out[event] += 1
             return
         if self.left_out[event]:
-            facts["left_out"] = self.left_out.pop(event)
-        line = json.dumps({"event": event, "timestamp": round(now, 3), **facts}, default=str)
+            fields["left_out"] = self.left_out.pop(event)
+        line = json.dumps({"event": event, "timestamp": round(now, 3), **fields}, default=str)
         try:
             sys.stderr.write(line + "\n")
             sys.stderr.flush()
         except (OSError, ValueError):
-            pass  # a log that nobody takes stops no session
+            pass  # a log that cannot be written must not affect sessions
 
 
 log = Log()
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -1,4 +1,4 @@
-"""The front node as a process: start, list, signals, and the wiring of it all."""
+"""The front node as a process: start, server list, signals, and the wiring of its parts."""
 
 from __future__ import annotations
 
@@ -11,254 +11,277 @@
 from collections import Counter
 from random import Random
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.decide import Front
 from lemonhall.front.deciding.bridge import Bridge
 from lemonhall.front.node.log import log
 from lemonhall.front.node.resolver import Resolver
-from lemonhall.front.node.servers import Servers
+from lemonhall.front.node.servers import MediaServers
 from lemonhall.front.node.sessions import Sessions
-from lemonhall.front.node.viewers import Viewers
+from lemonhall.front.node.viewers import ViewerConnections
 from lemonhall.loop import Loop, Timer
 from lemonhall.node import bounds, configuration
 from lemonhall.node.configuration import Configuration
-from lemonhall.node.records import Listed, changes
+from lemonhall.node.dns import ListedServer, list_changes
 from lemonhall.problem import BadInput
 
-BAD_INPUT = 2
-SUMMARY_S = 5.0
-CONFIG = "PROXY_CONFIG"
+EXIT_BAD_INPUT = 2
+SUMMARY_INTERVAL_S = 5.0
+CONFIG_VARIABLE = "PROXY_CONFIG"
 
 
-class Node:
+class FrontNode:
     """Raises `OSError` if it cannot listen."""
 
-    def __init__(self, loop: Loop, told: Configuration, path: str) -> None:
-        self.loop, self.told, self.path = loop, told, path
+    def __init__(self, loop: Loop, config: Configuration, config_path: str) -> None:
+        self.loop, self.config, self.config_path = loop, config, config_path
         self.counts: Counter[str] = Counter()
-        self.random = Random(told.seed)
-        settings = told.settings
-        # The module's clock: Unix time at the start, running on monotonically. List entries tell Unix times.
-        offset = self.offset = time.time() - loop.now()
-        self.bridge = Bridge(Front(settings, told.seed), lambda: (loop.now() + offset) * 1000)
-        self.bridge.carry_out[i.SetTimer] = self.set_timer
-        notes_s = (settings.reports_every_ms * 1.5 + settings.told_late_ms) / 1000
-        self.servers = Servers(
+        self.random = Random(config.seed)
+        settings = config.settings
+        # The decider's clock is monotonic from the Unix time at the start, because list entries carry Unix
+        # times.
+        clock_offset_s = self.clock_offset_s = time.time() - loop.now()
+        self.bridge = Bridge(Front(settings, config.seed), lambda: (loop.now() + clock_offset_s) * 1000)
+        self.bridge.carry_out[interface.SetTimer] = self.set_timer
+        max_note_interval_s = (settings.reports_every_ms * 1.5 + settings.told_late_ms) / 1000
+        self.servers = MediaServers(
             loop,
-            told.names,
-            told.streams,
-            told.idle_s,
-            told.connect_s,
-            notes_s,
-            int(told.sockets * bounds.SERVERS_PART),
+            config.names,
+            config.set_ups_per_connection,
+            config.idle_timeout_s,
+            config.connect_timeout_s,
+            max_note_interval_s,
+            int(config.max_descriptors * bounds.SERVER_DESCRIPTORS_SHARE),
             self.counts,
-            log.say,
+            log.write,
         )
-        self.viewers = Viewers(
-            loop, told.names, int(told.sockets * bounds.VIEWERS_PART), self.counts, log.say
+        self.viewers = ViewerConnections(
+            loop,
+            config.names,
+            int(config.max_descriptors * bounds.VIEWER_DESCRIPTORS_SHARE),
+            self.counts,
+            log.write,
         )
         self.sessions = Sessions(
-            loop, self.bridge, settings, self.servers, self.viewers, self.counts, log.say
+            loop, self.bridge, settings, self.servers, self.viewers, self.counts, log.write
         )
-        self.viewers.known = self.sessions.by_ref.__contains__
-        self.viewers.serves = self.serves
-        self.listed: dict[str, Listed] = {}
-        self.confirmed = False  # the resolver has told the list
-        self.stopping_at: float | None = None
-        self.reload_tries = 0
+        self.viewers.is_known_ref = self.sessions.by_ref.__contains__
+        self.viewers.is_serving = self.is_serving
+        self.listed_servers: dict[str, ListedServer] = {}
+        self.list_confirmed = False  # the resolver has returned a list
+        self.stopping_since: float | None = None
+        self.reload_attempts = 0
         self.reload_timer: Timer | None = None
-        self.end_after_s = bounds.end_after_term_s(max(told.names.deadlines_ms) / 1000)
-        loop.on_error = self.fault
-        loop.end_of_pass_callbacks.append(self.flush)
-        self.tell_list(i.ListKind.CACHED, told.seq, tuple(told.servers.values()), ())
+        self.shutdown_timeout_s = bounds.shutdown_timeout_s(max(config.names.deadlines_ms) / 1000)
+        loop.on_error = self.on_callback_error
+        loop.end_of_pass_callbacks.append(self.flush_events)
+        self.report_list(interface.ListKind.CACHED, config.list_number, tuple(config.servers.values()), ())
         self.bridge.call()
-        self.resolver = Resolver(loop, told.dns, told.seq, self.random, self.on_list, self.counts, log.say)
-        self.viewers.listen(told.listen)
+        self.resolver = Resolver(
+            loop,
+            config.resolver_address,
+            config.list_number,
+            self.random,
+            self.on_list,
+            self.counts,
+            log.write,
+        )
+        self.viewers.listen(config.listen_address)
         self.sweep()
-        self.summary()
+        self.log_summary()
 
-    def serves(self) -> bool:
-        return self.stopping_at is None
+    def is_serving(self) -> bool:
+        return self.stopping_since is None
 
-    def flush(self) -> None:
-        """One call of the module for all that a pass brought; what its actions bring about is the next."""
+    def flush_events(self) -> None:
+        """Calls the decider once for the events of a pass; those caused by its actions form the next call."""
         self.bridge.flush()
         if self.bridge.events:
             self.loop.call_soon(lambda: None)
 
-    def fault(self, error: Exception) -> None:
-        """Guards what plays against a fault in the handling of one message."""
+    def on_callback_error(self, error: Exception) -> None:
+        """Keeps the node running, and its sessions playing, after a fault in the handling of one message."""
         self.counts["faults"] += 1
         trace = error.__traceback__
         while trace and trace.tb_next:
             trace = trace.tb_next
         where = f"{trace.tb_frame.f_code.co_filename}:{trace.tb_lineno}" if trace else ""
-        log.say("fault", error=f"{type(error).__name__}: {error}", where=where)
-
-    def set_timer(self, action: i.SetTimer) -> None:
-        self.loop.call_later(action.after_ms / 1000, self.bridge.tell, i.TimerDue(action.token))
-
-    # the list
-
-    def on_list(self, seq: int, servers: tuple[Listed, ...]) -> None:
-        """The first answer is the whole list as the resolver has it, no longer the one of the start."""
-        changed, gone = changes(self.listed, servers)
-        if not self.confirmed:
-            self.confirmed = True
-            self.tell_list(i.ListKind.FULL, seq, servers, gone)
-        elif changed or gone:
-            self.tell_list(i.ListKind.CHANGES, seq, changed, gone)
-
-    def tell_list(
-        self, kind: i.ListKind, seq: int, changed: tuple[Listed, ...], gone: tuple[Listed, ...]
+        log.write("fault", error=f"{type(error).__name__}: {error}", where=where)
+
+    def set_timer(self, action: interface.SetTimer) -> None:
+        self.loop.call_later(action.after_ms / 1000, self.bridge.tell, interface.TimerDue(action.token))
+
+    # Server list
+
+    def on_list(self, list_number: int, servers: tuple[ListedServer, ...]) -> None:
+        """The first response is reported as a whole list: it confirms or replaces the list of the start."""
+        changed, removed = list_changes(self.listed_servers, servers)
+        if not self.list_confirmed:
+            self.list_confirmed = True
+            self.report_list(interface.ListKind.FULL, list_number, servers, removed)
+        elif changed or removed:
+            self.report_list(interface.ListKind.CHANGES, list_number, changed, removed)
+
+    def report_list(
+        self,
+        kind: interface.ListKind,
+        list_number: int,
+        changed: tuple[ListedServer, ...],
+        removed: tuple[ListedServer, ...],
     ) -> None:
-        told = []
+        reported = []
         for entry in changed:
-            self.listed[entry.id] = entry
-            server = self.servers.named(entry.id)
+            self.listed_servers[entry.id] = entry
+            server = self.servers.get_or_add(entry.id)
             moved = server.address != (entry.host, entry.port)
             restarted = server.listed and entry.started_ms != server.started_ms
             server.address, server.listed = (entry.host, entry.port), True
             server.started_ms = entry.started_ms
             if moved:
-                server.moved()
+                server.on_address_changed()
             if restarted:
-                # Another process: the sessions of the one before are over. Those that were set up since its
-                # start are its own: it was reached before the list told of it.
-                server.lose("restarted", entry.started_ms / 1000 - self.offset)
-            if server.standing and (moved or not server.links):
-                server.dial()
-            state = i.ServerState.DRAINING if entry.draining else i.ServerState.READY
-            told.append(self.entry(entry, server.number, state))
-        for entry in gone:
-            del self.listed[entry.id]
-            if kind is i.ListKind.CHANGES:  # a whole list tells it by leaving it out
-                server = self.servers.named(entry.id)
-                told.append(self.entry(entry, server.number, i.ServerState.GONE))
-        log.say("list", number=seq, kind=kind.name.lower(), changed=len(changed), gone=len(gone))
-        self.bridge.tell(i.ServerList(kind, seq, tuple(told)))
-        for entry in gone:  # after the module has heard it: what ends with it ends on a server that is gone
-            server = self.servers.named(entry.id)
+                # A new process: the sessions of the previous one are over. Sessions set up since its start
+                # are its own, because a connection may reach it before the list reports it.
+                server.lose_sessions("restarted", entry.started_ms / 1000 - self.clock_offset_s)
+            if server.established_sessions and (moved or not server.connections):
+                server.connect()
+            state = interface.ServerState.DRAINING if entry.draining else interface.ServerState.READY
+            reported.append(self.make_server(entry, server.number, state))
+        for entry in removed:
+            del self.listed_servers[entry.id]
+            if kind is interface.ListKind.CHANGES:  # a whole list reports it by omission
+                server = self.servers.get_or_add(entry.id)
+                reported.append(self.make_server(entry, server.number, interface.ServerState.GONE))
+        log.write("list", number=list_number, kind=kind.name.lower(), changed=len(changed), gone=len(removed))
+        self.bridge.tell(interface.ServerList(kind, list_number, tuple(reported)))
+        # After the report, so that the decider sees these sessions end on a server that is gone.
+        for entry in removed:
+            server = self.servers.get_or_add(entry.id)
             server.listed = False
-            server.lose("gone")
-            self.servers.forget(server)
+            server.lose_sessions("gone")
+            self.servers.remove_if_unused(server)
 
-    def entry(self, entry: Listed, number: int, state: i.ServerState) -> i.Server:
-        names = self.told.names
+    def make_server(self, entry: ListedServer, number: int, state: interface.ServerState) -> interface.Server:
+        names = self.config.names
         zone = names.zones.index(entry.zone) if entry.zone in names.zones else len(names.zones)
         kind = names.kinds.index(entry.kind) if entry.kind in names.kinds else len(names.kinds)
-        return i.Server(number, kind, entry.weight, zone, entry.cell, entry.started_ms, state)
+        return interface.Server(number, kind, entry.weight, zone, entry.cell, entry.started_ms, state)
 
-    # signals
+    # Signals
 
     def reload(self) -> None:
-        """A new configuration: of what it tells the resolver's address may change while the node runs.
+        """Loads the configuration again; only the address of the resolver may change while the node runs.
 
-        A file that is bad or half written keeps the old one in force and is read again, as often after each
-        signal: an earlier file that never came right takes nothing of it.
+        If the file is invalid or half written, the old configuration stays in force and the file is read
+        again. Each signal starts with the full number of attempts, also when an earlier file never became
+        valid.
         """
-        self.reload_tries = 0
-        self.read_again()
+        self.reload_attempts = 0
+        self.read_configuration()
 
-    def read_again(self) -> None:
+    def read_configuration(self) -> None:
         if self.reload_timer:
             self.reload_timer.cancel()
         try:
-            with open(self.path, encoding="utf-8") as file:
-                told = configuration.read(file.read(), self.path)
+            with open(self.config_path, encoding="utf-8") as file:
+                config = configuration.parse_configuration(file.read(), self.config_path)
         except (OSError, ValueError, BadInput) as error:
-            self.reload_tries += 1
-            log.say("configuration not taken", why=str(error), tries=self.reload_tries)
-            if self.reload_tries < bounds.RELOAD_TRIES:
-                self.reload_timer = self.loop.call_later(bounds.RELOAD_AGAIN_S, self.read_again)
+            self.reload_attempts += 1
+            log.write("configuration not taken", why=str(error), tries=self.reload_attempts)
+            if self.reload_attempts < bounds.MAX_RELOAD_ATTEMPTS:
+                self.reload_timer = self.loop.call_later(
+                    bounds.RELOAD_RETRY_INTERVAL_S, self.read_configuration
+                )
             return
         self.counts["reloads"] += 1
-        log.say("configuration taken", dns=told.dns)
-        self.resolver.move(told.dns)
+        log.write("configuration taken", dns=config.resolver_address)
+        self.resolver.change_address(config.resolver_address)
 
     def stop(self) -> None:
-        """Tests fail from here on; what still comes is taken as long as it may come, and answered."""
-        if self.stopping_at is None:
-            self.stopping_at = self.loop.now()
-            log.say("stopping", open=self.open, standing=self.sessions.standing)
-            self.loop.call_later(bounds.TAKEN_AFTER_TERM_S, self.end_when_answered)
+        """From here on heartbeats fail; requests that still arrive are accepted for a while and answered."""
+        if self.stopping_since is None:
+            self.stopping_since = self.loop.now()
+            log.write("stopping", open=self.open_set_up_count, standing=self.sessions.established_count)
+            self.loop.call_later(bounds.ACCEPT_AFTER_TERM_S, self.stop_when_answered)
 
     @property
-    def open(self) -> int:
-        return sum(len(viewer.open) for viewer in self.viewers.links)
+    def open_set_up_count(self) -> int:
+        return sum(len(viewer.open_sessions) for viewer in self.viewers.connections)
 
     @property
-    def unsent(self) -> bool:
-        """Words that the kernel has not taken yet, or that wait for a connection which is coming up."""
+    def has_unsent_messages(self) -> bool:
+        """Whether messages are in a backlog or wait for a connection that is being opened."""
         servers = self.servers.by_id.values()
         return (
-            any(viewer.stream.backlog_bytes for viewer in self.viewers.links)
-            or any(link.stream.backlog_bytes for server in servers for link in server.links)
-            or any(server.orders and server.links for server in servers)
+            any(viewer.stream.backlog_bytes for viewer in self.viewers.connections)
+            or any(connection.stream.backlog_bytes for server in servers for connection in server.connections)
+            or any(server.pending_commands and server.connections for server in servers)
         )
 
-    def end_when_answered(self) -> None:
-        """What the kernel has taken was taken: queued connections and unread requests are before the end."""
-        assert self.stopping_at is not None
+    def stop_when_answered(self) -> None:
+        """Connections queued in the kernel and unread requests count as accepted and are handled first."""
+        assert self.stopping_since is not None
         self.viewers.stop_listening()
-        for viewer in list(self.viewers.links):
-            viewer.look()
-        if (self.open or self.unsent) and self.loop.now() - self.stopping_at < self.end_after_s:
-            self.loop.call_later(bounds.END_LOOK_S, self.end_when_answered)
+        for viewer in list(self.viewers.connections):
+            viewer.read_pending()
+        if (
+            self.open_set_up_count or self.has_unsent_messages
+        ) and self.loop.now() - self.stopping_since < self.shutdown_timeout_s:
+            self.loop.call_later(bounds.SHUTDOWN_POLL_INTERVAL_S, self.stop_when_answered)
             return
-        self.sessions.fail_open()
-        self.summary()
-        self.end()
-
-    def end(self) -> None:
-        """Ends every connection so that the last words arrive, then the process."""
-        self.servers.ended = True
-        self.viewers.send_waiting(last=True)
-        for viewer in list(self.viewers.links):
-            viewer.finish(bounds.LINGER_END_S)
+        self.sessions.fail_open_set_ups()
+        self.log_summary()
+        self.close_connections()
+
+    def close_connections(self) -> None:
+        """Closes every connection so that the last messages arrive, then stops the loop."""
+        self.servers.shutting_down = True
+        self.viewers.send_waiting_releases(shutting_down=True)
+        for viewer in list(self.viewers.connections):
+            viewer.close_lingering(bounds.SHUTDOWN_LINGER_S)
         for server in list(self.servers.by_id.values()):
-            for link in list(server.links):
-                link.stream.close_lingering(bounds.LINGER_END_S)
-        self.loop.call_later(bounds.LINGER_END_S, self.loop.stop)
+            for connection in list(server.connections):
+                connection.stream.close_lingering(bounds.SHUTDOWN_LINGER_S)
+        self.loop.call_later(bounds.SHUTDOWN_LINGER_S, self.loop.stop)
 
-    # upkeep
+    # Periodic work
 
     def sweep(self) -> None:
-        self.loop.call_later(bounds.SWEEP_S, self.sweep)
+        self.loop.call_later(bounds.SWEEP_INTERVAL_S, self.sweep)
         self.servers.sweep()
         self.sessions.sweep()
         self.viewers.sweep()
 
-    def summary(self) -> None:
-        self.loop.call_later(SUMMARY_S, self.summary)
+    def log_summary(self) -> None:
+        self.loop.call_later(SUMMARY_INTERVAL_S, self.log_summary)
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        log.say(
+        log.write(
             "summary",
-            open=self.open,
-            standing=self.sessions.standing,
-            viewers=len(self.viewers.links),
-            server_connections=self.servers.connections,
+            open=self.open_set_up_count,
+            standing=self.sessions.established_count,
+            viewers=len(self.viewers.connections),
+            server_connections=self.servers.connection_count,
             descriptors=len(os.listdir("/proc/self/fd")),
             servers=len(self.servers.by_id),
-            list=self.resolver.seq,
+            list=self.resolver.list_number,
             longest_pass_ms=round(self.loop.longest_pass_s * 1000, 1),
             cpu_s=round(usage.ru_utime + usage.ru_stime, 2),
-            memory_mb=round(resident_mb(), 1),
+            memory_mb=round(resident_memory_mb(), 1),
             counts=dict(self.counts),
         )
         self.loop.longest_pass_s = 0.0
 
 
-def resident_mb() -> float:
+def resident_memory_mb() -> float:
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 def main() -> int:
-    """Exit: 0 after SIGTERM, 2 for a configuration or an address that cannot be used, named."""
-    path = os.environ.get(CONFIG, "")
+    """Returns 0 after SIGTERM, 2 after naming a configuration or an address that cannot be used."""
+    path = os.environ.get(CONFIG_VARIABLE, "")
     loop = Loop()
-    node: Node | None = None
+    node: FrontNode | None = None
 
     def on_hup() -> None:
         if node:
@@ -268,22 +291,22 @@
         if node:
             node.stop()
 
-    # Before anything else, since neither signal may end the process while it starts.
+    # Installed first, because neither signal may end the process while it starts.
     loop.add_signal_handler(signal.SIGHUP, on_hup)
     loop.add_signal_handler(signal.SIGTERM, on_term)
     signal.signal(signal.SIGPIPE, signal.SIG_IGN)
     try:
         with open(path, encoding="utf-8") as file:
-            told = configuration.read(file.read(), path)
-        node = Node(loop, told, path)
+            config = configuration.parse_configuration(file.read(), path)
+        node = FrontNode(loop, config, path)
     except BadInput as error:
         print(f"lemonhall: {error}", file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
     except (OSError, ValueError) as error:
-        print(f"lemonhall: {CONFIG}={path!r}: {error}", file=sys.stderr)
-        return BAD_INPUT
+        print(f"lemonhall: {CONFIG_VARIABLE}={path!r}: {error}", file=sys.stderr)
+        return EXIT_BAD_INPUT
     gc.collect()
     gc.freeze()
-    log.say("serving", name=told.name, listen=told.listen, servers=len(told.servers))
+    log.write("serving", name=config.name, listen=config.listen_address, servers=len(config.servers))
     loop.run()
     return 0
--- a/lemonhall/front/node/resolver.py
+++ b/lemonhall/front/node/resolver.py
@@ -1,4 +1,4 @@
-"""Asks the resolver over UDP, often enough that what counts as told was heard; one question at a time."""
+"""Queries the resolver over UDP, often enough to learn of changes in time; one query at a time."""
 
 from __future__ import annotations
 
@@ -9,114 +9,114 @@
 
 from lemonhall.loop import Loop, Timer
 from lemonhall.loop.event_loop import READ
-from lemonhall.node import bounds, records
-from lemonhall.node.records import Listed, Spoilt
+from lemonhall.node import bounds, dns
+from lemonhall.node.dns import DnsError, ListedServer
 
 SERVICE = "_app._tcp.cluster.lan"
 
 
 class Resolver:
-    """`on_list(number, servers)` is told of each answer that is whole and no older than what is known."""
+    """Calls `on_list(number, servers)` for each valid response that is no older than the known list."""
 
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
-        seq: int,
+        list_number: int,
         random: Random,
-        on_list: Callable[[int, tuple[Listed, ...]], None],
+        on_list: Callable[[int, tuple[ListedServer, ...]], None],
         counts: Counter[str],
-        say: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
-        self.loop, self.address, self.seq, self.random = loop, address, seq, random
-        self.on_list, self.counts, self.say = on_list, counts, say
-        self.ident = -1  # of the question that is out
+        self.loop, self.address, self.list_number, self.random = loop, address, list_number, random
+        self.on_list, self.counts, self.log_event = on_list, counts, log_event
+        self.query_id = -1  # of the query in flight; -1: none
         self.timer: Timer | None = None
-        self.pause_s = bounds.ASK_TIMEOUT_S
-        self.last = b""  # the last good answer but for its id: the same again is not read again
+        self.timeout_s = bounds.DNS_QUERY_TIMEOUT_S
+        self.last_response = b""  # without its id; an identical response is not parsed again
         self.answered_at = loop.now()
         self.sock: socket.socket | None = None
-        self.ask()
+        self.send_query()
 
-    def move(self, address: tuple[str, int]) -> None:
-        """A new resolver is asked at once."""
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Queries a new resolver at once."""
         if address != self.address:
             self.address = address
             self.close()
-            self.pause_s = bounds.ASK_TIMEOUT_S
-            self.ask()
+            self.timeout_s = bounds.DNS_QUERY_TIMEOUT_S
+            self.send_query()
 
     def close(self) -> None:
         if self.timer:
             self.timer.cancel()
-        self.shut()
+        self.close_socket()
 
-    def shut(self) -> None:
+    def close_socket(self) -> None:
         if self.sock:
-            self.loop.watch_socket(self.sock, 0, self.ready)
+            self.loop.watch_socket(self.sock, 0, self.on_readable)
             self.sock.close()
             self.sock = None
 
-    def ask(self) -> None:
-        """A new socket for a question that was lost: another port, and nothing late can come to it."""
+    def send_query(self) -> None:
+        """After a lost query the socket is new: its port differs, so a late response cannot reach it."""
         try:
             if self.sock is None:
                 self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 self.sock.setblocking(False)
-                self.sock.connect(self.address)  # from the asked address only
-                self.loop.watch_socket(self.sock, READ, self.ready)
-            self.ident = self.random.randrange(1 << 16)
+                self.sock.connect(self.address)  # the kernel drops datagrams from other addresses
+                self.loop.watch_socket(self.sock, READ, self.on_readable)
+            self.query_id = self.random.randrange(1 << 16)
             self.counts["asked_resolver"] += 1
-            self.sock.send(records.question(self.ident, SERVICE))
+            self.sock.send(dns.encode_query(self.query_id, SERVICE))
         except OSError:
             self.counts["resolver_unreachable"] += 1
-            self.shut()
-        self.timer = self.loop.call_later(self.pause_s, self.unanswered)
+            self.close_socket()
+        self.timer = self.loop.call_later(self.timeout_s, self.on_timeout)
 
-    def unanswered(self) -> None:
+    def on_timeout(self) -> None:
         self.counts["resolver_silent"] += 1
-        self.ident = -1
-        self.shut()
-        self.pause_s = min(bounds.ASK_AGAIN_MOST_S, self.pause_s * 1.5)
-        self.ask()
+        self.query_id = -1
+        self.close_socket()
+        self.timeout_s = min(bounds.DNS_MAX_TIMEOUT_S, self.timeout_s * 1.5)
+        self.send_query()
 
-    def ready(self, _: int) -> None:
-        for _turn in range(8):
+    def on_readable(self, _: int) -> None:
+        for _attempt in range(8):
             if self.sock is None:
                 return
             try:
                 data = self.sock.recv(65536)
             except BlockingIOError:
                 return
-            except OSError:  # refused: the question's own timer asks again
+            except OSError:  # connection refused: the timer of the query retries
                 return
-            self.hear(data)
+            self.on_response(data)
 
-    def hear(self, data: bytes) -> None:
-        if self.ident < 0 or data[:2] != self.ident.to_bytes(2, "big"):
+    def on_response(self, data: bytes) -> None:
+        if self.query_id < 0 or data[:2] != self.query_id.to_bytes(2, "big"):
             self.counts["resolver_late"] += 1
             return
-        if data[2:] != self.last:
+        if data[2:] != self.last_response:
             try:
-                seq, servers = records.read(data, self.ident, SERVICE)
-            except Spoilt as spoilt:
-                # Passed over; the question stands until its time is up, a good answer may still come.
+                list_number, servers = dns.parse_response(data, self.query_id, SERVICE)
+            except DnsError as error:
+                # The query stays in flight until its timeout: a valid response may still arrive.
                 self.counts["resolver_spoilt"] += 1
-                self.say("spoilt answer of the resolver", why=str(spoilt))
+                self.log_event("ignored an invalid response of the resolver", why=str(error))
                 return
-            if seq < self.seq:
+            if list_number < self.list_number:
                 self.counts["resolver_older"] += 1
                 return
             if not servers:
-                # No server at all is what a resolver says that lost its own source. Servers that are
-                # dead refuse by themselves; believed, it would end every session that plays.
+                # A resolver that lost its own source returns an empty list, and accepting it would end every
+                # session. If the servers are really gone, connections to them fail anyway.
                 self.counts["resolver_empty"] += 1
                 return
-            self.seq, self.last = seq, data[2:]
-            self.on_list(seq, servers)
-        self.ident = -1
+            self.list_number, self.last_response = list_number, data[2:]
+            self.on_list(list_number, servers)
+        self.query_id = -1
         self.answered_at = self.loop.now()
-        self.pause_s = bounds.ASK_TIMEOUT_S
+        self.timeout_s = bounds.DNS_QUERY_TIMEOUT_S
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(bounds.ASK_EVERY_S, self.ask)
+        self.timer = self.loop.call_later(bounds.DNS_QUERY_INTERVAL_S, self.send_query)
--- a/lemonhall/front/node/servers.py
+++ b/lemonhall/front/node/servers.py
@@ -1,6 +1,7 @@
-"""Connections to media servers: several set-ups on one, and a line back for what stands.
+"""Connections to media servers, which carry several set-ups each and commands for established sessions.
 
-A connection belongs to a server's id, never to its address alone: another may have taken that since.
+A connection belongs to a server's id, never to its address alone: another server may have taken over the
+address since.
 """
 
 from __future__ import annotations
@@ -12,386 +13,456 @@
 from lemonhall.interface import Outcome
 from lemonhall.loop import Handler, Loop, Stream
 from lemonhall.node import bounds, messages
-from lemonhall.node.lines import Lines, TooLong
-from lemonhall.node.messages import Bad, Down, Names, Note, Up
-from lemonhall.node.outcomes import GIVEN_UP
+from lemonhall.node.causes import GIVEN_UP
+from lemonhall.node.line_reader import LineReader, LineTooLong
+from lemonhall.node.messages import Down, MessageError, Note, SettingsNames, Up
 
 NEVER = float("-inf")
-AGAIN = "down again"  # an end that is said for the second time, and not for a third
+REPEATED_DOWN = "repeated down"  # kind of a release that is sent for the second and last time
 
 
-class Link(Handler):
+class ServerConnection(Handler):
     """One connection to a media server."""
 
     def __init__(self, server: MediaServer) -> None:
-        self.server, self.lines, self.address = server, Lines(), server.address
-        self.up = False
-        self.open: dict[str, Attempt] = {}
-        # Sessions ended by a word here lately: when it was written, its id, the word.
-        self.ends: deque[tuple[float, str, bytes]] = deque(maxlen=bounds.ENDS_KEPT)
-        desk = server.desk
-        self.used = desk.loop.now()
-        self.half_since = 0.0
+        self.server, self.line_reader, self.address = server, LineReader(), server.address
+        self.connected = False
+        self.open_attempts: dict[str, Attempt] = {}
+        # Releases sent here recently: when, of which session, the line.
+        self.recent_releases: deque[tuple[float, str, bytes]] = deque(maxlen=bounds.MAX_RECENT_RELEASES)
+        owner = server.owner
+        self.last_used_at = owner.loop.now()
+        self.partial_since = 0.0
         self.stream = Stream.connect(
-            desk.loop, server.address, self, desk.connect_s, bounds.BACKLOG_BYTES, bounds.GULP_BYTES
+            owner.loop,
+            server.address,
+            self,
+            owner.connect_timeout_s,
+            bounds.MAX_BACKLOG_BYTES,
+            bounds.MAX_READ_BYTES,
         )
 
     def on_connected(self) -> None:
-        self.up = True
-        self.used = self.server.desk.loop.now()
-        self.server.link_up(self)
+        self.connected = True
+        self.last_used_at = self.server.owner.loop.now()
+        self.server.on_connection_up(self)
 
     def on_backlog_full(self) -> None:
-        # A server that reads nothing any more: what was written may have run, the rest waits for nobody.
+        # The server has stopped reading: what was written may have run, and the rest would never be read.
         self.stream.abort()
 
     def on_data(self, view: memoryview) -> None:
-        desk = self.server.desk
-        self.used = desk.loop.now()
-        self.lines.feed(view)
+        owner = self.server.owner
+        self.last_used_at = owner.loop.now()
+        self.line_reader.feed(view)
         try:
-            while self.stream.open and (line := self.lines.take()) is not None:
+            while self.stream.open and (line := self.line_reader.next_line()) is not None:
                 if line:
-                    desk.hear(self, messages.from_server(line, desk.names))
-        except (Bad, TooLong) as error:
-            # What comes behind an unreadable message cannot be told apart from noise: the connection goes,
-            # with the set-ups open on it; what stands belongs to no connection and lives on.
-            desk.counts["server_unreadable"] += 1
-            desk.say("unreadable from a server", server=self.server.id, why=str(error) or "too long")
+                    owner.dispatch(self, messages.parse_server_message(line, owner.names))
+        except (MessageError, LineTooLong) as error:
+            # Nothing after an invalid message can be trusted, so the connection is reset, which ends the
+            # set-ups open on it. Established sessions belong to no connection and continue.
+            owner.counts["server_unreadable"] += 1
+            owner.log_event(
+                "resetting a server connection after an invalid message",
+                server=self.server.id,
+                why=str(error) or "line is too long",
+            )
             self.stream.abort()
-        self.server.serve_waiting()  # a set-up that has ended leaves room
+        self.server.send_waiting_attempts()  # a set-up that has ended makes room
 
     def on_closed(self, reason: str) -> None:
-        self.server.link_closed(self, reason)
+        self.server.on_connection_closed(self, reason)
 
     def send(self, line: bytes) -> None:
-        self.used = self.server.desk.loop.now()
+        self.last_used_at = self.server.owner.loop.now()
         self.stream.write(line)
 
-    def order(self, ref: str, kind: str, line: bytes) -> None:
+    def send_command(self, ref: str, kind: str, line: bytes) -> None:
         self.send(line)
         if kind == "down":
-            self.ends.append((self.used, ref, line))
+            self.recent_releases.append((self.last_used_at, ref, line))
 
-    def put(self, attempt: Attempt, line: bytes) -> None:
-        attempt.link, attempt.offset = self, self.stream.bytes_written + self.stream.backlog_bytes
+    def send_set_up(self, attempt: Attempt, line: bytes) -> None:
+        attempt.connection, attempt.offset = self, self.stream.bytes_written + self.stream.backlog_bytes
         attempt.line = line
-        self.open[attempt.session.ref] = attempt
+        self.open_attempts[attempt.session.ref] = attempt
         self.send(line)
 
-    def left(self, attempt: Attempt) -> bool:
-        """Whether any byte of it was handed to the kernel: if none was, it provably never ran."""
+    def was_sent(self, attempt: Attempt) -> bool:
+        """Whether the kernel has taken any byte of the set-up: if not, it provably never ran."""
         return self.stream.bytes_written > attempt.offset
 
-    def take_back(self, attempt: Attempt) -> bool:
-        """Takes a set-up out of the backlog of which no byte has left; whether that was still so."""
-        if self.left(attempt) or not self.stream.cancel_write(attempt.line):
+    def cancel_set_up(self, attempt: Attempt) -> bool:
+        """Removes a set-up from the backlog; False if a byte of it was sent already."""
+        if self.was_sent(attempt) or not self.stream.cancel_write(attempt.line):
             return False
-        for other in self.open.values():
+        for other in self.open_attempts.values():
             if other.offset > attempt.offset:
                 other.offset -= len(attempt.line)
         return True
 
 
 class MediaServer:
-    """A server as the list has it, with its connections and the sessions of this front there."""
+    """A server of the list, with its connections and this front's sessions on it."""
 
-    def __init__(self, desk: Servers, name: str, number: int) -> None:
-        self.desk, self.id, self.number = desk, name, number
+    def __init__(self, owner: MediaServers, server_id: str, number: int) -> None:
+        self.owner, self.id, self.number = owner, server_id, number
         self.address: tuple[str, int] = ("", 0)
         self.listed = False
         self.started_ms = 0.0
-        self.links: list[Link] = []
-        self.waiting: deque[Attempt] = deque()  # for a connection
-        self.serving = False  # `serve_waiting` is under way
-        self.orders: dict[tuple[str, str], bytes] = {}  # for sessions that stand, until a connection is up
-        self.standing: dict[str, Session] = {}
-        self.ordered_at = NEVER  # the last order that found no connection
-        self.heard_at = NEVER  # a word on a session that stands, or the begin of the first
-        self.up_at = NEVER  # a connection came up
-        self.broken_at = NEVER  # the last connection was reset while sessions stood
-        self.reset = False  # the last connection that stood was reset
-        self.tried_at = self.failed_at = NEVER  # a connection was tried, did not come up
-
-    def submit(self, attempt: Attempt) -> None:
-        """Writes the set-up on a connection that has room, or has it wait for a new one."""
-        self.waiting.append(attempt)
-        self.serve_waiting()
-        if attempt in self.waiting:
-            self.dial()
-
-    def usable(self) -> Link | None:
-        now, desk = self.desk.loop.now(), self.desk
-        for link in list(self.links):
-            fresh = now - link.used < bounds.IDLE_PART * desk.idle_s  # else it may be closing at this moment
-            able = link.up and link.address == self.address and fresh and len(link.open) < desk.streams
-            # What is written after the server's close may have run for all that we could prove: read first.
-            if able and link.stream.read_pending():
-                return link
+        self.connections: list[ServerConnection] = []
+        self.waiting_attempts: deque[Attempt] = deque()  # for a connection with room
+        self.sending_waiting = False  # `send_waiting_attempts` is running
+        # Commands for established sessions that wait for a connection, by session and kind.
+        self.pending_commands: dict[tuple[str, str], bytes] = {}
+        self.established_sessions: dict[str, Session] = {}
+        self.command_queued_at = NEVER  # the last time that a command found no connection
+        self.last_message_at = NEVER  # on an established session, or when the first session was established
+        self.connected_at = NEVER
+        self.sessions_at_risk_since = NEVER  # the last connection was reset while sessions were established
+        self.last_connection_reset = False  # the last connection that had been up was reset
+        self.connect_started_at = self.connect_failed_at = NEVER
+
+    def submit_attempt(self, attempt: Attempt) -> None:
+        """Sends the set-up on a connection that has room, or queues it for a new one."""
+        self.waiting_attempts.append(attempt)
+        self.send_waiting_attempts()
+        if attempt in self.waiting_attempts:
+            self.connect()
+
+    def usable_connection(self) -> ServerConnection | None:
+        now, owner = self.owner.loop.now(), self.owner
+        for connection in list(self.connections):
+            # A connection near the server's idle timeout may be closing at this moment.
+            fresh = now - connection.last_used_at < bounds.IDLE_TIMEOUT_FRACTION * owner.idle_timeout_s
+            suitable = (
+                connection.connected
+                and connection.address == self.address
+                and fresh
+                and len(connection.open_attempts) < owner.set_ups_per_connection
+            )
+            # A set-up written after the server's close could not be proven unexecuted, so read first.
+            if suitable and connection.stream.read_pending():
+                return connection
         return None
 
-    def write(self, link: Link, attempt: Attempt) -> None:
+    def send_attempt(self, connection: ServerConnection, attempt: Attempt) -> None:
         session = attempt.session
         if session.viewer:
-            session.viewer.look()  # nothing is sent on for a viewer whose leaving has come
+            session.viewer.read_pending()  # its disconnect, if any: then nothing is sent on
         if session.attempt is not attempt:
             return
-        left_ms = (session.deadline - self.desk.loop.now()) * 1000
+        left_ms = (session.deadline - self.owner.loop.now()) * 1000
         if attempt.timer:
-            left_ms = min(left_ms, (attempt.timer.when - self.desk.loop.now()) * 1000)
-        link.put(attempt, messages.set_up(session.asked, left_ms, session.rung))
-
-    def dial(self) -> None:
-        """One connection at a time, as many as the waiting need."""
-        if any(not link.up for link in self.links) or not self.address[1] or self.desk.ended:
+            left_ms = min(left_ms, (attempt.timer.when - self.owner.loop.now()) * 1000)
+        connection.send_set_up(attempt, messages.encode_set_up(session.set_up, left_ms, session.rung))
+
+    def connect(self) -> None:
+        """Opens one connection at a time, until the waiting attempts have enough."""
+        if (
+            any(not connection.connected for connection in self.connections)
+            or not self.address[1]
+            or self.owner.shutting_down
+        ):
             return
-        self.tried_at = self.desk.loop.now()
-        if not self.desk.make_room():
-            self.desk.loop.call_soon(self.fail_waiting)
+        self.connect_started_at = self.owner.loop.now()
+        if not self.owner.make_room_for_connection():
+            self.owner.loop.call_soon(self.fail_waiting_attempts)
             return
         try:
-            self.links.append(Link(self))
+            self.connections.append(ServerConnection(self))
         except OSError as error:  # out of descriptors: nothing was sent
-            self.desk.say("no connection could be made", server=self.id, why=str(error))
-            self.desk.loop.call_soon(self.fail_waiting)
-
-    def link_up(self, link: Link) -> None:
-        self.up_at = self.desk.loop.now()
-        orders, self.orders = self.orders, {}
-        for (ref, kind), line in orders.items():
-            link.order(ref, kind, line)
-        self.serve_waiting()
-        if self.waiting:
-            self.dial()
-
-    def serve_waiting(self) -> None:
-        """Writes what waits while a connection has room.
-
-        What is read on the way, at the connection and at the viewer's, calls this again. Guards against
-        both writing: more than the connection has room for, or what the other has written already.
+            self.owner.log_event(
+                "cannot open a connection to a server; failing the attempts that wait for it",
+                server=self.id,
+                why=str(error),
+            )
+            self.owner.loop.call_soon(self.fail_waiting_attempts)
+
+    def on_connection_up(self, connection: ServerConnection) -> None:
+        self.connected_at = self.owner.loop.now()
+        commands, self.pending_commands = self.pending_commands, {}
+        for (ref, kind), line in commands.items():
+            connection.send_command(ref, kind, line)
+        self.send_waiting_attempts()
+        if self.waiting_attempts:
+            self.connect()
+
+    def send_waiting_attempts(self) -> None:
+        """Sends waiting attempts while a connection has room.
+
+        Input that is read in between, from the server or from the viewer, calls this method again. Without
+        the guard, both calls would send: more than the connection has room for, or the same attempt twice.
         """
-        if self.serving:
+        if self.sending_waiting:
             return
-        self.serving = True
+        self.sending_waiting = True
         try:
-            while self.waiting and (link := self.usable()):
-                if self.waiting:
-                    self.write(link, self.waiting.popleft())
+            while self.waiting_attempts and (connection := self.usable_connection()):
+                if self.waiting_attempts:
+                    self.send_attempt(connection, self.waiting_attempts.popleft())
         finally:
-            self.serving = False
-
-    def moved(self) -> None:
-        """Its address is another: no set-up goes to the old one, where another process may listen by now."""
-        for link in list(self.links):
-            if not link.up:
-                link.stream.abort()
-
-    def link_closed(self, link: Link, reason: str) -> None:
-        desk = self.desk
-        if link in self.links:
-            self.links.remove(link)
-        never_up = not link.up
-        if not never_up:
-            self.reset = reason == "reset"
-        desk.counts[f"link_{reason}{'_new' if never_up else ''}"] += 1
-        if self.standing and not self.links and not never_up and self.reset:
-            self.broken_at = desk.loop.now()
-        for when, ref, line in link.ends:
-            if desk.loop.now() - when < bounds.OVERTAKEN_S:
-                self.order(ref, AGAIN, line)
-        link.ends.clear()
-        for attempt in list(link.open.values()):
-            if not link.left(attempt) and attempt.turns < 1:
-                attempt.turns += 1  # nothing of it left: the same attempt, on another connection
-                attempt.link = None
-                self.waiting.append(attempt)
+            self.sending_waiting = False
+
+    def on_address_changed(self) -> None:
+        """Cancels connects to the old address: another process may listen there by now."""
+        for connection in list(self.connections):
+            if not connection.connected:
+                connection.stream.abort()
+
+    def on_connection_closed(self, connection: ServerConnection, reason: str) -> None:
+        owner = self.owner
+        if connection in self.connections:
+            self.connections.remove(connection)
+        never_connected = not connection.connected
+        if not never_connected:
+            self.last_connection_reset = reason == "reset"
+        owner.counts[f"link_{reason}{'_new' if never_connected else ''}"] += 1
+        if (
+            self.established_sessions
+            and not self.connections
+            and not never_connected
+            and self.last_connection_reset
+        ):
+            self.sessions_at_risk_since = owner.loop.now()
+        for sent_at, ref, line in connection.recent_releases:
+            if owner.loop.now() - sent_at < bounds.RESEND_WINDOW_S:
+                self.send_command(ref, REPEATED_DOWN, line)
+        connection.recent_releases.clear()
+        for attempt in list(connection.open_attempts.values()):
+            if not connection.was_sent(attempt) and attempt.moves < 1:
+                attempt.moves += 1  # nothing of it was sent: the same attempt goes to another connection
+                attempt.connection = None
+                self.waiting_attempts.append(attempt)
             else:
-                outcome = Outcome.RESET if link.left(attempt) else Outcome.CONNECT_FAILED
-                desk.on_ended(attempt, outcome, ())
-        link.open.clear()
-        if never_up and reason != "local":
-            self.failed_at = desk.loop.now()
-            self.serve_waiting()
-            if not any(other.up and other.address == self.address for other in self.links):
-                self.fail_waiting()  # else they wait for room on the others, as long as their time allows
-            if reason == "refused" and self.reset and not any(other.up for other in self.links):
-                # No process there: it reset its connections as it ended, and cut its sessions. One that
-                # drains closes them in order and refuses new ones, and what stands there plays on.
-                self.lose("refused")
-        elif self.waiting:
-            self.serve_waiting()
-            if self.waiting:
-                self.dial()
-
-    def fail_waiting(self) -> None:
-        """No connection: what waits for one provably never ran."""
-        waiting, self.waiting = self.waiting, deque()
+                outcome = Outcome.RESET if connection.was_sent(attempt) else Outcome.CONNECT_FAILED
+                owner.on_attempt_ended(attempt, outcome, ())
+        connection.open_attempts.clear()
+        if never_connected and reason != "local":
+            self.connect_failed_at = owner.loop.now()
+            self.send_waiting_attempts()
+            if not any(other.connected and other.address == self.address for other in self.connections):
+                self.fail_waiting_attempts()  # else they wait for room on the others until they time out
+            if (
+                reason == "refused"
+                and self.last_connection_reset
+                and not any(other.connected for other in self.connections)
+            ):
+                # The process is gone: it reset its connections when it ended, and its sessions are over. A
+                # draining server closes its connections in order and refuses new ones; its sessions continue.
+                self.lose_sessions("refused")
+        elif self.waiting_attempts:
+            self.send_waiting_attempts()
+            if self.waiting_attempts:
+                self.connect()
+
+    def fail_waiting_attempts(self) -> None:
+        """Ends the attempts that wait for a connection: they provably never ran."""
+        waiting, self.waiting_attempts = self.waiting_attempts, deque()
         for attempt in waiting:
-            self.desk.on_ended(attempt, Outcome.CONNECT_FAILED, ())
-
-    def lose(self, why: str, before: float = float("inf")) -> None:
-        """The sessions here, set up before a time, are over and nobody could say so."""
-        lost = [s for s in self.standing.values() if s.attempt is None or s.attempt.began < before]
+            self.owner.on_attempt_ended(attempt, Outcome.CONNECT_FAILED, ())
+
+    def lose_sessions(self, reason: str, before: float = float("inf")) -> None:
+        """Ends the sessions that were set up here before a time: the server can no longer report them."""
+        lost = [
+            session
+            for session in self.established_sessions.values()
+            if session.attempt is None or session.attempt.started_at < before
+        ]
         if lost:
-            self.desk.counts[f"lost_{why}"] += len(lost)
-            self.desk.say("sessions lost", server=self.id, why=why, sessions=len(lost))
+            self.owner.counts[f"lost_{reason}"] += len(lost)
+            self.owner.log_event("sessions lost", server=self.id, why=reason, sessions=len(lost))
         for session in lost:
-            self.desk.on_lost(session)
-        if not self.standing:
-            self.orders.clear()
-
-    def give_up(self, attempt: Attempt) -> bool:
-        """Ends the wait for an attempt; whether anything of it may have left. The connection stays."""
-        link, attempt.link = attempt.link, None
-        if link is None:
-            if attempt in self.waiting:
-                self.waiting.remove(attempt)
+            self.owner.on_session_lost(session)
+        if not self.established_sessions:
+            self.pending_commands.clear()
+
+    def give_up_attempt(self, attempt: Attempt) -> bool:
+        """Stops waiting for an attempt, on a connection that stays; whether any of it may have been sent."""
+        connection, attempt.connection = attempt.connection, None
+        if connection is None:
+            if attempt in self.waiting_attempts:
+                self.waiting_attempts.remove(attempt)
             return False
-        link.open.pop(attempt.session.ref, None)
-        if self.waiting:
-            self.desk.loop.call_soon(self.serve_waiting)
-        if link.take_back(attempt) or not link.left(attempt):
+        connection.open_attempts.pop(attempt.session.ref, None)
+        if self.waiting_attempts:
+            self.owner.loop.call_soon(self.send_waiting_attempts)
+        if connection.cancel_set_up(attempt) or not connection.was_sent(attempt):
             return False
-        # Its answer may be on its way: what stands then does not end with the connection.
-        link.order(attempt.session.ref, "down", messages.down(attempt.session.ref, GIVEN_UP))
+        # Its answer may be on the way, and an established session would outlive the connection.
+        connection.send_command(
+            attempt.session.ref, "down", messages.encode_down(attempt.session.ref, GIVEN_UP)
+        )
         return True
 
-    def order(self, ref: str, kind: str, line: bytes) -> None:
-        """For a session that stands: at once, or with the next connection; the newest of a kind counts.
+    def send_command(self, ref: str, kind: str, line: bytes) -> None:
+        """Sends a command for an established session, at once or on the next connection.
 
-        An end whose connection breaks right behind it is said once more: a reset may have overtaken it.
+        Of several waiting commands of a kind only the newest is sent. A release whose connection breaks right
+        after it is sent once more, because a reset may have destroyed it.
         """
-        for link in sorted(self.links, key=lambda link: link.address != self.address):
-            if link.up and link.stream.open and not link.stream.closing:
-                link.order(ref, kind, line)
+        for connection in sorted(self.connections, key=lambda connection: connection.address != self.address):
+            if connection.connected and connection.stream.open and not connection.stream.closing:
+                connection.send_command(ref, kind, line)
                 return
-        self.orders[ref, kind] = line
-        self.ordered_at = self.desk.loop.now()
-        self.dial()
-
-    def stands(self, session: Session) -> None:
-        if not self.standing:
-            self.heard_at = self.desk.loop.now()
-            self.broken_at = NEVER
-        self.standing[session.ref] = session
-
-    def falls(self, session: Session) -> None:
-        self.standing.pop(session.ref, None)
-        if not self.standing:
-            self.broken_at = NEVER
-        self.desk.forget(self)
-
-    def idle(self, link: Link, now: float) -> bool:
-        old = link.address != self.address
-        return link.up and not link.open and (old or now - link.used > bounds.IDLE_PART * self.desk.idle_s)
+        self.pending_commands[ref, kind] = line
+        self.command_queued_at = self.owner.loop.now()
+        self.connect()
+
+    def add_session(self, session: Session) -> None:
+        if not self.established_sessions:
+            self.last_message_at = self.owner.loop.now()
+            self.sessions_at_risk_since = NEVER
+        self.established_sessions[session.ref] = session
+
+    def remove_session(self, session: Session) -> None:
+        self.established_sessions.pop(session.ref, None)
+        if not self.established_sessions:
+            self.sessions_at_risk_since = NEVER
+        self.owner.remove_if_unused(self)
+
+    def is_idle(self, connection: ServerConnection, now: float) -> bool:
+        outdated = connection.address != self.address
+        return (
+            connection.connected
+            and not connection.open_attempts
+            and (
+                outdated
+                or now - connection.last_used_at > bounds.IDLE_TIMEOUT_FRACTION * self.owner.idle_timeout_s
+            )
+        )
 
     def sweep(self, now: float) -> None:
-        """Closes what idles, keeps a line to what stands, finds out who is silent for good."""
-        desk = self.desk
-        if now - self.ordered_at > bounds.ORDERS_KEPT_S:
-            self.orders.clear()
-        self.serve_waiting()
-        if (self.waiting or self.orders) and now - self.tried_at > bounds.RECONNECT_S:
-            self.dial()  # the last one did not come up, or came up late
-        for link in list(self.links):
-            if self.idle(link, now):
-                if not self.standing or any(o is not link and o.up for o in self.links):
-                    if link.stream.read_pending() and self.idle(
-                        link, now
-                    ):  # a word of the server's may lie there
-                        link.stream.close()
-                elif not any(not other.up for other in self.links):
-                    self.dial()  # first the new line, then the old one goes
-        if not self.standing:
+        """Closes idle connections, keeps one to a server with established sessions, detects dead servers."""
+        owner = self.owner
+        if now - self.command_queued_at > bounds.COMMAND_TTL_S:
+            self.pending_commands.clear()
+        self.send_waiting_attempts()
+        if (
+            self.waiting_attempts or self.pending_commands
+        ) and now - self.connect_started_at > bounds.RECONNECT_INTERVAL_S:
+            self.connect()  # the last connect failed or took too long
+        for connection in list(self.connections):
+            if self.is_idle(connection, now):
+                if not self.established_sessions or any(
+                    other is not connection and other.connected for other in self.connections
+                ):
+                    # A message of the server may be unread.
+                    if connection.stream.read_pending() and self.is_idle(connection, now):
+                        connection.stream.close()
+                elif not any(not other.connected for other in self.connections):
+                    self.connect()  # the idle connection is closed once its replacement is up
+        if not self.established_sessions:
             return
-        silent = now - self.heard_at
-        unsure = silent > desk.silence_s and self.up_at < now - desk.silence_s
-        if (unsure or not self.links) and now - self.tried_at > bounds.RECONNECT_S:
-            self.dial()  # a line for what stands; whether it comes up tells whether the machine lives
-        # A machine that vanished says nothing and takes no connection. Where a connection was reset and only
-        # a new one came up, somebody else may have taken the address: without a word it is the same. A
-        # server that no list has told has no address: nobody will ever say that what was handed over there
-        # is over.
-        gone = self.failed_at > self.up_at or self.heard_at < self.broken_at or not self.address[1]
-        if silent > bounds.LOST_AFTER_S and gone:
-            self.lose("silent")
-
-
-class Servers:
-    """All media servers that are listed or hold sessions of this front.
-
-    `on_up`, `on_down`, `on_note` tell of the protocol; `on_ended` of an attempt's end, `on_lost` of a session
-    that stood and is over.
+        silence_s = now - self.last_message_at
+        probe_due = silence_s > owner.silence_timeout_s and self.connected_at < now - owner.silence_timeout_s
+        if (
+            probe_due or not self.connections
+        ) and now - self.connect_started_at > bounds.RECONNECT_INTERVAL_S:
+            self.connect()  # whether it succeeds shows whether the machine is alive
+        # A machine that vanished sends nothing and accepts no connection. If connections were reset and only
+        # a new one came up, another process may have taken the address: without a message that is treated
+        # the same. A server that was never listed has no address, so the end of a session that was handed
+        # over there would never be reported.
+        gone = (
+            self.connect_failed_at > self.connected_at
+            or self.last_message_at < self.sessions_at_risk_since
+            or not self.address[1]
+        )
+        if silence_s > bounds.SERVER_LOST_AFTER_S and gone:
+            self.lose_sessions("silent")
+
+
+class MediaServers:
+    """All media servers that are listed or have sessions of this front.
+
+    `on_up`, `on_down` and `on_note` receive the messages of the protocol, `on_attempt_ended` the end of an
+    attempt, `on_session_lost` an established session whose server is gone.
     """
 
     def __init__(
         self,
         loop: Loop,
-        names: Names,
-        streams: int,
-        idle_s: float,
-        connect_s: float,
-        notes_every_s: float,
-        most: int,
+        names: SettingsNames,
+        set_ups_per_connection: int,
+        idle_timeout_s: float,
+        connect_timeout_s: float,
+        max_note_interval_s: float,
+        max_connections: int,
         counts: Counter[str],
-        say: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
-        self.loop, self.names, self.counts, self.say = loop, names, counts, say
-        self.streams, self.idle_s, self.connect_s, self.most = streams, idle_s, connect_s, most
-        self.silence_s = max(bounds.SILENCE_FLOOR_S, min(notes_every_s, bounds.LOST_AFTER_S - 1.5))
+        self.loop, self.names, self.counts, self.log_event = loop, names, counts, log_event
+        self.set_ups_per_connection, self.idle_timeout_s, self.connect_timeout_s, self.max_connections = (
+            set_ups_per_connection,
+            idle_timeout_s,
+            connect_timeout_s,
+            max_connections,
+        )
+        self.silence_timeout_s = max(
+            bounds.MIN_SILENCE_S, min(max_note_interval_s, bounds.SERVER_LOST_AFTER_S - 1.5)
+        )
         self.by_id: dict[str, MediaServer] = {}
         self.by_number: dict[int, MediaServer] = {}
         self.next_number = 1
-        self.ended = False  # the process ends: no new connection
-        self.on_up: Callable[[Link, Up], None]
-        self.on_down: Callable[[Link, Down], None]
-        self.on_note: Callable[[Link, Note], None]
-        self.on_ended: Callable[[Attempt, Outcome, tuple[float, ...]], None]
-        self.on_lost: Callable[[Session], None]
-
-    def named(self, name: str) -> MediaServer:
-        """The server of an id; one that is not listed has no address until the list tells it."""
-        known = self.by_id.get(name)
-        if known is None:
-            known = MediaServer(self, name, self.next_number)
+        self.shutting_down = False  # no new connections
+        self.on_up: Callable[[ServerConnection, Up], None]
+        self.on_down: Callable[[ServerConnection, Down], None]
+        self.on_note: Callable[[ServerConnection, Note], None]
+        self.on_attempt_ended: Callable[[Attempt, Outcome, tuple[float, ...]], None]
+        self.on_session_lost: Callable[[Session], None]
+
+    def get_or_add(self, server_id: str) -> MediaServer:
+        """The server with an id; one that is not listed has no address until it is."""
+        server = self.by_id.get(server_id)
+        if server is None:
+            server = MediaServer(self, server_id, self.next_number)
             self.next_number += 1
-            self.by_id[name] = self.by_number[known.number] = known
-        return known
+            self.by_id[server_id] = self.by_number[server.number] = server
+        return server
 
-    def forget(self, server: MediaServer) -> None:
-        """A server that has left the list goes with its last session."""
-        if server.listed or server.standing or server.waiting or server.orders:
+    def remove_if_unused(self, server: MediaServer) -> None:
+        """Removes a server that has left the list and has no session, attempt or command left."""
+        if server.listed or server.established_sessions or server.waiting_attempts or server.pending_commands:
             return
-        if any(link.open for link in server.links):
+        if any(connection.open_attempts for connection in server.connections):
             return
         self.by_id.pop(server.id, None)
         self.by_number.pop(server.number, None)
-        for link in list(server.links):
-            link.stream.close_lingering(
-                bounds.LINGER_S
-            )  # the last word there may be an end that has to arrive
+        for connection in list(server.connections):
+            # The last message may be a release, which has to arrive.
+            connection.stream.close_lingering(bounds.LINGER_TIMEOUT_S)
 
-    def hear(self, link: Link, message: object) -> None:
+    def dispatch(self, connection: ServerConnection, message: object) -> None:
         if isinstance(message, Up):
-            self.on_up(link, message)
+            self.on_up(connection, message)
         elif isinstance(message, Down):
-            self.on_down(link, message)
+            self.on_down(connection, message)
         elif isinstance(message, Note):
-            self.on_note(link, message)
+            self.on_note(connection, message)
 
     @property
-    def connections(self) -> int:
-        return sum(len(server.links) for server in self.by_id.values())
+    def connection_count(self) -> int:
+        return sum(len(server.connections) for server in self.by_id.values())
 
-    def make_room(self) -> bool:
-        """Whether one more connection is within the budget; the one idle longest makes way."""
-        links = [link for server in self.by_id.values() for link in server.links]
-        if len(links) < self.most:
+    def make_room_for_connection(self) -> bool:
+        """Whether one more connection is allowed; closes the one that has been idle longest if necessary."""
+        connections = [connection for server in self.by_id.values() for connection in server.connections]
+        if len(connections) < self.max_connections:
             return True
-        idle = [link for link in links if link.up and not link.open]
+        idle = [
+            connection for connection in connections if connection.connected and not connection.open_attempts
+        ]
         if not idle:
             return False
-        oldest = min(idle, key=lambda link: (bool(link.server.standing), link.used))
+        oldest = min(
+            idle,
+            key=lambda connection: (
+                bool(connection.server.established_sessions),
+                connection.last_used_at,
+            ),
+        )
         oldest.stream.close()
         return True
 
@@ -399,4 +470,4 @@
         now = self.loop.now()
         for server in list(self.by_id.values()):
             server.sweep(now)
-            self.forget(server)
+            self.remove_if_unused(server)
--- a/lemonhall/front/node/session.py
+++ b/lemonhall/front/node/session.py
@@ -1,97 +1,114 @@
-"""What one set-up is while it is here: the session, and the attempt that is out or stands."""
+"""The state of one set-up at this front: the session, and the attempt that is open or was established."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.loop import Stream, Timer
 from lemonhall.node.messages import NewSetUp
 
 
-class ViewerSide(Protocol):
-    """The connection that a set-up came on."""
+class ViewerConnectionProtocol(Protocol):
+    """The connection on which a set-up arrived."""
 
-    open: dict[str, Session]
-    unsent: list[tuple[int, Session]]
+    open_sessions: dict[str, Session]
+    unsent_answers: list[tuple[int, Session]]
     stream: Stream
     proven: bool
 
     @property
     def usable(self) -> bool: ...
 
-    def look(self) -> None: ...
+    def read_pending(self) -> None: ...
 
     def send(self, line: bytes) -> None: ...
 
-    def release(self, ref: str, line: bytes) -> None: ...
+    def send_release(self, ref: str, line: bytes) -> None: ...
 
 
-class ServerLink(Protocol):
-    """The connection that an attempt was written on."""
+class ServerConnectionProtocol(Protocol):
+    """The connection on which an attempt was sent."""
 
-    open: dict[str, Attempt]
+    open_attempts: dict[str, Attempt]
     stream: Stream
 
-    def left(self, attempt: Attempt) -> bool: ...
+    def was_sent(self, attempt: Attempt) -> bool: ...
 
-    def take_back(self, attempt: Attempt) -> bool: ...
+    def cancel_set_up(self, attempt: Attempt) -> bool: ...
 
-    def order(self, ref: str, kind: str, line: bytes) -> None: ...
+    def send_command(self, ref: str, kind: str, line: bytes) -> None: ...
 
 
-class ServerSide(Protocol):
+class MediaServerProtocol(Protocol):
     """The media server of an attempt."""
 
     id: str
     number: int
-    heard_at: float
-    orders: dict[tuple[str, str], bytes]
+    last_message_at: float
+    pending_commands: dict[tuple[str, str], bytes]
 
-    def give_up(self, attempt: Attempt) -> bool: ...
+    def give_up_attempt(self, attempt: Attempt) -> bool: ...
 
-    def stands(self, session: Session) -> None: ...
+    def add_session(self, session: Session) -> None: ...
 
-    def falls(self, session: Session) -> None: ...
+    def remove_session(self, session: Session) -> None: ...
 
-    def order(self, ref: str, kind: str, line: bytes) -> None: ...
+    def send_command(self, ref: str, kind: str, line: bytes) -> None: ...
 
 
 class Attempt:
-    """One set-up of a session at one server, from the module's word to its one end."""
+    """One set-up of a session at one server, from the decider's action to its end."""
 
-    __slots__ = ("began", "line", "link", "number", "offset", "server", "session", "timer", "turns")
+    __slots__ = (
+        "connection",
+        "line",
+        "moves",
+        "number",
+        "offset",
+        "server",
+        "session",
+        "started_at",
+        "timer",
+    )
 
-    def __init__(self, session: Session, number: int, server: ServerSide, began: float) -> None:
-        self.session, self.number, self.server, self.began = session, number, server, began
-        self.link: ServerLink | None = None
-        self.offset = 0  # of its first byte in what the link has written
-        self.line = b""  # as it was written there
-        self.turns = 0  # connections that broke before a byte of it was handed to the kernel
+    def __init__(self, session: Session, number: int, server: MediaServerProtocol, started_at: float) -> None:
+        self.session, self.number, self.server, self.started_at = session, number, server, started_at
+        self.connection: ServerConnectionProtocol | None = None
+        self.offset = 0  # of its first byte among the bytes written to the connection
+        self.line = b""  # as written to the connection
+        self.moves = 0  # to another connection, because one broke before the kernel took a byte of the line
         self.timer: Timer | None = None
 
 
 class Session:
-    """`number` is the module's; `deadline` in seconds of the loop's clock."""
+    """`number` is the decider's id of the session; `deadline` is in seconds of the loop's clock."""
 
     __slots__ = (
-        "asked",
         "attempt",
-        "attempts",
+        "attempt_count",
         "deadline",
+        "established",
+        "new_session_event",
         "number",
         "ref",
         "rung",
-        "standing",
-        "told",
+        "set_up",
         "viewer",
     )
 
-    def __init__(self, number: int, asked: NewSetUp, viewer: ViewerSide, deadline: float, rung: int) -> None:
-        self.number, self.asked, self.ref, self.deadline = number, asked, asked.ref, deadline
-        self.viewer: ViewerSide | None = viewer
+    def __init__(
+        self,
+        number: int,
+        set_up: NewSetUp,
+        viewer: ViewerConnectionProtocol,
+        deadline: float,
+        rung: int,
+    ) -> None:
+        self.number, self.set_up, self.ref, self.deadline = number, set_up, set_up.ref, deadline
+        self.viewer: ViewerConnectionProtocol | None = viewer
         self.rung = rung
         self.attempt: Attempt | None = None
-        self.attempts = 0
-        self.standing = False
-        self.told: i.NewSession | None = None  # as the module was told of it
+        self.attempt_count = 0
+        self.established = False
+        self.new_session_event: interface.NewSession | None = None  # as sent to the decider
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -1,12 +1,12 @@
-"""One set-up from its last byte to its one answer, and what stands to its one release.
+"""Takes each set-up to its one answer, and each established session to its one release.
 
-    asked --SetUp--> out --up--> standing --release, loss, viewer--> over
-      |               |
-      |  <--ended-----+    (the module answers, or sends the next attempt)
-      +--Refuse, Fail--> over
+    received --SetUp--> attempt open --up--> established --release, loss, viewer--> ended
+      |                      |
+      |  <--attempt ended----+    (the decider answers, or starts the next attempt)
+      +--Refuse, Fail--> ended
 
-Whatever crosses, each arrow is taken once: what names a session that is over, or an attempt that is not the
-one that is out, is passed over.
+Messages may cross, but each transition happens once: a message about a session that has ended, or about an
+attempt that is not the current one, is ignored.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from collections import Counter
 from collections.abc import Callable
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.front.deciding.bridge import Bridge
-from lemonhall.front.node.servers import NEVER, Link, MediaServer, Servers
+from lemonhall.front.node.servers import NEVER, MediaServer, MediaServers, ServerConnection
 from lemonhall.front.node.session import Attempt, Session
-from lemonhall.front.node.viewers import Viewer, Viewers
+from lemonhall.front.node.viewers import ViewerConnection, ViewerConnections
 from lemonhall.interface import Outcome
 from lemonhall.loop import Loop
 from lemonhall.node import bounds, messages
-from lemonhall.node.messages import Down, NewSetUp, Note, Up
-from lemonhall.node.outcomes import (
-    CUT,
+from lemonhall.node.causes import (
+    CONNECTION_LOST,
     ENDED_BY_VIEWER,
     FAILED,
     GIVEN_UP,
     REFUSED,
-    after_answer,
-    before_answer,
+    outcome_after_answer,
+    outcome_before_answer,
 )
+from lemonhall.node.messages import Down, NewSetUp, Note, Up
 
 
 class Sessions:
@@ -39,380 +39,418 @@
         self,
         loop: Loop,
         bridge: Bridge,
-        settings: i.Settings,
-        servers: Servers,
-        viewers: Viewers,
+        settings: interface.Settings,
+        servers: MediaServers,
+        viewers: ViewerConnections,
         counts: Counter[str],
-        say: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
         self.loop, self.bridge, self.settings = loop, bridge, settings
-        self.servers, self.viewers, self.counts, self.say = servers, viewers, counts, say
+        self.servers, self.viewers, self.counts, self.log_event = servers, viewers, counts, log_event
         self.by_ref: dict[str, Session] = {}
         self.by_number: dict[int, Session] = {}
         self.next_number = 1
-        self.standing = 0
-        self.leaving: dict[int, Session] = {}  # gone while actions are carried out, one perhaps theirs
-        self.early: dict[str, tuple[float, str, int]] = {}  # ends of unknown ids: when, server, cause
-        viewers.on_new, viewers.on_down, viewers.on_left = self.new, self.viewer_down, self.viewer_left
-        servers.on_up, servers.on_down, servers.on_note = self.server_up, self.server_down, self.server_note
-        servers.on_ended, servers.on_lost = self.ended, self.lost
+        self.established_count = 0
+        # Sessions whose viewer left while the decider's actions are carried out; one may concern them.
+        self.departing: dict[int, Session] = {}
+        # Releases of unknown refs: when, from which server (empty: from a viewer), the cause.
+        self.early_releases: dict[str, tuple[float, str, int]] = {}
+        viewers.on_set_up, viewers.on_down, viewers.on_disconnected = (
+            self.on_set_up,
+            self.on_viewer_down,
+            self.on_viewer_disconnected,
+        )
+        servers.on_up, servers.on_down, servers.on_note = (
+            self.on_server_up,
+            self.on_server_down,
+            self.on_server_note,
+        )
+        servers.on_attempt_ended, servers.on_session_lost = self.on_attempt_ended, self.on_session_lost
         bridge.carry_out.update(
             {
-                i.SetUp: self.set_up,
-                i.SetRung: self.set_rung,
-                i.Refuse: self.refuse,
-                i.Fail: self.fail,
-                i.Move: self.move,
-                i.Cancel: self.cancel,
+                interface.SetUp: self.start_attempt,
+                interface.SetRung: self.set_rung,
+                interface.Refuse: self.refuse,
+                interface.Fail: self.fail,
+                interface.Move: self.move,
+                interface.Cancel: self.cancel_attempt,
             }
         )
 
-    # what viewers say
+    # Messages from viewers
 
-    def new(self, viewer: Viewer, asked: NewSetUp) -> bool:
-        """False: its id belongs to another, and whoever sent it gets no answer under it."""
-        known = self.by_ref.get(asked.ref)
-        if asked.at:
+    def on_set_up(self, viewer: ViewerConnection, set_up: NewSetUp) -> bool:
+        """False: the ref belongs to another session, so the sender gets no answer under it."""
+        known = self.by_ref.get(set_up.ref)
+        if set_up.playing_at:
             if known is None:
-                self.hand_over(viewer, asked)
+                self.take_over(viewer, set_up)
             return True
         if known is not None:
             self.counts["id_twice"] += 1
             return False
         now = self.loop.now()
-        floor = self.settings.classes[asked.cls].floor
-        deadline = now + asked.left_ms / 1000 - bounds.answer_margin_s(asked.left_ms / 1000)
-        session = self.enter(Session(self.next_number, asked, viewer, deadline, floor))
-        viewer.open[asked.ref] = session
+        floor = self.settings.classes[set_up.cls].floor
+        deadline = now + set_up.left_ms / 1000 - bounds.answer_margin_s(set_up.left_ms / 1000)
+        session = self.add(Session(self.next_number, set_up, viewer, deadline, floor))
+        viewer.open_sessions[set_up.ref] = session
         self.counts["asked"] += 1
         left_ms = max(1.0, (deadline - now) * 1000)
-        session.told = self.told(session, left_ms)
-        self.bridge.tell(session.told)
+        session.new_session_event = self.make_new_session_event(session, left_ms)
+        self.bridge.tell(session.new_session_event)
         return True
 
-    def enter(self, session: Session) -> Session:
+    def add(self, session: Session) -> Session:
         self.next_number += 1
         self.by_ref[session.ref] = self.by_number[session.number] = session
         return session
 
-    def told(self, session: Session, left_ms: float) -> i.NewSession:
-        a = session.asked
-        return i.NewSession(
+    def make_new_session_event(self, session: Session, left_ms: float) -> interface.NewSession:
+        set_up = session.set_up
+        return interface.NewSession(
             id=session.number,
-            cls=a.cls,
-            viewer=a.viewer,
-            title=a.title,
+            cls=set_up.cls,
+            viewer=set_up.viewer,
+            title=set_up.title,
             left_ms=left_ms,
-            top=a.top,
-            first_cell=a.home,
-            cells=a.copies,
-            tenant=a.tenant,
-            again=a.retry or a.again,
+            top=set_up.top_rung,
+            first_cell=set_up.first_cell,
+            cells=set_up.cells,
+            tenant=set_up.tenant,
+            again=set_up.retry or set_up.again,
         )
 
-    def hand_over(self, viewer: Viewer, asked: NewSetUp) -> None:
-        """It plays already at a server, perhaps one that the list has not told yet."""
-        if self.standing >= bounds.STANDING:
+    def take_over(self, viewer: ViewerConnection, set_up: NewSetUp) -> None:
+        """Takes over a session that plays already, perhaps at a server that is not listed yet."""
+        if self.established_count >= bounds.MAX_ESTABLISHED_SESSIONS:
             return
-        server = self.servers.named(asked.at)
-        session = Session(self.next_number, asked, viewer, 0.0, self.settings.classes[asked.cls].floor)
+        server = self.servers.get_or_add(set_up.playing_at)
+        session = Session(self.next_number, set_up, viewer, 0.0, self.settings.classes[set_up.cls].floor)
         viewer.proven = True
-        if self.ended_before(session, server):
+        if self.apply_early_release(session, server):
             return
-        self.enter(session)
-        session.attempts, session.standing = 1, True
+        self.add(session)
+        session.attempt_count, session.established = 1, True
         session.attempt = Attempt(session, 0, server, self.loop.now())
-        server.stands(session)
-        self.standing += 1
+        server.add_session(session)
+        self.established_count += 1
         self.counts["handed_over"] += 1
-        self.bridge.tell(i.HandedOver(self.told(session, max(1.0, asked.left_ms)), server.number))
-        if not server.links:
-            server.dial()  # its notes and its release come on a connection of ours
-
-    def ended_before(self, session: Session, server: MediaServer) -> bool:
-        """Its end crossed the hand-over, on another connection: it is told on at once to the other side."""
-        when, by, cause = self.early.pop(session.ref, (NEVER, "", 0))
-        if self.loop.now() - when > bounds.EARLY_ENDS_S or by not in ("", server.id):
+        self.bridge.tell(
+            interface.HandedOver(
+                self.make_new_session_event(session, max(1.0, set_up.left_ms)), server.number
+            )
+        )
+        if not server.connections:
+            server.connect()  # the session's notes and release arrive on a connection of ours
+
+    def apply_early_release(self, session: Session, server: MediaServer) -> bool:
+        """Forwards a release that arrived before the hand-over, on another connection, to the other side."""
+        received_at, server_id, cause = self.early_releases.pop(session.ref, (NEVER, "", 0))
+        if self.loop.now() - received_at > bounds.EARLY_RELEASE_TTL_S or server_id not in ("", server.id):
             return False
         self.counts["ended_before_handed_over"] += 1
-        if not by:
-            server.order(session.ref, "down", messages.down(session.ref, cause))
-        elif after_answer(cause) is not Outcome.CANCELLED:
-            self.viewers.release(session, messages.down(session.ref, cause))
-        self.servers.forget(server)
+        if not server_id:
+            server.send_command(session.ref, "down", messages.encode_down(session.ref, cause))
+        elif outcome_after_answer(cause) is not Outcome.CANCELLED:
+            self.viewers.release_session(session, messages.encode_down(session.ref, cause))
+        self.servers.remove_if_unused(server)
         return True
 
-    def note_early(self, ref: str, by: str, cause: int) -> None:
-        """The end of an id that nobody knows here, kept a while: a hand-over may be on its way."""
-        self.early.pop(ref, None)
-        while len(self.early) >= bounds.EARLY_ENDS:
-            del self.early[next(iter(self.early))]
-        self.early[ref] = self.loop.now(), by, cause
+    def remember_early_release(self, ref: str, server_id: str, cause: int) -> None:
+        """Keeps the release of an unknown ref for a while: the hand-over may still be on its way."""
+        self.early_releases.pop(ref, None)
+        while len(self.early_releases) >= bounds.MAX_EARLY_RELEASES:
+            del self.early_releases[next(iter(self.early_releases))]
+        self.early_releases[ref] = self.loop.now(), server_id, cause
 
-    def viewer_down(self, viewer: Viewer, down: Down) -> None:
+    def on_viewer_down(self, viewer: ViewerConnection, down: Down) -> None:
         session = self.by_ref.get(down.ref)
-        viewer.heard(down.ref)
+        viewer.acknowledge_release(down.ref)
         if session is None:
-            self.note_early(down.ref, "", ENDED_BY_VIEWER)
+            self.remember_early_release(down.ref, "", ENDED_BY_VIEWER)
             return
-        if session.standing:
-            self.cut(session, ENDED_BY_VIEWER)
-            self.over(session, Outcome.CANCELLED)
+        if session.established:
+            self.release_at_server(session, ENDED_BY_VIEWER)
+            self.end(session, Outcome.CANCELLED)
         elif session.viewer is viewer:
-            self.given_up(session)
+            self.give_up(session)
 
-    def viewer_left(self, viewer: Viewer) -> None:
-        """Its connection is gone: what was open on it is given up, what stands belongs to no connection."""
-        for session in list(viewer.open.values()):
-            self.given_up(session)
-        viewer.open.clear()
+    def on_viewer_disconnected(self, viewer: ViewerConnection) -> None:
+        """Gives up the set-ups open on the connection; established sessions belong to no connection."""
+        for session in list(viewer.open_sessions.values()):
+            self.give_up(session)
+        viewer.open_sessions.clear()
         if viewer.stream.open:
-            return  # it is ended by us: what was written to it still goes out
-        unsent, viewer.unsent = viewer.unsent, []
-        for end, session in unsent:
-            if session.standing and end > viewer.stream.bytes_written:  # its answer never left whole
+            return  # we are closing it: what was written to it is still sent
+        unsent_answers, viewer.unsent_answers = viewer.unsent_answers, []
+        for end, session in unsent_answers:
+            if session.established and end > viewer.stream.bytes_written:  # the answer was not sent whole
                 self.counts["up_undelivered"] += 1
-                self.cut(session, ENDED_BY_VIEWER)
-                self.over(session, Outcome.CANCELLED)
+                self.release_at_server(session, ENDED_BY_VIEWER)
+                self.end(session, Outcome.CANCELLED)
 
-    def given_up(self, session: Session) -> None:
+    def give_up(self, session: Session) -> None:
         self.counts["given_up"] += 1
         attempt, session.attempt = session.attempt, None
-        self.leave(session)
-        self.drop(session)
+        self.report_viewer_gone(session)
+        self.remove(session)
         if attempt:
-            self.end_wait(attempt)
-            took = (self.loop.now() - attempt.began) * 1000
+            self.stop_waiting(attempt)
+            took_ms = (self.loop.now() - attempt.started_at) * 1000
             self.bridge.tell(
-                i.AttemptEnded(
-                    session.number, attempt.number, attempt.server.number, Outcome.CANCELLED, True, took
+                interface.AttemptEnded(
+                    session.number, attempt.number, attempt.server.number, Outcome.CANCELLED, True, took_ms
                 )
             )
 
-    def leave(self, session: Session) -> None:
-        """The module hears of it ahead of all else, or never hears of the session at all."""
-        if session.told and self.bridge.left(session.told):
-            self.leaving[session.number] = session
-            self.loop.call_soon(self.leaving.pop, session.number, None)  # runs once all is carried out
+    def report_viewer_gone(self, session: Session) -> None:
+        """Reports the departure to the decider before all other events, or withdraws the whole session."""
+        if session.new_session_event and self.bridge.left(session.new_session_event):
+            self.departing[session.number] = session
+            # Runs after all actions have been carried out.
+            self.loop.call_soon(self.departing.pop, session.number, None)
 
-    def end_wait(self, attempt: Attempt) -> bool:
+    def stop_waiting(self, attempt: Attempt) -> bool:
+        """Whether anything of the attempt may have been sent."""
         if attempt.timer:
             attempt.timer.cancel()
-        return attempt.server.give_up(attempt)
+        return attempt.server.give_up_attempt(attempt)
 
-    def drop(self, session: Session) -> None:
-        """Out of every table: nothing more is owed."""
+    def remove(self, session: Session) -> None:
+        """Removes the session from all tables: no answer and no release is owed any more."""
         self.by_ref.pop(session.ref, None)
         self.by_number.pop(session.number, None)
         if session.viewer:
-            session.viewer.open.pop(session.ref, None)
+            session.viewer.open_sessions.pop(session.ref, None)
 
-    # what servers say
+    # Messages from media servers
 
-    def server_up(self, link: Link, up: Up) -> None:
-        attempt = link.open.get(up.ref)
+    def on_server_up(self, connection: ServerConnection, up: Up) -> None:
+        attempt = connection.open_attempts.get(up.ref)
         if attempt is None:
-            self.counts["up_unknown"] += (
-                1  # a second copy, an unknown id, or one that was given up: told already
-            )
+            # A duplicate, an unknown ref, or a set-up whose server was told that it is given up.
+            self.counts["up_unknown"] += 1
             return
-        del link.open[up.ref]
-        session, attempt.link = attempt.session, None
+        del connection.open_attempts[up.ref]
+        session, attempt.connection = attempt.session, None
         if session.viewer:
-            session.viewer.look()  # its leaving may lie unread: a write would be taken all the same
-        here = session.attempt is attempt
-        if not here or not self.deliver(session, messages.answer(session.ref, up.description)):
-            # Nobody is there to have it, and nobody would ever end it: it is given up at its server as well.
+            session.viewer.read_pending()  # its disconnect may be unread, and a write would succeed even so
+        current = session.attempt is attempt
+        if not current or not self.send_answer(session, messages.encode_answer(session.ref, up.description)):
+            # No viewer would receive the session, and none would ever end it: give it up at its server too.
             self.counts["up_undelivered"] += 1
-            link.server.order(session.ref, "down", messages.down(session.ref, GIVEN_UP))
-            if here:
-                self.given_up(session)
+            connection.server.send_command(session.ref, "down", messages.encode_down(session.ref, GIVEN_UP))
+            if current:
+                self.give_up(session)
             return
         if attempt.timer:
             attempt.timer.cancel()
             attempt.timer = None
         attempt.line = b""
-        session.standing = True
-        self.standing += 1
+        session.established = True
+        self.established_count += 1
         self.counts["played"] += 1
-        attempt.server.stands(session)
-        attempt.server.heard_at = self.loop.now()
-        took = (self.loop.now() - attempt.began) * 1000
-        self.counts["took_ms"] += int(took)
+        attempt.server.add_session(session)
+        attempt.server.last_message_at = self.loop.now()
+        took_ms = (self.loop.now() - attempt.started_at) * 1000
+        self.counts["took_ms"] += int(took_ms)
         if session.viewer:
-            session.viewer.open.pop(session.ref, None)
+            session.viewer.open_sessions.pop(session.ref, None)
             session.viewer.proven = True
-        number = attempt.server.number
-        self.bridge.tell(i.Playing(session.number, attempt.number, number, took, up.load))
+        server_number = attempt.server.number
+        self.bridge.tell(interface.Playing(session.number, attempt.number, server_number, took_ms, up.load))
 
-    def deliver(self, session: Session, line: bytes) -> bool:
-        """Writes an answer; False where its connection takes nothing any more."""
+    def send_answer(self, session: Session, line: bytes) -> bool:
+        """False if the connection does not take the answer any more."""
         viewer = session.viewer
         if viewer is None or not viewer.usable:
             return False
         viewer.send(line)
         if viewer.usable and viewer.stream.backlog_bytes:
-            viewer.unsent = [(end, s) for end, s in viewer.unsent if end > viewer.stream.bytes_written]
-            viewer.unsent.append((viewer.stream.bytes_written + viewer.stream.backlog_bytes, session))
+            viewer.unsent_answers = [
+                (end, other) for end, other in viewer.unsent_answers if end > viewer.stream.bytes_written
+            ]
+            viewer.unsent_answers.append((viewer.stream.bytes_written + viewer.stream.backlog_bytes, session))
         return viewer.usable
 
-    def server_down(self, link: Link, down: Down) -> None:
-        attempt = link.open.get(down.ref)
+    def on_server_down(self, connection: ServerConnection, down: Down) -> None:
+        attempt = connection.open_attempts.get(down.ref)
         if attempt:
-            del link.open[down.ref]
-            attempt.link = None
-            self.ended(attempt, before_answer(down.cause), down.load)
+            del connection.open_attempts[down.ref]
+            attempt.connection = None
+            self.on_attempt_ended(attempt, outcome_before_answer(down.cause), down.load)
             return
         session = self.by_ref.get(down.ref)
         if session is None:
-            self.note_early(down.ref, link.server.id, down.cause)
+            self.remember_early_release(down.ref, connection.server.id, down.cause)
             return
-        if not session.standing or session.attempt is None or session.attempt.server is not link.server:
+        if (
+            not session.established
+            or session.attempt is None
+            or session.attempt.server is not connection.server
+        ):
             return
-        link.server.heard_at = self.loop.now()
-        outcome = after_answer(down.cause)
-        if outcome is not Outcome.CANCELLED:  # 31: its viewer has ended it and is owed no release
-            self.viewers.release(session, messages.down(session.ref, down.cause))
-        self.over(session, outcome, down.load)
+        connection.server.last_message_at = self.loop.now()
+        outcome = outcome_after_answer(down.cause)
+        if outcome is not Outcome.CANCELLED:  # 31: the viewer has ended the session and expects no release
+            self.viewers.release_session(session, messages.encode_down(session.ref, down.cause))
+        self.end(session, outcome, down.load)
 
-    def server_note(self, link: Link, note: Note) -> None:
+    def on_server_note(self, connection: ServerConnection, note: Note) -> None:
         session = self.by_ref.get(note.ref)
-        if session is None or not session.standing or session.attempt is None:
+        if session is None or not session.established or session.attempt is None:
             return
-        if session.attempt.server is not link.server:
+        if session.attempt.server is not connection.server:
             return
-        link.server.heard_at = self.loop.now()
+        connection.server.last_message_at = self.loop.now()
         self.counts["notes"] += 1
-        number = link.server.number
-        if note.kind == i.NoteKind.RUNG:
+        server_number = connection.server.number
+        if note.kind == interface.NoteKind.RUNG:
             session.rung = int(note.value)
-        self.bridge.tell(i.Note(session.number, session.attempt.number, number, note.kind, note.value))
+        self.bridge.tell(
+            interface.Note(session.number, session.attempt.number, server_number, note.kind, note.value)
+        )
 
-    def ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """The one end of an attempt that did not come to stand."""
+    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+        """The end of an attempt that did not establish the session; ignored if it is not the current one."""
         session = attempt.session
-        if session.attempt is not attempt or session.standing:
+        if session.attempt is not attempt or session.established:
             return
         session.attempt = None
         if attempt.timer:
             attempt.timer.cancel()
         self.counts[f"ended_{outcome.name.lower()}"] += 1
-        took = (self.loop.now() - attempt.began) * 1000
+        took_ms = (self.loop.now() - attempt.started_at) * 1000
         self.bridge.tell(
-            i.AttemptEnded(session.number, attempt.number, attempt.server.number, outcome, False, took, load)
+            interface.AttemptEnded(
+                session.number, attempt.number, attempt.server.number, outcome, False, took_ms, load
+            )
         )
 
-    def timed_out(self, attempt: Attempt) -> None:
-        """No answer in time. What never left is told as no connection: it provably did not run."""
-        left = self.end_wait(attempt)
-        self.ended(attempt, Outcome.TIMEOUT if left else Outcome.CONNECT_FAILED)
+    def on_attempt_timeout(self, attempt: Attempt) -> None:
+        """A set-up that was never sent is reported as a failed connection: it provably did not run."""
+        may_have_run = self.stop_waiting(attempt)
+        self.on_attempt_ended(attempt, Outcome.TIMEOUT if may_have_run else Outcome.CONNECT_FAILED)
 
-    def lost(self, session: Session) -> None:
-        """Its server is gone, and with it the session."""
-        self.viewers.release(session, messages.down(session.ref, CUT))
-        self.over(session, Outcome.RESET)
+    def on_session_lost(self, session: Session) -> None:
+        """The server is gone, and the session with it."""
+        self.viewers.release_session(session, messages.encode_down(session.ref, CONNECTION_LOST))
+        self.end(session, Outcome.RESET)
 
-    def over(self, session: Session, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
-        """The one end of a session that stood."""
+    def end(self, session: Session, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+        """Ends an established session."""
         attempt = session.attempt
         assert attempt
-        self.standing -= 1
+        self.established_count -= 1
         self.counts[f"over_{outcome.name.lower()}"] += 1
-        session.standing = False
-        self.drop(session)
-        attempt.server.falls(session)
-        took = (self.loop.now() - attempt.began) * 1000
+        session.established = False
+        self.remove(session)
+        attempt.server.remove_session(session)
+        took_ms = (self.loop.now() - attempt.started_at) * 1000
         self.bridge.tell(
-            i.AttemptEnded(session.number, attempt.number, attempt.server.number, outcome, True, took, load)
+            interface.AttemptEnded(
+                session.number, attempt.number, attempt.server.number, outcome, True, took_ms, load
+            )
         )
 
-    def cut(self, session: Session, cause: int) -> None:
+    def release_at_server(self, session: Session, cause: int) -> None:
         if session.attempt:
             server = session.attempt.server
-            server.orders.pop((session.ref, "step"), None)
-            server.order(session.ref, "down", messages.down(session.ref, cause))
+            server.pending_commands.pop((session.ref, "step"), None)
+            server.send_command(session.ref, "down", messages.encode_down(session.ref, cause))
 
-    # what the module decides
+    # Actions of the decider
 
-    def set_up(self, action: i.SetUp) -> None:
-        left = self.leaving.get(action.id)  # in this very call: the module waits for the end of this attempt
-        session = self.by_number.get(action.id) or left
+    def start_attempt(self, action: interface.SetUp) -> None:
+        # The viewer may have left during this very call: the decider waits for the end of this attempt.
+        departing = self.departing.get(action.id)
+        session = self.by_number.get(action.id) or departing
         if session is None:
             return
         now = self.loop.now()
-        number = session.attempts
-        session.attempts += 1
+        number = session.attempt_count
+        session.attempt_count += 1
         left_s = session.deadline - now
-        limit_s = min(left_s, action.timeout_ms / 1000) if action.timeout_ms > 0 else left_s
+        timeout_s = min(left_s, action.timeout_ms / 1000) if action.timeout_ms > 0 else left_s
         server = self.servers.by_number.get(action.server)
         moot = number >= self.settings.max_attempts or left_s <= 0 or session.attempt is not None
-        if moot or left or server is None or not server.listed:
-            self.counts["ended_moot"] += 1  # nothing is sent: too many, two at once, nowhere, or too late
-            self.bridge.tell(i.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0))
+        if moot or departing or server is None or not server.listed:
+            # Nothing is sent: too many attempts, two at once, no server, or no time left.
+            self.counts["ended_moot"] += 1
+            self.bridge.tell(
+                interface.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0)
+            )
             return
         attempt = session.attempt = Attempt(session, number, server, now)
-        attempt.timer = self.loop.call_later(limit_s, self.timed_out, attempt)
+        attempt.timer = self.loop.call_later(timeout_s, self.on_attempt_timeout, attempt)
         self.counts["attempts"] += 1
-        server.submit(attempt)
+        server.submit_attempt(attempt)
 
-    def set_rung(self, action: i.SetRung) -> None:
+    def set_rung(self, action: interface.SetRung) -> None:
         session = self.by_number.get(action.id)
         if session is None:
             return
         session.rung = action.rung
-        if session.standing and session.attempt:
+        if session.established and session.attempt:
             self.counts["steps"] += 1
-            session.attempt.server.order(session.ref, "step", messages.step(session.ref, action.rung))
+            session.attempt.server.send_command(
+                session.ref, "step", messages.encode_step(session.ref, action.rung)
+            )
 
-    def refuse(self, action: i.Refuse) -> None:
-        pause = action.pause_ms if self.settings.pause_advice else 0.0
-        self.final(action.id, messages.down, "refused", REFUSED, pause)
+    def refuse(self, action: interface.Refuse) -> None:
+        pause_ms = action.pause_ms if self.settings.pause_advice else 0.0
+        self.reject_set_up(action.id, messages.encode_down, "refused", REFUSED, pause_ms)
 
-    def fail(self, action: i.Fail) -> None:
-        self.final(action.id, messages.down, "failed", FAILED)
+    def fail(self, action: interface.Fail) -> None:
+        self.reject_set_up(action.id, messages.encode_down, "failed", FAILED)
 
-    def final(
-        self, number: int, line: Callable[..., bytes], name: str, cause: int, pause: float = 0.0
+    def reject_set_up(
+        self,
+        number: int,
+        encode: Callable[..., bytes],
+        counter: str,
+        cause: int,
+        pause_ms: float = 0.0,
     ) -> None:
-        """The module's last word, at once."""
+        """Answers a set-up negatively, at once and finally."""
         session = self.by_number.get(number)
-        if session is None or session.standing:
+        if session is None or session.established:
             return
-        self.counts[name] += 1
+        self.counts[counter] += 1
         viewer, attempt = session.viewer, session.attempt
-        self.drop(session)
+        self.remove(session)
         if attempt:
-            self.end_wait(attempt)
+            self.stop_waiting(attempt)
         if viewer:
-            viewer.send(line(session.ref, cause, pause))
+            viewer.send(encode(session.ref, cause, pause_ms))
 
-    def move(self, action: i.Move) -> None:
+    def move(self, action: interface.Move) -> None:
         session = self.by_number.get(action.id)
-        if session and session.standing:
+        if session and session.established:
             self.counts["moved"] += 1
-            self.cut(session, ENDED_BY_VIEWER)
-            self.viewers.release(session, messages.shift(session.ref))
-            self.over(session, Outcome.CANCELLED)
+            self.release_at_server(session, ENDED_BY_VIEWER)
+            self.viewers.release_session(session, messages.encode_shift(session.ref))
+            self.end(session, Outcome.CANCELLED)
 
-    def cancel(self, action: i.Cancel) -> None:
+    def cancel_attempt(self, action: interface.Cancel) -> None:
         session = self.by_number.get(action.id)
-        attempt = session.attempt if session and not session.standing else None
+        attempt = session.attempt if session and not session.established else None
         if attempt and attempt.number == action.attempt:
-            left = self.end_wait(attempt)
-            self.ended(attempt, Outcome.CANCELLED if left else Outcome.MOOT)
+            may_have_run = self.stop_waiting(attempt)
+            self.on_attempt_ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
 
-    def fail_open(self) -> None:
-        """Guards what was taken against the kill after SIGTERM: it fails now rather than go unanswered."""
-        for session in [s for s in self.by_ref.values() if not s.standing]:
+    def fail_open_set_ups(self) -> None:
+        """Fails open set-ups before SIGKILL arrives, so that none goes unanswered."""
+        for session in [session for session in self.by_ref.values() if not session.established]:
             self.counts["failed_at_end"] += 1
-            self.final(session.number, messages.down, "failed", FAILED)
+            self.reject_set_up(session.number, messages.encode_down, "failed", FAILED)
 
     def sweep(self) -> None:
-        """Guards against a set-up that nobody decides on: it gets its answer by its deadline all the same."""
+        """Fails set-ups past their deadline without an attempt, in case the decider never decides on them."""
         now = self.loop.now()
-        for viewer in list(self.viewers.links):
-            for session in list(viewer.open.values()):
+        for viewer in list(self.viewers.connections):
+            for session in list(viewer.open_sessions.values()):
                 if session.attempt is None and now > session.deadline:
                     self.counts["overdue"] += 1
-                    self.leave(session)
-                    self.final(session.number, messages.down, "failed", FAILED)
+                    self.report_viewer_gone(session)
+                    self.reject_set_up(session.number, messages.encode_down, "failed", FAILED)
--- a/lemonhall/front/node/viewers.py
+++ b/lemonhall/front/node/viewers.py
@@ -1,4 +1,4 @@
-"""Connections from viewers: set-ups and what ends them, tests, and releases that wait for a connection."""
+"""Connections from viewers: set-ups and their ends, heartbeats, and releases that wait for a connection."""
 
 from __future__ import annotations
 
@@ -11,143 +11,165 @@
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.loop.stream import LISTEN_BACKLOG, accept_queued
 from lemonhall.node import bounds, messages
-from lemonhall.node.lines import Lines, TooLong
-from lemonhall.node.messages import Ack, Bad, Down, Names, NewSetUp, Test
-from lemonhall.node.outcomes import BAD_MESSAGE
+from lemonhall.node.causes import BAD_MESSAGE
+from lemonhall.node.line_reader import LineReader, LineTooLong
+from lemonhall.node.messages import Ack, Down, Heartbeat, MessageError, NewSetUp, SettingsNames
 
 FOREVER = float("inf")
-BAD_A_CONNECTION = 3  # messages that could be named but not used; then the connection is closed
+MAX_INVALID_MESSAGES = 3  # on one connection; the last of them closes it
 
 
-class Viewer(Handler):
+class ViewerConnection(Handler):
     """One connection from viewers; it may carry many sessions."""
 
-    def __init__(self, desk: Viewers, sock: socket.socket) -> None:
-        self.desk, self.lines = desk, Lines()
-        self.open: dict[str, Session] = {}  # set-ups that are owed an answer here
-        self.unsent: list[tuple[int, Session]] = []  # answers in the backlog, and where each ends
-        # Releases written here that nobody has said were heard: when, where each ends, the word.
-        self.releases: dict[str, tuple[float, int, bytes]] = {}
-        self.since = self.used = desk.loop.now()
-        self.half_since = 0.0  # when the message began that has no end yet
-        self.useful = False  # it brought a message that could be used
-        self.proven = False  # a session came to stand through it: whoever is there reads releases
-        self.bad = 0
-        self.stream = Stream(desk.loop, sock, self, bounds.BACKLOG_BYTES, max_read_bytes=bounds.GULP_BYTES)
+    def __init__(self, owner: ViewerConnections, sock: socket.socket) -> None:
+        self.owner, self.line_reader = owner, LineReader()
+        self.open_sessions: dict[str, Session] = {}  # set-ups that must still be answered here
+        self.unsent_answers: list[tuple[int, Session]] = []  # in the backlog, with the offset of their end
+        # Releases sent here and not acknowledged: when, the offset of their end, the line.
+        self.unacknowledged_releases: dict[str, tuple[float, int, bytes]] = {}
+        self.connected_at = self.last_used_at = owner.loop.now()
+        self.partial_since = 0.0  # when the first byte of an incomplete message arrived
+        self.sent_valid_message = False
+        self.proven = False  # a session was established through it, so the peer is known to read releases
+        self.invalid_message_count = 0
+        self.stream = Stream(
+            owner.loop, sock, self, bounds.MAX_BACKLOG_BYTES, max_read_bytes=bounds.MAX_READ_BYTES
+        )
 
     def on_data(self, view: memoryview) -> None:
-        desk = self.desk
-        self.used = desk.loop.now()
-        self.lines.feed(view)
+        owner = self.owner
+        self.last_used_at = owner.loop.now()
+        self.line_reader.feed(view)
         try:
-            while self.usable and (line := self.lines.take()) is not None:
+            while self.usable and (line := self.line_reader.next_line()) is not None:
                 if line.strip():
-                    self.hear(line)
-        except TooLong:
-            desk.counts["bad_too_long"] += 1
-            self.finish()
+                    self.handle_line(line)
+        except LineTooLong:
+            owner.counts["bad_too_long"] += 1
+            self.close_lingering()
             return
-        if not self.lines.partial:
-            self.half_since = 0.0
-        elif not self.half_since:
-            self.half_since = self.used
+        if not self.line_reader.has_unread:
+            self.partial_since = 0.0
+        elif not self.partial_since:
+            self.partial_since = self.last_used_at
 
-    def hear(self, line: bytes) -> None:
-        desk = self.desk
+    def handle_line(self, line: bytes) -> None:
+        owner = self.owner
         try:
-            message = messages.from_viewer(line, desk.names)
-        except Bad as bad:
-            self.refuse_bad(bad)
+            message = messages.parse_viewer_message(line, owner.names)
+        except MessageError as error:
+            self.reject_message(error)
             return
-        self.useful = True
+        self.sent_valid_message = True
         if isinstance(message, NewSetUp):
-            if len(self.open) >= bounds.OPEN_A_CONNECTION or not desk.on_new(self, message):
-                # An answer under an id that is open would be that one's second answer: no word, a close.
-                desk.counts["bad_id"] += 1
-                self.finish()
+            if len(self.open_sessions) >= bounds.MAX_OPEN_SET_UPS or not owner.on_set_up(self, message):
+                # An answer under a ref in use would be a second answer to that set-up, so close instead.
+                owner.counts["bad_id"] += 1
+                self.close_lingering()
         elif isinstance(message, Down):
-            desk.on_down(self, message)
+            owner.on_down(self, message)
         elif isinstance(message, Ack):
-            self.heard(message.ref)
-        elif isinstance(message, Test):
-            self.send(messages.tested(message.ref, desk.serves()))
-
-    def refuse_bad(self, bad: Bad) -> None:
-        """An error under its own id where it has one that nobody else uses, else a close."""
-        desk = self.desk
-        desk.counts["bad_message"] += 1
-        desk.say("bad message from a viewer", why=bad.why)
-        self.bad += 1
-        if not bad.ref or desk.known(bad.ref) or self.bad >= BAD_A_CONNECTION:
-            self.finish()
+            self.acknowledge_release(message.ref)
+        elif isinstance(message, Heartbeat):
+            self.send(messages.encode_heartbeat_reply(message.ref, owner.is_serving()))
+
+    def reject_message(self, error: MessageError) -> None:
+        """Answers with an error under the message's ref if nobody else uses that ref, else closes."""
+        owner = self.owner
+        owner.counts["bad_message"] += 1
+        owner.log_event("rejected an invalid message from a viewer", why=error.reason)
+        self.invalid_message_count += 1
+        if (
+            not error.ref
+            or owner.is_known_ref(error.ref)
+            or self.invalid_message_count >= MAX_INVALID_MESSAGES
+        ):
+            self.close_lingering()
             return
-        self.send(messages.down(bad.ref, BAD_MESSAGE))
+        self.send(messages.encode_down(error.ref, BAD_MESSAGE))
 
     @property
     def usable(self) -> bool:
         return self.stream.open and not self.stream.closing
 
-    def look(self) -> None:
-        """Reads what lies there now: its leaving may be in it."""
+    def read_pending(self) -> None:
+        """Reads what has arrived: it may contain the viewer's disconnect."""
         self.stream.read_pending()
 
     def send(self, line: bytes) -> None:
         self.stream.write(line)
 
-    def release(self, ref: str, line: bytes) -> None:
-        """Kept until it is heard, or so old that it has arrived or never will."""
+    def send_release(self, ref: str, line: bytes) -> None:
+        """Remembers the release until it is acknowledged, or so old that it has arrived or never will."""
         self.send(line)
-        self.releases[ref] = self.desk.loop.now(), self.stream.bytes_written + self.stream.backlog_bytes, line
-        while len(self.releases) > 1:
-            oldest = next(iter(self.releases))
-            if self.may_be_lost(self.releases[oldest]):
+        self.unacknowledged_releases[ref] = (
+            self.owner.loop.now(),
+            self.stream.bytes_written + self.stream.backlog_bytes,
+            line,
+        )
+        while len(self.unacknowledged_releases) > 1:
+            oldest = next(iter(self.unacknowledged_releases))
+            if self.may_be_lost(self.unacknowledged_releases[oldest]):
                 break
-            del self.releases[oldest]
+            del self.unacknowledged_releases[oldest]
 
     def may_be_lost(self, release: tuple[float, int, bytes]) -> bool:
-        when, end, _ = release
-        return self.desk.loop.now() - when < bounds.OVERTAKEN_S or end > self.stream.bytes_written
+        sent_at, end, _ = release
+        return self.owner.loop.now() - sent_at < bounds.RESEND_WINDOW_S or end > self.stream.bytes_written
 
-    def heard(self, ref: str) -> None:
-        self.releases.pop(ref, None)
+    def acknowledge_release(self, ref: str) -> None:
+        self.unacknowledged_releases.pop(ref, None)
 
-    def finish(self, within_s: float = bounds.LINGER_S) -> None:
-        """What is open on it is given up now; what was written to it still arrives."""
+    def close_lingering(self, within_s: float = bounds.LINGER_TIMEOUT_S) -> None:
+        """Gives up its open set-ups now; what was written to it still arrives."""
         self.stream.close_lingering(within_s)
-        if self.stream.open:  # else its close has been told
-            self.desk.on_left(self)
+        if self.stream.open:  # else `on_closed` was called already
+            self.owner.on_disconnected(self)
 
     def on_backlog_full(self) -> None:
-        self.desk.counts["viewer_reads_nothing"] += 1
+        self.owner.counts["viewer_reads_nothing"] += 1
         self.stream.abort()
 
     def on_closed(self, reason: str) -> None:
-        self.desk.left(self)
+        self.owner.on_connection_closed(self)
 
 
-class Viewers:
-    """`on_new` is told of a set-up (False: not taken), `on_down` of its end, `on_left` of a close."""
+class ViewerConnections:
+    """`on_set_up` receives a set-up (returns False: not accepted), `on_down` its end, `on_disconnected` a
+    close."""
 
     def __init__(
-        self, loop: Loop, names: Names, most: int, counts: Counter[str], say: Callable[..., None]
+        self,
+        loop: Loop,
+        names: SettingsNames,
+        max_connections: int,
+        counts: Counter[str],
+        log_event: Callable[..., None],
     ) -> None:
-        self.loop, self.names, self.most, self.counts, self.say = loop, names, most, counts, say
-        self.links: dict[Viewer, None] = {}
-        # Releases, each with the time up to which it waits for a proven connection, and up to which at all.
-        self.waiting: deque[tuple[float, float, bytes]] = deque(maxlen=bounds.WAITING_ENDS)
+        self.loop, self.names, self.max_connections, self.counts, self.log_event = (
+            loop,
+            names,
+            max_connections,
+            counts,
+            log_event,
+        )
+        self.connections: dict[ViewerConnection, None] = {}
+        # Each with the time until which it waits for a proven connection, and the time at which it expires.
+        self.waiting_releases: deque[tuple[float, float, bytes]] = deque(maxlen=bounds.MAX_WAITING_RELEASES)
         self.listener: socket.socket | None = None
-        self.serves: Callable[[], bool] = lambda: True
-        self.known: Callable[[str], bool] = lambda ref: False
-        self.on_new: Callable[[Viewer, NewSetUp], bool]
-        self.on_down: Callable[[Viewer, Down], None]
-        self.on_left: Callable[[Viewer], None]
+        self.is_serving: Callable[[], bool] = lambda: True
+        self.is_known_ref: Callable[[str], bool] = lambda ref: False
+        self.on_set_up: Callable[[ViewerConnection, NewSetUp], bool]
+        self.on_down: Callable[[ViewerConnection, Down], None]
+        self.on_disconnected: Callable[[ViewerConnection], None]
 
     def listen(self, address: tuple[str, int]) -> None:
         """Raises `OSError`."""
         self.listener = listen(self.loop, address, self.accept)
 
     def stop_listening(self) -> None:
-        """What was accepted by the kernel was taken: it is accepted here before the door closes."""
+        """Accepts the connections that the kernel has queued, then closes the listener."""
         if self.listener:
             accept_queued(self.listener, self.accept, LISTEN_BACKLOG)
             self.loop.watch_socket(self.listener, 0, self.accept)
@@ -155,90 +177,120 @@
             self.listener = None
 
     def accept(self, sock: socket.socket, peer: Any) -> None:
-        if len(self.links) >= self.most and not self.make_room():
+        if len(self.connections) >= self.max_connections and not self.evict_connection():
             self.counts["turned_away"] += 1
             sock.close()
             return
         self.counts["accepted"] += 1
-        viewer = Viewer(self, sock)
-        self.links[viewer] = None
+        connection = ViewerConnection(self, sock)
+        self.connections[connection] = None
 
-    def make_room(self) -> bool:
-        """Guards usual viewers against connections by the hundred: the one of least use makes way.
+    def evict_connection(self) -> bool:
+        """Closes the least useful connection without open set-ups; returns whether there was one.
 
-        One on which a set-up lies unread is of use: it was taken already.
+        Keeps ordinary viewers connected when somebody opens connections by the hundred. A connection on which
+        a set-up is unread is kept: the node has accepted that set-up.
         """
-        idle = [v for v in self.links if not v.open]
-        for least in sorted(idle, key=lambda v: (v.usable, v.proven, v.useful, v.used)):
-            if least.stream.read_pending() and least.open:
+        idle = [connection for connection in self.connections if not connection.open_sessions]
+        for candidate in sorted(
+            idle,
+            key=lambda connection: (
+                connection.usable,
+                connection.proven,
+                connection.sent_valid_message,
+                connection.last_used_at,
+            ),
+        ):
+            if candidate.stream.read_pending() and candidate.open_sessions:
                 continue
             self.counts["evicted"] += 1
-            if least.usable:
-                least.stream.close()
+            if candidate.usable:
+                candidate.stream.close()
             else:
-                least.stream.abort()  # it was ending
+                candidate.stream.abort()  # it was closing already
             return True
         return False
 
-    def left(self, viewer: Viewer) -> None:
-        self.links.pop(viewer, None)
-        self.on_left(viewer)
-        releases, viewer.releases = viewer.releases, {}
+    def on_connection_closed(self, connection: ViewerConnection) -> None:
+        self.connections.pop(connection, None)
+        self.on_disconnected(connection)
+        releases, connection.unacknowledged_releases = connection.unacknowledged_releases, {}
         for release in releases.values():
-            if viewer.may_be_lost(release):
+            if connection.may_be_lost(release):
                 self.counts["released_again"] += 1
-                self.release_elsewhere(release[2], release[0] + bounds.RELEASED_WITHIN_S)
+                self.send_release_elsewhere(release[2], release[0] + bounds.RELEASE_DEADLINE_S)
 
-    def release(self, session: Session, line: bytes) -> None:
-        """What ends a session that stood: on its own connection, else on another, else on the next.
+    def release_session(self, session: Session, line: bytes) -> None:
+        """Sends the end of an established session on its own connection, else on another, else on the next.
 
-        Another is one through which a session came to stand. Guards against what was seen on the day of rude
-        viewers: a release on a connection of theirs is read by nobody, and the session's own had made way.
+        Only a connection through which a session was established counts as another. Otherwise the release
+        could go to an abusive client that never reads it, after the session's own connection was evicted.
         """
         own = session.viewer
         if own and own.usable:
-            own.release(session.ref, line)
+            own.send_release(session.ref, line)
             return
         self.counts["released_elsewhere"] += 1
-        self.release_elsewhere(line)
+        self.send_release_elsewhere(line)
 
-    def release_elsewhere(self, line: bytes, until: float = FOREVER) -> None:
-        if other := self.best(True):
+    def send_release_elsewhere(self, line: bytes, expires_at: float = FOREVER) -> None:
+        if other := self.best_connection(True):
             other.send(line)
         else:
-            self.waiting.append((self.loop.now() + bounds.RELEASE_WAITS_S, until, line))
-
-    def best(self, proven: bool) -> Viewer | None:
-        """The connection used last, of those that are proven or at least brought something usable."""
-        able = [v for v in self.links if v.usable]
-        able = [v for v in able if v.proven or (v.useful and not proven)]
-        return max(able, key=lambda v: (v.proven, -v.bad, v.used), default=None)
-
-    def send_waiting(self, last: bool = False) -> None:
-        """`last`: the process ends, and a connection that is not proven is better than none."""
-        while self.waiting:
-            proven_until, until, line = self.waiting[0]
-            other = self.best(self.loop.now() < proven_until and not last)
-            if self.loop.now() < until:
+            self.waiting_releases.append(
+                (self.loop.now() + bounds.PROVEN_CONNECTION_WAIT_S, expires_at, line)
+            )
+
+    def best_connection(self, proven_only: bool) -> ViewerConnection | None:
+        """The most recently used connection that is proven or, if allowed, has sent a valid message."""
+        usable = [connection for connection in self.connections if connection.usable]
+        usable = [
+            connection
+            for connection in usable
+            if connection.proven or (connection.sent_valid_message and not proven_only)
+        ]
+        return max(
+            usable,
+            key=lambda connection: (
+                connection.proven,
+                -connection.invalid_message_count,
+                connection.last_used_at,
+            ),
+            default=None,
+        )
+
+    def send_waiting_releases(self, shutting_down: bool = False) -> None:
+        """During shutdown an unproven connection is better than none."""
+        while self.waiting_releases:
+            proven_only_until, expires_at, line = self.waiting_releases[0]
+            other = self.best_connection(self.loop.now() < proven_only_until and not shutting_down)
+            if self.loop.now() < expires_at:
                 if other is None:
                     return
                 other.send(line)
-            self.waiting.popleft()
+            self.waiting_releases.popleft()
 
     def sweep(self) -> None:
-        """Closes what says nothing usable, what stops within a message, and what idles for long."""
+        """Closes connections without a valid message, with an incomplete message, or idle for too long."""
         now = self.loop.now()
-        self.send_waiting()
-        for viewer in list(self.links):
-            if not viewer.usable:
+        self.send_waiting_releases()
+        for connection in list(self.connections):
+            if not connection.usable:
                 continue
-            half = viewer.half_since and now - viewer.half_since > bounds.HALF_LINE_S
-            silent = not viewer.useful and now - viewer.since > bounds.SILENT_S
-            idle = not viewer.open and now - viewer.used > bounds.VIEWER_IDLE_S
-            if half or silent or idle:
-                used = viewer.used
-                viewer.look()
-                if viewer.open or (idle and viewer.used > used):
-                    continue  # a set-up lay unread: it was taken
-                self.counts["closed_half" if half else "closed_silent" if silent else "closed_idle"] += 1
-                viewer.finish()
+            partial = (
+                connection.partial_since and now - connection.partial_since > bounds.PARTIAL_LINE_TIMEOUT_S
+            )
+            silent = (
+                not connection.sent_valid_message
+                and now - connection.connected_at > bounds.NO_MESSAGE_TIMEOUT_S
+            )
+            idle = (
+                not connection.open_sessions and now - connection.last_used_at > bounds.VIEWER_IDLE_TIMEOUT_S
+            )
+            if partial or silent or idle:
+                last_used_at = connection.last_used_at
+                connection.read_pending()
+                if connection.open_sessions or (idle and connection.last_used_at > last_used_at):
+                    continue  # a set-up was unread and has been accepted
+                self.counts["closed_half" if partial else "closed_silent" if silent else "closed_idle"] += 1
+                connection.close_lingering()
--- a/lemonhall/node/__init__.py
+++ b/lemonhall/node/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's protocol of a front node, without I/O: bytes in, events out.
+"""The platform's protocol for a front node, without I/O: bytes in, typed messages out.
 
 JSON lines with viewers and media servers, DNS with the resolver, one JSON file as configuration. Every field
-is checked here; what passes is typed, what does not is a `Bad` with the reason.
+is validated here; input that fails raises a `MessageError`, `DnsError` or `BadInput` with the reason.
 """
--- a/lemonhall/node/configuration.py
+++ b/lemonhall/node/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration file of a front node: the simulator's settings, limits, addresses, the list."""
+"""The configuration file of a front node: the simulator's settings, limits, addresses, server list."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from lemonhall import wire
 from lemonhall.interface import Settings
-from lemonhall.node.messages import Names
-from lemonhall.node.records import Listed
+from lemonhall.node.dns import ListedServer
+from lemonhall.node.messages import SettingsNames
 from lemonhall.problem import BadInput
 
 Address = tuple[str, int]
@@ -18,142 +18,145 @@
 @dataclass(frozen=True)
 class Configuration:
     name: str
-    listen: Address
+    listen_address: Address
     seed: int
-    sockets: int  # descriptors that the process may hold
-    dns: Address
-    seq: int  # of the last event in `servers`
-    servers: dict[str, Listed]  # the list of the start
+    max_descriptors: int  # that the process may hold
+    resolver_address: Address
+    list_number: int  # sequence number of the last event in `servers`
+    servers: dict[str, ListedServer]  # the list at the start
     settings: Settings
-    names: Names
-    streams: int  # set-ups that one connection to a media server carries at once
-    idle_s: float  # after which an idle connection is closed
-    connect_s: float
+    names: SettingsNames
+    set_ups_per_connection: int  # that one connection to a media server carries at once
+    idle_timeout_s: float  # after which a media server closes an idle connection
+    connect_timeout_s: float
 
 
-def address(text: Any, what: str) -> Address:
+def parse_address(text: Any, field: str) -> Address:
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or int(port) > 65535:
-        raise BadInput(what, f"{text!r} is no address with a port")
+        raise BadInput(field, f"{text!r} is not an address with a port")
     return host, int(port)
 
 
-def flat(value: Any, path: str = "") -> dict[str, str]:
-    """Nested settings as the simulator's pairs: lists of plain values joined, those of objects counted."""
+def flatten_settings(value: Any, path: str = "") -> dict[str, str]:
+    """Nested settings as the simulator's flat pairs.
+
+    A list of plain values becomes one joined value; a list of objects gets a `count` and numbered paths.
+    """
     if isinstance(value, dict):
-        made: dict[str, str] = {}
+        pairs: dict[str, str] = {}
         for name, inner in value.items():
-            made.update(flat(inner, f"{path}.{name}" if path else str(name)))
-        return made
+            pairs.update(flatten_settings(inner, f"{path}.{name}" if path else str(name)))
+        return pairs
     if isinstance(value, list):
-        if any(isinstance(v, dict) for v in value):
-            made = {f"{path}.count": str(len(value))}
-            for n, inner in enumerate(value):
-                made.update(flat(inner, f"{path}.{n}"))
-            return made
-        return {path: ",".join(_plain(v) for v in value)}
-    return {} if value is None else {path: _plain(value)}
+        if any(isinstance(item, dict) for item in value):
+            pairs = {f"{path}.count": str(len(value))}
+            for index, inner in enumerate(value):
+                pairs.update(flatten_settings(inner, f"{path}.{index}"))
+            return pairs
+        return {path: ",".join(_format_plain(item) for item in value)}
+    return {} if value is None else {path: _format_plain(value)}
 
 
-def _plain(value: Any) -> str:
+def _format_plain(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def _number(value: Any, where: str, least: float = 0.0) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value < 1e15:
-        raise BadInput(where, f"{value!r} is no number in range")
+def _parse_number(value: Any, field: str, minimum: float = 0.0) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < 1e15:
+        raise BadInput(field, f"{value!r} is not a number in range")
     return float(value)
 
 
-def listed(entry: Any, where: str) -> Listed:
-    """An entry of `known`; its state `removed` is the caller's to see."""
+def parse_server(entry: Any, field: str) -> ListedServer:
+    """An entry of `known`; the caller handles the state `removed`."""
     try:
-        host, port = address(entry["addr"], f"{where}.addr")
-        return Listed(
+        host, port = parse_address(entry["addr"], f"{field}.addr")
+        return ListedServer(
             str(entry["id"]),
             host,
             port,
             str(entry["zone"]),
             str(entry["kind"]),
-            int(_number(entry["cell"], f"{where}.cell")),
+            int(_parse_number(entry["cell"], f"{field}.cell")),
             entry["state"] == "draining",
-            _number(entry.get("weight", 1), f"{where}.weight"),
-            _number(entry.get("started_ms", 0), f"{where}.started_ms"),
+            _parse_number(entry.get("weight", 1), f"{field}.weight"),
+            _parse_number(entry.get("started_ms", 0), f"{field}.started_ms"),
         )
     except (KeyError, TypeError) as error:
-        raise BadInput(where, f"lacks {error}") from None
+        raise BadInput(field, f"lacks {error}") from None
 
 
-def known_list(known: Any, where: str) -> tuple[int, dict[str, Listed]]:
-    """The events of the start folded into one list, and the number of the last."""
+def parse_known_servers(known: Any, field: str) -> tuple[int, dict[str, ListedServer]]:
+    """Applies the recorded list events in order: the sequence number of the last, and the resulting list."""
     if not isinstance(known, dict) or not isinstance(known.get("results"), list):
-        raise BadInput(where, "no events of the start")
-    servers: dict[str, Listed] = {}
-    for n, event in enumerate(known["results"]):
+        raise BadInput(field, "the recorded list events are missing")
+    servers: dict[str, ListedServer] = {}
+    for index, event in enumerate(known["results"]):
         fleet = event.get("fleet") if isinstance(event, dict) else None
         if not isinstance(fleet, dict) or not isinstance(fleet.get("servers"), list):
-            continue  # of another kind: nothing here goes by it
+            continue  # an event of another kind, which the node does not use
         if fleet.get("full"):
             servers.clear()
-        for m, entry in enumerate(fleet["servers"]):
-            made = listed(entry, f"{where}.results[{n}].fleet.servers[{m}]")
+        for position, entry in enumerate(fleet["servers"]):
+            server = parse_server(entry, f"{field}.results[{index}].fleet.servers[{position}]")
             if entry["state"] in ("up", "draining"):
-                servers[made.id] = made
+                servers[server.id] = server
             else:
-                servers.pop(made.id, None)
-    return int(_number(known.get("seq", 0), f"{where}.seq")), servers
+                servers.pop(server.id, None)
+    return int(_parse_number(known.get("seq", 0), f"{field}.seq")), servers
 
 
-def read(text: str, where: str) -> Configuration:
+def parse_configuration(text: str, path: str) -> Configuration:
     """Raises `BadInput` with the file and the field."""
     try:
-        raw = json.loads(text)
+        document = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise BadInput(where, f"is no JSON: {error}") from None
-    if not isinstance(raw, dict):
-        raise BadInput(where, "is no object")
-    told = raw.get("settings")
-    if not isinstance(told, dict):
-        raise BadInput(f"{where}: settings", "is missing")
-    pairs = flat(told)
+        raise BadInput(path, f"is not valid JSON: {error}") from None
+    if not isinstance(document, dict):
+        raise BadInput(path, "is not a JSON object")
+    raw_settings = document.get("settings")
+    if not isinstance(raw_settings, dict):
+        raise BadInput(f"{path}: settings", "is missing")
+    flat_settings = flatten_settings(raw_settings)
     try:
-        settings = wire.settings_of(pairs)
-        caps = wire.Pairs(pairs)
-        names = Names(
-            tuple(caps.text(f"classes.{n}.name") for n in range(len(settings.classes))),
-            tuple(caps.text(f"customers.{n}.name", "") for n in range(len(settings.tenants))),
-            tuple(caps.text("areas", "").split(",")),
-            tuple(caps.text("machineTypes", "").split(",")),
+        settings = wire.settings_of(flat_settings)
+        pairs = wire.Pairs(flat_settings)
+        names = SettingsNames(
+            tuple(pairs.text(f"classes.{index}.name") for index in range(len(settings.classes))),
+            tuple(pairs.text(f"customers.{index}.name", "") for index in range(len(settings.tenants))),
+            tuple(pairs.text("areas", "").split(",")),
+            tuple(pairs.text("machineTypes", "").split(",")),
             settings.report_fields,
-            tuple(c.deadline_ms for c in settings.classes),
+            tuple(cls.deadline_ms for cls in settings.classes),
             settings.cells,
             len(settings.ladder_kb),
         )
-        streams = max(1, caps.whole("caps.maxStreams", 1))
-        idle_s = caps.number("caps.connIdle", 15000.0) / 1000
+        set_ups_per_connection = max(1, pairs.whole("caps.maxStreams", 1))
+        idle_timeout_s = pairs.number("caps.connIdle", 15000.0) / 1000
     except (wire.WireError, ValueError) as error:
-        raise BadInput(f"{where}: settings", str(error)) from None
-    limits = raw.get("limits")
+        raise BadInput(f"{path}: settings", str(error)) from None
+    limits = document.get("limits")
     limits = limits if isinstance(limits, dict) else {}
-    seq, servers = known_list(raw.get("known"), f"{where}: known")
-    seed = str(raw.get("seed", "0"))
+    list_number, servers = parse_known_servers(document.get("known"), f"{path}: known")
+    seed_text = str(document.get("seed", "0"))
     try:
-        number = int(seed, 16)
+        seed = int(seed_text, 16)
     except ValueError:
-        raise BadInput(f"{where}: seed", f"{seed!r} is no hex number") from None
+        raise BadInput(f"{path}: seed", f"{seed_text!r} is not a hexadecimal number") from None
     return Configuration(
-        str(raw.get("name", "")),
-        address(raw.get("listen"), f"{where}: listen"),
-        number,
-        int(_number(limits.get("sockets", 1024), f"{where}: limits.sockets", 16)),
-        address(raw.get("dns"), f"{where}: dns"),
-        seq,
+        str(document.get("name", "")),
+        parse_address(document.get("listen"), f"{path}: listen"),
+        seed,
+        int(_parse_number(limits.get("sockets", 1024), f"{path}: limits.sockets", 16)),
+        parse_address(document.get("dns"), f"{path}: dns"),
+        list_number,
         servers,
         settings,
         names,
-        streams,
-        idle_s,
+        set_ups_per_connection,
+        idle_timeout_s,
         settings.connect_timeout_ms / 1000,
     )
--- a/lemonhall/node/messages.py
+++ b/lemonhall/node/messages.py
@@ -1,4 +1,4 @@
-"""JSON objects to typed messages and back. Nothing is passed on that was not checked here."""
+"""Converts JSON objects to typed messages and back. Nothing is forwarded that was not validated here."""
 
 from __future__ import annotations
 
@@ -9,27 +9,28 @@
 from math import isfinite
 from typing import Any
 
-from lemonhall.node.bounds import DESCRIPTION_CHARS, NUMBER_CHARS
-from lemonhall.node.outcomes import NOTES
+from lemonhall.node.bounds import MAX_DESCRIPTION_CHARS, MAX_NUMBER_CHARS
+from lemonhall.node.causes import NOTE_KINDS
 
-REF = re.compile(r"[0-9a-f]{16}\Z")
-NUMBER = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d{1,3})?\Z", re.ASCII)
-NAME = re.compile(r"[!-~]{1,128}\Z")  # of a server
-# What no description holds: controls but CR, LF, TAB, and halves of UTF-16 pairs, which no UTF-8 can carry.
-UNCLEAN = re.compile("[\x00-\x08\x0b\x0c\x0e-\x1f\x7f\ud800-\udfff]")
+REF_PATTERN = re.compile(r"[0-9a-f]{16}\Z")
+NUMBER_PATTERN = re.compile(r"-?\d+(\.\d+)?([eE][-+]?\d{1,3})?\Z", re.ASCII)
+SERVER_ID_PATTERN = re.compile(r"[!-~]{1,128}\Z")
+# Not allowed in a description: control characters except CR, LF and TAB, and lone UTF-16 surrogates, which
+# UTF-8 cannot encode.
+FORBIDDEN_CHARS = re.compile("[\x00-\x08\x0b\x0c\x0e-\x1f\x7f\ud800-\udfff]")
 
 
-class Bad(Exception):
-    """A message that cannot be used: why, and its id where that can be read (else empty)."""
+class MessageError(Exception):
+    """A message that cannot be used: the reason, and its `ref` if that could be read (else empty)."""
 
-    def __init__(self, why: str, ref: str = "") -> None:
-        super().__init__(why)
-        self.why, self.ref = why, ref
+    def __init__(self, reason: str, ref: str = "") -> None:
+        super().__init__(reason)
+        self.reason, self.ref = reason, ref
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
-    """What the settings call things, in the order of their numbers, and the bounds of figures."""
+class SettingsNames:
+    """Names from the settings, in the order of their numbers, and the upper bounds of numeric fields."""
 
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
@@ -43,18 +44,20 @@
 
 @dataclass(slots=True)
 class NewSetUp:
+    """A viewer's set-up of a session, or the hand-over of one that plays already (`playing_at` is set)."""
+
     ref: str
     cls: int
     tenant: int
     left_ms: float
     title: int
     viewer: int
-    home: int
-    copies: int
-    top: int
+    first_cell: int
+    cells: int
+    top_rung: int
     retry: bool
     again: bool
-    at: str  # the server at which it plays already; empty: none
+    playing_at: str  # id of the server at which the session plays already; empty for a set-up
     description: str
     class_name: str
     key: str
@@ -71,6 +74,8 @@
 
 @dataclass(slots=True)
 class Up:
+    """A media server's answer to a set-up: the session plays."""
+
     ref: str
     description: str
     load: tuple[float, ...]
@@ -85,235 +90,248 @@
 
 
 @dataclass(slots=True)
-class Test:
+class Heartbeat:
     ref: str
 
 
 @dataclass(slots=True)
-class Free:
-    """`wait`, `hb_ok`, a server's `ack`: they mean nothing here."""
+class IgnoredMessage:
+    """`wait`, `hb_ok` or a server's `ack`: valid, but without effect."""
 
 
 @dataclass(slots=True)
 class Ack:
-    """A viewer has heard a release."""
+    """A viewer has received a release."""
 
     ref: str
 
 
-def _pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
-    made = dict(pairs)
-    if len(made) != len(pairs):
-        raise Bad("a key twice")
-    return made
+def _unique_pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    fields = dict(pairs)
+    if len(fields) != len(pairs):
+        raise MessageError("duplicate key")
+    return fields
 
 
-def _no_constant(name: str) -> None:
-    raise Bad(f"{name} is no number")
+def _reject_constant(name: str) -> None:
+    raise MessageError(f"{name} is not a valid number")
 
 
-_decode = json.JSONDecoder(object_pairs_hook=_pairs, parse_constant=_no_constant).decode
+_decode = json.JSONDecoder(object_pairs_hook=_unique_pairs, parse_constant=_reject_constant).decode
 
 
 def load_object(line: bytes) -> dict[str, Any]:
-    """Raises `Bad`; a line of 16 KiB costs a bounded time whatever it holds."""
+    """Raises `MessageError`; a line of 16 KiB costs bounded time whatever it contains."""
     try:
-        made = _decode(line.decode("utf-8"))
+        message = _decode(line.decode("utf-8"))
     except (ValueError, RecursionError) as error:
-        raise Bad(f"no JSON: {type(error).__name__}") from None
-    if not isinstance(made, dict):
-        raise Bad("not an object")
-    return made
+        raise MessageError(f"invalid JSON: {type(error).__name__}") from None
+    if not isinstance(message, dict):
+        raise MessageError("not a JSON object")
+    return message
 
 
-def number(value: Any, least: float, most: float, what: str) -> float:
-    """A number, or one written as text, within bounds. Raises `Bad`."""
+def parse_number(value: Any, minimum: float, maximum: float, field: str) -> float:
+    """A number, or a number written as text, within the bounds. Raises `MessageError`."""
     if isinstance(value, str):
-        if len(value) > NUMBER_CHARS or not NUMBER.match(value):
-            raise Bad(f"{what} is no number")
+        if len(value) > MAX_NUMBER_CHARS or not NUMBER_PATTERN.match(value):
+            raise MessageError(f"{field} is not a number")
         value = float(value)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise Bad(f"{what} is no number")
-    if not least <= value <= most or not isfinite(value):
-        raise Bad(f"{what} is out of range")
+        raise MessageError(f"{field} is not a number")
+    if not minimum <= value <= maximum or not isfinite(value):
+        raise MessageError(f"{field} is out of range")
     return float(value)
 
 
-def whole(value: Any, least: int, most: int, what: str) -> int:
-    made = number(value, least, most, what)
-    if made != int(made):
-        raise Bad(f"{what} is not whole")
-    return int(made)
+def parse_integer(value: Any, minimum: int, maximum: int, field: str) -> int:
+    number = parse_number(value, minimum, maximum, field)
+    if number != int(number):
+        raise MessageError(f"{field} is not an integer")
+    return int(number)
 
 
-def _hex(value: Any, what: str) -> int:
-    if not isinstance(value, str) or not REF.match(value):
-        raise Bad(f"{what} is not 16 hex digits")
+def _parse_hex_id(value: Any, field: str) -> int:
+    if not isinstance(value, str) or not REF_PATTERN.match(value):
+        raise MessageError(f"{field} is not 16 hex digits")
     return int(value, 16)
 
 
-def _description(message: dict[str, Any]) -> str:
+def _parse_description(message: dict[str, Any]) -> str:
     text = message.get("d")
-    if not isinstance(text, str) or not text or len(text) > DESCRIPTION_CHARS or UNCLEAN.search(text):
-        raise Bad("no description")
+    if (
+        not isinstance(text, str)
+        or not text
+        or len(text) > MAX_DESCRIPTION_CHARS
+        or FORBIDDEN_CHARS.search(text)
+    ):
+        raise MessageError("description is missing, too long or contains forbidden characters")
     return text
 
 
-def _words(text: Any, what: str) -> dict[str, str]:
-    """`a:1;b:2`; the value may hold colons."""
+def _parse_pairs(text: Any, field: str) -> dict[str, str]:
+    """Parses `a:1;b:2`; a value may contain colons."""
     if not isinstance(text, str):
-        raise Bad(f"{what} is no text")
-    made: dict[str, str] = {}
-    for part in text.split(";") if text else ():
-        name, colon, value = part.partition(":")
-        if not name or not colon or name in made:
-            raise Bad(f"{what} cannot be read")
-        made[name] = value
-    return made
+        raise MessageError(f"{field} is not a string")
+    pairs: dict[str, str] = {}
+    for pair in text.split(";") if text else ():
+        name, colon, value = pair.partition(":")
+        if not name or not colon or name in pairs:
+            raise MessageError(f"{field} is not a list of unique name:value pairs")
+        pairs[name] = value
+    return pairs
 
 
-def report(fields: dict[str, Any], names: Names) -> tuple[float, ...]:
-    """The load report of a message in the order of the settings; empty where there is none or it is spoilt.
+def parse_load_report(fields: dict[str, Any], names: SettingsNames) -> tuple[float, ...]:
+    """The load report of a message in the order of the settings; empty if it is missing or invalid.
 
-    A report is advice: one that cannot be read spoils no answer that can.
+    A report is advisory: an invalid one does not invalidate the message that carries it.
     """
     if "load" not in fields:
         return ()
     try:
-        words = _words(fields["load"], "load")
-        return tuple(number(words[name], 0.0, 1e9, name) for name in names.report_fields)
-    except (Bad, KeyError):
+        pairs = _parse_pairs(fields["load"], "load")
+        return tuple(parse_number(pairs[name], 0.0, 1e9, name) for name in names.report_fields)
+    except (MessageError, KeyError):
         return ()
 
 
-def _head(message: dict[str, Any]) -> tuple[str, str, dict[str, Any]]:
+def _parse_head(message: dict[str, Any]) -> tuple[str, str, dict[str, Any]]:
     ref = message.get("ref")
-    if not isinstance(ref, str) or not REF.match(ref):
-        raise Bad("no id")
+    if not isinstance(ref, str) or not REF_PATTERN.match(ref):
+        raise MessageError("ref is missing or not 16 hex digits")
     kind = message.get("t")
     if not isinstance(kind, str):
-        raise Bad("no type", ref)
+        raise MessageError("message type is missing or not a string", ref)
     fields = message.get("f", {})
     if not isinstance(fields, dict):
-        raise Bad("fields are no object", ref)
+        raise MessageError("fields are not a JSON object", ref)
     return kind, ref, fields
 
 
-def from_viewer(line: bytes, names: Names) -> NewSetUp | Down | Test | Ack | Free:
-    """Raises `Bad`, with the id if that much could be read."""
+def parse_viewer_message(
+    line: bytes, names: SettingsNames
+) -> NewSetUp | Down | Heartbeat | Ack | IgnoredMessage:
+    """Raises `MessageError`, with the `ref` if that could be read."""
     message = load_object(line)
     if message.get("t") == "hb":
         ref = message.get("ref", "")
-        return Test(ref if isinstance(ref, str) and REF.match(ref) else "")
-    kind, ref, fields = _head(message)
+        return Heartbeat(ref if isinstance(ref, str) and REF_PATTERN.match(ref) else "")
+    kind, ref, fields = _parse_head(message)
     try:
         if kind == "new":
-            return _new(ref, fields, message, names)
+            return _parse_new_set_up(ref, fields, message, names)
         if kind == "down":
-            return Down(ref, whole(message.get("c"), 0, 127, "cause"), ())
-    except Bad as bad:
-        raise Bad(bad.why, ref) from None
+            return Down(ref, parse_integer(message.get("c"), 0, 127, "cause"), ())
+    except MessageError as error:
+        raise MessageError(error.reason, ref) from None
     if kind == "ack":
         return Ack(ref)
     if kind == "wait":
-        return Free()
-    raise Bad(f"type {kind[:16]!r} is unknown", ref)
+        return IgnoredMessage()
+    raise MessageError(f"message type {kind[:16]!r} is unknown", ref)
 
 
-def _new(ref: str, fields: dict[str, Any], message: dict[str, Any], names: Names) -> NewSetUp:
+def _parse_new_set_up(
+    ref: str, fields: dict[str, Any], message: dict[str, Any], names: SettingsNames
+) -> NewSetUp:
     class_name = fields.get("class")
     if not isinstance(class_name, str) or class_name not in names.classes:
-        raise Bad("class is unknown")
+        raise MessageError("class is unknown")
     cls = names.classes.index(class_name)
     tenant = 0
     if names.tenants:
         tenant_name = fields.get("tenant")
         if not isinstance(tenant_name, str) or tenant_name not in names.tenants:
-            raise Bad("tenant is unknown")
+            raise MessageError("tenant is unknown")
         tenant = names.tenants.index(tenant_name)
-    extras = _words(fields.get("extras", ""), "extras")
+    extras = _parse_pairs(fields.get("extras", ""), "extras")
     key = fields.get("key")
-    at = extras.get("at", "")
-    if at and not NAME.match(at):
-        raise Bad("at names no server")
-    left = fields.get("left", 0 if at else None)  # of what stands already nothing is waited for
-    most = max(names.deadlines_ms)
+    playing_at = extras.get("at", "")
+    if playing_at and not SERVER_ID_PATTERN.match(playing_at):
+        raise MessageError("at is not a valid server id")
+    left = fields.get("left", 0 if playing_at else None)  # a session that plays has no deadline to meet
+    max_left_ms = max(names.deadlines_ms)
     return NewSetUp(
         ref,
         cls,
         tenant,
-        number(left, 0 if at else 1, 1e9 if at else most, "left"),
-        _hex(key, "key"),
-        _hex(extras.get("viewer"), "viewer"),
-        whole(extras.get("home", 0), 0, names.cells - 1, "home"),
-        whole(extras.get("copies", names.cells), 1, names.cells, "copies"),
-        whole(extras.get("top", names.rungs - 1), 0, names.rungs - 1, "top"),
-        _flag(fields.get("retry", 0), "retry"),
-        _flag(extras.get("again", 0), "again"),
-        at,
-        "" if at else _description(message),
+        parse_number(left, 0 if playing_at else 1, 1e9 if playing_at else max_left_ms, "left"),
+        _parse_hex_id(key, "key"),
+        _parse_hex_id(extras.get("viewer"), "viewer"),
+        parse_integer(extras.get("home", 0), 0, names.cells - 1, "home"),
+        parse_integer(extras.get("copies", names.cells), 1, names.cells, "copies"),
+        parse_integer(extras.get("top", names.rungs - 1), 0, names.rungs - 1, "top"),
+        _parse_flag(fields.get("retry", 0), "retry"),
+        _parse_flag(extras.get("again", 0), "again"),
+        playing_at,
+        "" if playing_at else _parse_description(message),
         class_name,
         str(key),
     )
 
 
-def _flag(value: Any, what: str) -> bool:
-    return whole(value, 0, 1, what) == 1
+def _parse_flag(value: Any, field: str) -> bool:
+    return parse_integer(value, 0, 1, field) == 1
 
 
-def from_server(line: bytes, names: Names) -> Up | Down | Note | Free:
-    """Raises `Bad`: what follows on that connection cannot be trusted."""
+def parse_server_message(line: bytes, names: SettingsNames) -> Up | Down | Note | IgnoredMessage:
+    """Raises `MessageError`: nothing that follows on that connection can be trusted."""
     message = load_object(line)
     if message.get("t") in ("hb_ok", "hb"):
-        return Free()
-    kind, ref, fields = _head(message)
+        return IgnoredMessage()
+    kind, ref, fields = _parse_head(message)
     if kind == "up":
-        return Up(ref, _description(message), report(fields, names))
+        return Up(ref, _parse_description(message), parse_load_report(fields, names))
     if kind == "down":
-        return Down(ref, whole(message.get("c"), 0, 127, "cause"), report(fields, names))
+        return Down(ref, parse_integer(message.get("c"), 0, 127, "cause"), parse_load_report(fields, names))
     if kind == "tell":
-        if fields.get("note") not in NOTES:
-            raise Bad("note is unknown")
+        if fields.get("note") not in NOTE_KINDS:
+            raise MessageError("note is unknown")
         return Note(
-            ref, NOTES[fields["note"]], number(fields.get("value"), 0.0, 1e9, "value"), report(fields, names)
+            ref,
+            NOTE_KINDS[fields["note"]],
+            parse_number(fields.get("value"), 0.0, 1e9, "value"),
+            parse_load_report(fields, names),
         )
     if kind in ("ack", "wait"):
-        return Free()
-    raise Bad(f"type {kind[:16]!r} is unknown")
+        return IgnoredMessage()
+    raise MessageError(f"message type {kind[:16]!r} is unknown")
 
 
-# What we write. Every text that goes in was checked or is ours; descriptions are quoted anew, same meaning.
+# Messages to peers. Every text in them was validated or is ours; descriptions are escaped anew, which keeps
+# their meaning.
 
 
-def set_up(asked: NewSetUp, left_ms: float, rung: int) -> bytes:
-    """A set-up for a media server: id, class, title and description unchanged."""
-    fields = f'"class":{quoted(asked.class_name)},"left":"{max(1, int(left_ms))}"'
-    fields += f',"key":"{asked.key}","rung":"{rung}"'
-    return f'{{"t":"new","ref":"{asked.ref}","f":{{{fields}}},"d":{quoted(asked.description)}}}\n'.encode()
+def encode_set_up(set_up: NewSetUp, left_ms: float, rung: int) -> bytes:
+    """A set-up for a media server: ref, class, title and description are unchanged."""
+    fields = f'"class":{quoted(set_up.class_name)},"left":"{max(1, int(left_ms))}"'
+    fields += f',"key":"{set_up.key}","rung":"{rung}"'
+    return f'{{"t":"new","ref":"{set_up.ref}","f":{{{fields}}},"d":{quoted(set_up.description)}}}\n'.encode()
 
 
-def answer(ref: str, description: str) -> bytes:
+def encode_answer(ref: str, description: str) -> bytes:
     return f'{{"t":"up","ref":"{ref}","f":{{}},"d":{quoted(description)}}}\n'.encode()
 
 
-def down(ref: str, cause: int, wait_ms: float = 0.0) -> bytes:
-    """A refusal, a failure, a release; `wait_ms`: how long the viewer is to stay away, 0: no advice."""
+def encode_down(ref: str, cause: int, wait_ms: float = 0.0) -> bytes:
+    """A refusal, a failure or a release; `wait_ms` advises the viewer when to retry, 0 gives no advice."""
     fields = f'"wait":"{int(wait_ms)}"' if wait_ms >= 1 else ""
     return f'{{"t":"down","ref":"{ref}","f":{{{fields}}},"c":{cause}}}\n'.encode()
 
 
-def shift(ref: str) -> bytes:
+def encode_shift(ref: str) -> bytes:
     return f'{{"t":"shift","ref":"{ref}","f":{{}}}}\n'.encode()
 
 
-def step(ref: str, rung: int) -> bytes:
+def encode_step(ref: str, rung: int) -> bytes:
     return f'{{"t":"step","ref":"{ref}","f":{{"rung":"{rung}"}}}}\n'.encode()
 
 
-def ack(ref: str) -> bytes:
+def encode_ack(ref: str) -> bytes:
     return f'{{"t":"ack","ref":"{ref}","f":{{}}}}\n'.encode()
 
 
-def tested(ref: str, passed: bool) -> bytes:
+def encode_heartbeat_reply(ref: str, serving: bool) -> bytes:
     name = f'"ref":"{ref}",' if ref else ""
-    return f'{{"t":"hb_ok",{name}"f":{{}},"c":{int(passed)}}}\n'.encode()
+    return f'{{"t":"hb_ok",{name}"f":{{}},"c":{int(serving)}}}\n'.encode()
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -10,19 +10,19 @@
 
 @pytest.fixture
 def world() -> Iterator[World]:
-    made = World()
-    yield made
-    made.close()
+    world = World()
+    yield world
+    world.close()
 
 
 @pytest.fixture
 def worlds() -> Iterator[Callable[..., World]]:
-    made: list[World] = []
+    created: list[World] = []
 
-    def make(**more: Any) -> World:
-        made.append(World(**more))
-        return made[-1]
+    def make(**arguments: Any) -> World:
+        created.append(World(**arguments))
+        return created[-1]
 
     yield make
-    for one in made:
-        one.close()
+    for world in created:
+        world.close()
--- a/tests/node/running.py
+++ b/tests/node/running.py
@@ -1,4 +1,4 @@
-"""A node as a process beside servers and a resolver that this process plays."""
+"""Runs a node as a process; this process plays its servers, resolver and viewer."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 from pathlib import Path
 from typing import Any
 
-from tests.node.world import Names, Peer, Server, config
+from tests.node.world import FakeResolver, FakeServer, Peer, make_configuration
 from tests.ports import free_port
 
 ROOT = Path(__file__).parents[2]
-NODE = [sys.executable, "-m", "lemonhall.front.node"]
+NODE_COMMAND = [sys.executable, "-m", "lemonhall.front.node"]
 
 
-class Process:
-    """A node beside two servers and a resolver, all but itself in this process."""
+class NodeProcess:
+    """A node process with two fake servers and a fake resolver."""
 
     def __init__(self, folder: Path, command: list[str] | None = None, **env: str) -> None:
-        self.names, self.servers = Names(), [Server(f"s-{n:08x}", n) for n in range(2)]
-        self.names.servers = list(self.servers)
+        self.resolver, self.servers = FakeResolver(), [FakeServer(f"s-{n:08x}", n) for n in range(2)]
+        self.resolver.servers = list(self.servers)
         self.path = folder / "config.json"
         self.address = ("127.0.0.1", free_port())
-        self.others: list[Names] = []
-        self.write(self.names)
+        self.other_resolvers: list[FakeResolver] = []
+        self.write_configuration(self.resolver)
         self.log = open(folder / "log", "w+")  # noqa: SIM115
         env = {**os.environ, "PROXY_CONFIG": str(self.path), **env}
-        self.child = subprocess.Popen(command or NODE, cwd=ROOT, env=env, stderr=self.log)
+        self.child = subprocess.Popen(command or NODE_COMMAND, cwd=ROOT, env=env, stderr=self.log)
         self.viewer: Peer | None = None
-        self.until(self.connect)
+        self.run_until(self.connect_viewer)
 
-    def write(self, names: Names) -> None:
+    def write_configuration(self, resolver: FakeResolver) -> None:
         listen = f"127.0.0.1:{self.address[1]}"
-        self.path.write_text(json.dumps(config(self.servers, names.address, listen=listen)))
+        self.path.write_text(json.dumps(make_configuration(self.servers, resolver.address, listen=listen)))
 
-    def connect(self) -> bool:
+    def connect_viewer(self) -> bool:
         try:
             self.viewer = Peer(socket.create_connection(self.address))
         except ConnectionRefusedError:
@@ -48,48 +48,56 @@
         return True
 
     def pump(self) -> None:
-        for names in [self.names, *self.others]:
-            names.read()
+        for resolver in [self.resolver, *self.other_resolvers]:
+            resolver.read()
         for server in self.servers:
             server.read()
         if self.viewer:
             self.viewer.read()
 
-    def until(self, true: Callable[[], object]) -> None:
+    def run_until(self, condition: Callable[[], object]) -> None:
         limit = time.monotonic() + 20
-        with selectors.DefaultSelector() as nothing:
-            while not true():
+        with selectors.DefaultSelector() as empty_selector:
+            while not condition():
                 assert time.monotonic() < limit, Path(self.log.name).read_text()[-2000:]
-                nothing.select(0.002)
+                empty_selector.select(0.002)
                 self.pump()
 
-    def ask(self, ref: str) -> dict[str, Any]:
+    def send_set_up(self, ref: str) -> dict[str, Any]:
         assert self.viewer
         fields = {"class": "plain", "tenant": "acme", "left": "3000", "key": f"{7:016x}"}
         fields["extras"] = "home:0;copies:4;top:2;viewer:00000000000000aa"
-        self.viewer.say({"t": "new", "ref": ref, "f": fields, "d": "v=0"})
+        self.viewer.send({"t": "new", "ref": ref, "f": fields, "d": "v=0"})
         found: list[tuple[Peer, dict[str, Any]]] = []
 
-        def came() -> bool:
-            found[:] = [(k, m) for s in self.servers for k, m in s.asked("new") if m["ref"] == ref]
+        def arrived() -> bool:
+            found[:] = [
+                (connection, message)
+                for server in self.servers
+                for connection, message in server.received_messages("new")
+                if message["ref"] == ref
+            ]
             return bool(found)
 
-        self.until(came)
-        return {"link": found[-1][0], "ref": ref}
+        self.run_until(arrived)
+        return {"connection": found[-1][0], "ref": ref}
 
-    def answer(self, asked: dict[str, Any]) -> None:
-        asked["link"].say({"t": "up", "ref": asked["ref"], "f": {}, "d": "v=0"})
+    def answer(self, set_up: dict[str, Any]) -> None:
+        set_up["connection"].send({"t": "up", "ref": set_up["ref"], "f": {}, "d": "v=0"})
         viewer = self.viewer
         assert viewer
-        self.until(lambda: any(m.get("ref") == asked["ref"] for m in viewer.got))
+        self.run_until(lambda: any(message.get("ref") == set_up["ref"] for message in viewer.received))
 
-    def said(self) -> list[dict[str, Any]]:
+    def log_entries(self) -> list[dict[str, Any]]:
         text = Path(self.log.name).read_text()
-        return [json.loads(line) for line in text[: text.rfind("\n") + 1].splitlines()]  # whole lines alone
+        return [json.loads(line) for line in text[: text.rfind("\n") + 1].splitlines()]  # complete lines only
 
     def close(self) -> None:
         self.child.kill()
         self.child.wait()
         self.log.close()
-        for sock in [*(n.sock for n in [self.names, *self.others]), *(s.door for s in self.servers)]:
+        for sock in [
+            *(resolver.sock for resolver in [self.resolver, *self.other_resolvers]),
+            *(server.listener for server in self.servers),
+        ]:
             sock.close()
--- a/tests/node/test_deploy.py
+++ b/tests/node/test_deploy.py
@@ -21,7 +21,7 @@
 
 import pytest
 
-from tests.node.running import ROOT, Process
+from tests.node.running import ROOT, NodeProcess
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 WATCH = """
@@ -83,9 +83,9 @@
 def test_run_is_one_process_that_starts_nothing_and_opens_ipv4_sockets_alone(tmp_path: Path) -> None:
     run = DEPLOY["run"]
     assert run.startswith("exec ") and not set(run) & set(";&|`$(")
-    process = Process(tmp_path, ["/bin/sh", "-c", run], **watched(tmp_path))
+    process = NodeProcess(tmp_path, ["/bin/sh", "-c", run], **watched(tmp_path))
     try:
-        process.answer(process.ask("a" * 16))
+        process.answer(process.send_set_up("a" * 16))
         pid = process.child.pid  # the shell's number is the node's, since it ended by exec
         proc = Path(f"/proc/{pid}")
         assert b"lemonhall.front.node" in (proc / "cmdline").read_bytes()
@@ -96,12 +96,12 @@
         held = [os.readlink(d) for d in (proc / "fd").iterdir()]
         assert not [h for h in held if h.startswith("anon_inode") and "eventpoll" not in h]
         process.child.send_signal(signal.SIGHUP)
-        process.until(lambda: any(m["event"] == "configuration taken" for m in process.said()))
-        process.answer(process.ask("b" * 16))
+        process.run_until(lambda: any(m["event"] == "configuration taken" for m in process.log_entries()))
+        process.answer(process.send_set_up("b" * 16))
         process.child.send_signal(signal.SIGTERM)
-        process.until(lambda: process.child.poll() is not None)
+        process.run_until(lambda: process.child.poll() is not None)
         assert process.child.returncode == 0
-        passes = [m["longest_pass_ms"] for m in process.said() if m["event"] == "summary"]
+        passes = [m["longest_pass_ms"] for m in process.log_entries() if m["event"] == "summary"]
         assert passes and max(passes) < 5000  # the platform's bound is 20 s without a wait
     finally:
         process.close()
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -1,4 +1,4 @@
-"""Tens of thousands of short sessions: no table of the node or the module grows with what has gone."""
+"""Thousands of short sessions: no table of the node or the decider grows with sessions that have ended."""
 
 from __future__ import annotations
 
@@ -11,98 +11,102 @@
 
 from tests.node.world import Peer, World
 
-ROUNDS, AT_ONCE = 300, 40
+ROUNDS, SESSIONS_PER_ROUND = 300, 40
 
 
-def tables(world: World) -> dict[str, int]:
-    """The size of each container that the node and the module hold on to, by where it stands."""
-    found: dict[str, int] = {}
+def table_sizes(world: World) -> dict[str, int]:
+    """The size of each unbounded container of the node and the decider, by its path."""
+    sizes: dict[str, int] = {}
 
-    def look(name: str, thing: Any) -> None:
-        for key, value in vars(thing).items():
+    def add_sizes(name: str, owner: Any) -> None:
+        for key, value in vars(owner).items():
             bounded = getattr(value, "maxlen", None) is not None
             if isinstance(value, dict | list | set | deque) and not bounded:
-                found[f"{name}.{key}"] = len(value)
+                sizes[f"{name}.{key}"] = len(value)
 
     node = world.node
-    for name, thing in (
+    for name, owner in (
         ("node", node),
         ("sessions", node.sessions),
         ("servers", node.servers),
         ("viewers", node.viewers),
-        ("module", node.bridge.decider),
+        ("decider", node.bridge.decider),
     ):
-        look(name, thing)
+        add_sizes(name, owner)
     for server in node.servers.by_id.values():
-        look("server", server)
-    for link in node.viewers.links:
-        look("viewer", link)
-    found["loop.timers"] = len([t for t in world.loop.timers if t[2].is_pending])
-    return found
+        add_sizes("server", server)
+    for connection in node.viewers.connections:
+        add_sizes("viewer", connection)
+    sizes["loop.timers"] = len([entry for entry in world.loop.timers if entry[2].is_pending])
+    return sizes
 
 
-def one_round(world: World, number: int) -> None:
-    """A new connection, sessions of new ids, titles and viewers, all over; a server replaced at times."""
+def play_round(world: World, number: int) -> None:
+    """Sessions with new refs, titles and viewers on a new connection, all ended; at times a new server."""
     viewer = Peer(socket.create_connection(world.address))
     lines = b""
-    for n in range(AT_ONCE):
-        made = world.new(key=f"{number * 1000 + n:016x}")
-        made["f"]["extras"] = f"home:0;copies:4;top:2;viewer:{number * 1000 + n:016x}"
-        lines += json.dumps(made).encode() + b"\n"
-    viewer.say(lines)
+    for n in range(SESSIONS_PER_ROUND):
+        message = world.make_set_up(key=f"{number * 1000 + n:016x}")
+        message["f"]["extras"] = f"home:0;copies:4;top:2;viewer:{number * 1000 + n:016x}"
+        lines += json.dumps(message).encode() + b"\n"
+    viewer.send(lines)
     world.viewers = [viewer]
 
     def answered() -> bool:
         for server in world.servers:
-            for link in server.links:
-                for message in link.got:
+            for connection in server.connections:
+                for message in connection.received:
                     if message["t"] == "new":
-                        link.say({"t": "up", "ref": message["ref"], "f": {}, "d": "v=0"})
-                        link.say({"t": "down", "ref": message["ref"], "f": {}, "c": 16})
-                link.got.clear()
-        ends = [m for m in viewer.got if m["t"] == "down"]
-        return len(ends) == AT_ONCE
+                        connection.send({"t": "up", "ref": message["ref"], "f": {}, "d": "v=0"})
+                        connection.send({"t": "down", "ref": message["ref"], "f": {}, "c": 16})
+                connection.received.clear()
+        releases = [message for message in viewer.received if message["t"] == "down"]
+        return len(releases) == SESSIONS_PER_ROUND
 
-    world.until(answered)
+    world.run_until(answered)
     viewer.close()
     world.pump(2)
     world.now += 0.3
     if number % 20 == 0:
-        world.names.seq += 1
-        old = world.names.servers.pop(0)
-        old.name = f"s-{number + 5000:08x}"  # another server at the address of one that has gone
-        world.names.servers.append(old)
-        world.pass_s(0.6)
+        world.resolver.list_number += 1
+        old = world.resolver.servers.pop(0)
+        old.name = f"s-{number + 5000:08x}"  # a new server at the address of a removed one
+        world.resolver.servers.append(old)
+        world.advance(0.6)
     for server in world.servers:
-        server.links = [link for link in server.links if not link.ended]
+        server.connections = [connection for connection in server.connections if not connection.closed]
 
 
-def test_nothing_grows_with_sessions_that_are_over() -> None:
+def test_no_table_grows_with_ended_sessions() -> None:
     world = World()
     try:
-        sizes, memory = [], []
+        sizes, memory_bytes = [], []
         tracemalloc.start()
         for number in range(1, ROUNDS + 1):
-            one_round(world, number)
+            play_round(world, number)
             if number in (ROUNDS // 3, ROUNDS):
                 gc.collect()
-                sizes.append(tables(world))
-                memory.append(tracemalloc.get_traced_memory()[0])
-        assert world.node.counts["asked"] == ROUNDS * AT_ONCE
-        grown = {k: (sizes[0].get(k, 0), n) for k, n in sizes[1].items() if n > sizes[0].get(k, 0) + 64}
+                sizes.append(table_sizes(world))
+                memory_bytes.append(tracemalloc.get_traced_memory()[0])
+        assert world.node.counts["asked"] == ROUNDS * SESSIONS_PER_ROUND
+        grown = {
+            name: (sizes[0].get(name, 0), size)
+            for name, size in sizes[1].items()
+            if size > sizes[0].get(name, 0) + 64
+        }
         assert grown == {}
-        assert memory[1] - memory[0] < 300_000, memory
+        assert memory_bytes[1] - memory_bytes[0] < 300_000, memory_bytes
     finally:
         tracemalloc.stop()
         world.close()
 
 
-def test_the_look_at_tables_sees_one_that_grows() -> None:
+def test_table_sizes_detects_a_growing_table() -> None:
     world = World()
     try:
-        before = tables(world)
+        before = table_sizes(world)
         world.node.sessions.by_ref.update({str(n): None for n in range(100)})  # type: ignore[misc]
-        assert tables(world)["sessions.by_ref"] == before["sessions.by_ref"] + 100
+        assert table_sizes(world)["sessions.by_ref"] == before["sessions.by_ref"] + 100
         world.node.sessions.by_ref.clear()
     finally:
         world.close()
--- a/tests/node/test_messages.py
+++ b/tests/node/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages: what passes is typed and in range, what does not is named and costs little."""
+"""Messages: valid ones are typed and in range, invalid ones raise an error at bounded cost."""
 
 from __future__ import annotations
 
@@ -12,38 +12,45 @@
 from hypothesis import strategies as st
 
 from lemonhall.node import messages
-from lemonhall.node.messages import Bad, Down, Names, NewSetUp, Note, Up
+from lemonhall.node.messages import Down, MessageError, NewSetUp, Note, SettingsNames, Up
 
-NAMES = Names(("premium", "plain"), ("acme",), ("east",), ("std",), ("x0", "x1"), (4000.0, 3000.0), 8, 3)
+NAMES = SettingsNames(
+    ("premium", "plain"), ("acme",), ("east",), ("std",), ("x0", "x1"), (4000.0, 3000.0), 8, 3
+)
 REF = "9b1f03aa5c7e2d41"
 
 
-def new(**more: Any) -> dict[str, Any]:
+def make_set_up(**overrides: Any) -> dict[str, Any]:
     fields = {"class": "plain", "tenant": "acme", "left": "1500", "key": "7f3a9c21e0b4d655"}
     fields["extras"] = "home:4;copies:3;top:2;viewer:00000000b4d65521"
-    return {"t": "new", "ref": REF, "f": {**fields, **more}, "d": "v=0\r\nm=audio 31000 RTP/AVP 0"}
+    return {"t": "new", "ref": REF, "f": {**fields, **overrides}, "d": "v=0\r\nm=audio 31000 RTP/AVP 0"}
 
 
-def line(message: dict[str, Any]) -> bytes:
+def encode(message: dict[str, Any]) -> bytes:
     return json.dumps(message).encode()
 
 
-def test_a_set_up_is_read_with_all_its_figures() -> None:
-    got = messages.from_viewer(line(new(retry="1")), NAMES)
-    assert isinstance(got, NewSetUp)
-    assert (got.ref, got.cls, got.tenant, got.left_ms, got.top) == (REF, 1, 0, 1500.0, 2)
-    assert (got.home, got.copies, got.viewer, got.title) == (4, 3, 0xB4D65521, 0x7F3A9C21E0B4D655)
-    assert got.retry and not got.again and not got.at
+def test_all_fields_of_a_set_up_are_parsed() -> None:
+    set_up = messages.parse_viewer_message(encode(make_set_up(retry="1")), NAMES)
+    assert isinstance(set_up, NewSetUp)
+    assert (set_up.ref, set_up.cls, set_up.tenant, set_up.left_ms, set_up.top_rung) == (REF, 1, 0, 1500.0, 2)
+    assert (set_up.first_cell, set_up.cells, set_up.viewer, set_up.title) == (
+        4,
+        3,
+        0xB4D65521,
+        0x7F3A9C21E0B4D655,
+    )
+    assert set_up.retry and not set_up.again and not set_up.playing_at
 
 
-def test_a_session_that_plays_already_needs_no_description() -> None:
-    told = new(extras="viewer:00000000b4d65521;at:s-00c41f7a")
-    del told["d"], told["f"]["left"]
-    got = messages.from_viewer(line(told), NAMES)
-    assert isinstance(got, NewSetUp) and got.at == "s-00c41f7a"
+def test_a_handed_over_session_needs_no_description() -> None:
+    message = make_set_up(extras="viewer:00000000b4d65521;at:s-00c41f7a")
+    del message["d"], message["f"]["left"]
+    set_up = messages.parse_viewer_message(encode(message), NAMES)
+    assert isinstance(set_up, NewSetUp) and set_up.playing_at == "s-00c41f7a"
 
 
-BAD_FIELDS: list[dict[str, Any]] = [
+INVALID_FIELDS: list[dict[str, Any]] = [
     {"class": "nobody"},
     {"class": ["plain"]},
     {"tenant": "nobody"},
@@ -69,19 +76,22 @@
 ]
 
 
-@pytest.mark.parametrize("more", BAD_FIELDS, ids=str)
-def test_bad_figures_are_refused_under_their_own_id(more: dict[str, Any]) -> None:
-    with pytest.raises(Bad) as bad:
-        messages.from_viewer(
-            line(new(**more))[:16000] if "9999" not in str(more) else line(new(**more)), NAMES
+@pytest.mark.parametrize("overrides", INVALID_FIELDS, ids=str)
+def test_invalid_fields_are_rejected_with_the_ref(overrides: dict[str, Any]) -> None:
+    with pytest.raises(MessageError) as error:
+        messages.parse_viewer_message(
+            encode(make_set_up(**overrides))[:16000]
+            if "9999" not in str(overrides)
+            else encode(make_set_up(**overrides)),
+            NAMES,
         )
-    assert bad.value.ref == REF
+    assert error.value.ref == REF
 
 
 @pytest.mark.parametrize("text", ["", "x" * 9000, "nul \0", "half \ud800", 7, None], ids=repr)
-def test_a_description_that_no_server_can_read_is_refused(text: Any) -> None:
-    with pytest.raises(Bad):
-        messages.from_viewer(line({**new(), "d": text}), NAMES)
+def test_an_invalid_description_is_rejected(text: Any) -> None:
+    with pytest.raises(MessageError):
+        messages.parse_viewer_message(encode({**make_set_up(), "d": text}), NAMES)
 
 
 @pytest.mark.parametrize(
@@ -105,14 +115,14 @@
     ],
     ids=lambda data: repr(data[:24]),
 )
-def test_what_cannot_be_read_is_bad_from_either_side_and_costs_little(data: bytes) -> None:
+def test_unreadable_lines_are_rejected_from_either_side_at_bounded_cost(data: bytes) -> None:
     spent = []
-    for _ in range(3):  # a collection of all that thousands of tests have left is not its cost
-        began = time.process_time()
-        for read in (messages.from_viewer, messages.from_server):
-            with pytest.raises(Bad):
-                read(data, NAMES)
-        spent.append(time.process_time() - began)
+    for _ in range(3):  # the minimum counts: a garbage collection may fall into one run
+        started_at = time.process_time()
+        for parse in (messages.parse_viewer_message, messages.parse_server_message):
+            with pytest.raises(MessageError):
+                parse(data, NAMES)
+        spent.append(time.process_time() - started_at)
     assert min(spent) < 0.1
 
 
@@ -129,56 +139,64 @@
             )
         ),
         max_leaves=12,
-    ).map(lambda made: json.dumps(made).encode())
+    ).map(lambda document: json.dumps(document).encode())
 )
-def test_nothing_but_bad_is_raised_by_any_bytes(data: bytes) -> None:
-    for read in (messages.from_viewer, messages.from_server):
-        with suppress(Bad):
-            read(data, NAMES)
+def test_arbitrary_bytes_raise_only_message_errors(data: bytes) -> None:
+    for parse in (messages.parse_viewer_message, messages.parse_server_message):
+        with suppress(MessageError):
+            parse(data, NAMES)
 
 
-def test_what_servers_say() -> None:
-    up = messages.from_server(
-        line({"t": "up", "ref": REF, "f": {"load": "x0:0.5;x1:1;q:3"}, "d": "v=0"}), NAMES
+def test_messages_of_media_servers() -> None:
+    up = messages.parse_server_message(
+        encode({"t": "up", "ref": REF, "f": {"load": "x0:0.5;x1:1;q:3"}, "d": "v=0"}), NAMES
     )
     assert up == Up(REF, "v=0", (0.5, 1.0))
-    down = messages.from_server(line({"t": "down", "ref": REF, "f": {"load": "x0:a"}, "c": 34}), NAMES)
-    assert down == Down(REF, 34, ())  # a report that cannot be read spoils no refusal
-    note = messages.from_server(line({"t": "tell", "ref": REF, "f": {"note": "l", "value": "0.25"}}), NAMES)
+    down = messages.parse_server_message(
+        encode({"t": "down", "ref": REF, "f": {"load": "x0:a"}, "c": 34}), NAMES
+    )
+    assert down == Down(REF, 34, ())  # an invalid report does not invalidate the refusal
+    note = messages.parse_server_message(
+        encode({"t": "tell", "ref": REF, "f": {"note": "l", "value": "0.25"}}), NAMES
+    )
     assert note == Note(REF, 3, 0.25, ())
-    for spoilt in (
+    for invalid in (
         {"t": "up", "ref": REF, "f": {}},
         {"t": "tell", "ref": REF, "f": {"note": "z", "value": 1}},
     ):
-        with pytest.raises(Bad):
-            messages.from_server(line(spoilt), NAMES)
+        with pytest.raises(MessageError):
+            messages.parse_server_message(encode(invalid), NAMES)
 
 
-@given(st.text(min_size=1, max_size=200).filter(lambda t: not messages.UNCLEAN.search(t)))
-def test_descriptions_pass_unchanged_both_ways(text: str) -> None:
-    asked = messages.from_viewer(line({**new(), "d": text}), NAMES)
-    assert isinstance(asked, NewSetUp)
-    sent = json.loads(messages.set_up(asked, 1234.9, 1))
+@given(st.text(min_size=1, max_size=200).filter(lambda t: not messages.FORBIDDEN_CHARS.search(t)))
+def test_descriptions_are_unchanged_in_both_directions(text: str) -> None:
+    set_up = messages.parse_viewer_message(encode({**make_set_up(), "d": text}), NAMES)
+    assert isinstance(set_up, NewSetUp)
+    sent = json.loads(messages.encode_set_up(set_up, 1234.9, 1))
     assert (sent["d"], sent["ref"], sent["f"]) == (
         text,
         REF,
         {"class": "plain", "left": "1234", "key": "7f3a9c21e0b4d655", "rung": "1"},
     )
-    up = messages.from_server(line({"t": "up", "ref": REF, "f": {}, "d": text}), NAMES)
+    up = messages.parse_server_message(encode({"t": "up", "ref": REF, "f": {}, "d": text}), NAMES)
     assert isinstance(up, Up)
-    assert json.loads(messages.answer(REF, up.description))["d"] == text
+    assert json.loads(messages.encode_answer(REF, up.description))["d"] == text
 
 
-def test_what_is_written_is_one_object_a_line() -> None:
+def test_each_encoded_message_is_one_object_on_one_line() -> None:
     written = [
-        messages.down(REF, 34, 499.7),
-        messages.down(REF, 16),
-        messages.shift(REF),
-        messages.step(REF, 2),
+        messages.encode_down(REF, 34, 499.7),
+        messages.encode_down(REF, 16),
+        messages.encode_shift(REF),
+        messages.encode_step(REF, 2),
+    ]
+    written += [
+        messages.encode_ack(REF),
+        messages.encode_heartbeat_reply(REF, True),
+        messages.encode_heartbeat_reply("", False),
     ]
-    written += [messages.ack(REF), messages.tested(REF, True), messages.tested("", False)]
-    made = [json.loads(data) for data in written]
+    decoded = [json.loads(data) for data in written]
     assert all(data.endswith(b"\n") and data.count(b"\n") == 1 for data in written)
-    assert made[0] == {"t": "down", "ref": REF, "f": {"wait": "499"}, "c": 34}
-    assert made[1]["f"] == {} and made[3]["f"] == {"rung": "2"}
-    assert made[5]["c"] == 1 and made[6] == {"t": "hb_ok", "f": {}, "c": 0}
+    assert decoded[0] == {"t": "down", "ref": REF, "f": {"wait": "499"}, "c": 34}
+    assert decoded[1]["f"] == {} and decoded[3]["f"] == {"rung": "2"}
+    assert decoded[5]["c"] == 1 and decoded[6] == {"t": "hb_ok", "f": {}, "c": 0}
