--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""A node between stand-ins: answers, releases, crossings and what servers and viewers do wrong."""
+"""A node among fake peers: answers, releases, crossing messages, faults of servers and viewers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from lemonhall.node import bounds
-from tests.node.world import Server, World, settings
+from tests.node.world import FakeServer, World, make_settings
 
 
 def up(ref: str) -> dict[str, object]:
@@ -19,307 +19,326 @@
 
 
 def test_a_session_is_answered_unchanged_and_released_once(world: World) -> None:
-    ref, _, link = world.play()
-    assert [m["d"] for m in world.told_of(ref, "up")] == [f"v=0 {ref}"]
-    link.say(down(ref, 16))
-    link.say(down(ref, 16))
-    world.until(lambda: world.told_of(ref, "down"))
+    ref, _, connection = world.establish_session()
+    assert [m["d"] for m in world.messages_for(ref, "up")] == [f"v=0 {ref}"]
+    connection.send(down(ref, 16))
+    connection.send(down(ref, 16))
+    world.run_until(lambda: world.messages_for(ref, "down"))
     world.pump()
-    assert [m["c"] for m in world.told_of(ref, "down")] == [16]
-    assert world.node.sessions.by_ref == {} and world.node.sessions.standing == 0
+    assert [m["c"] for m in world.messages_for(ref, "down")] == [16]
+    assert world.node.sessions.by_ref == {} and world.node.sessions.established_count == 0
 
 
-def test_a_test_passes_while_it_serves_and_fails_once_it_is_to_stop(world: World) -> None:
-    world.viewer.say({"t": "hb", "f": {}, "c": 0})
-    world.until(lambda: world.viewer.got)
+def test_heartbeats_succeed_while_serving_and_fail_after_stop(world: World) -> None:
+    world.viewer.send({"t": "hb", "f": {}, "c": 0})
+    world.run_until(lambda: world.viewer.received)
     world.node.stop()
-    world.viewer.say({"t": "hb", "f": {}, "c": 0})
-    world.until(lambda: len(world.viewer.got) == 2)
-    assert [m["c"] for m in world.viewer.got] == [1, 0]
-
-
-def test_a_release_finds_a_proven_connection_if_its_own_is_gone(world: World) -> None:
-    ref, _, link = world.play()
-    other = world.connect()
-    world.play(viewer=other)
-    rude = world.connect()
-    rude.say({"t": "hb", "f": {}, "c": 0})
-    world.until(lambda: rude.got)  # used last, but nobody there has ever had a session
+    world.viewer.send({"t": "hb", "f": {}, "c": 0})
+    world.run_until(lambda: len(world.viewer.received) == 2)
+    assert [m["c"] for m in world.viewer.received] == [1, 0]
+
+
+def test_a_release_uses_a_proven_connection_if_its_own_is_closed(world: World) -> None:
+    ref, _, connection = world.establish_session()
+    other = world.connect_viewer()
+    world.establish_session(viewer=other)
+    unproven = world.connect_viewer()
+    unproven.send({"t": "hb", "f": {}, "c": 0})
+    world.run_until(lambda: unproven.received)  # used last, but no session was established through it
     world.viewer.close()
     world.pump()
-    link.say(down(ref, 16))
-    world.until(lambda: world.told_of(ref, "down"))
-    assert [m["t"] for m in rude.got] == ["hb_ok"] and other.got[-1]["ref"] == ref
+    connection.send(down(ref, 16))
+    world.run_until(lambda: world.messages_for(ref, "down"))
+    assert [m["t"] for m in unproven.received] == ["hb_ok"] and other.received[-1]["ref"] == ref
 
 
 def test_a_release_waits_for_the_next_connection(world: World) -> None:
-    ref, _, link = world.play()
+    ref, _, connection = world.establish_session()
     world.viewer.close()
     world.pump()
-    link.say(down(ref, 16))
-    world.until(lambda: not world.node.sessions.standing)
-    later = world.connect()
-    later.say({"t": "hb", "f": {}, "c": 0})
-    world.pass_s(bounds.RELEASE_WAITS_S + 2 * bounds.SWEEP_S)
-    assert [m["t"] for m in later.got] == ["hb_ok", "down"] and later.got[1]["ref"] == ref
+    connection.send(down(ref, 16))
+    world.run_until(lambda: not world.node.sessions.established_count)
+    later = world.connect_viewer()
+    later.send({"t": "hb", "f": {}, "c": 0})
+    world.advance(bounds.PROVEN_CONNECTION_WAIT_S + 2 * bounds.SWEEP_INTERVAL_S)
+    assert [m["t"] for m in later.received] == ["hb_ok", "down"] and later.received[1]["ref"] == ref
 
 
-def test_a_session_that_plays_already_is_held_without_an_answer_and_its_end_is_told(world: World) -> None:
+def test_a_handed_over_session_gets_no_answer_but_its_release(world: World) -> None:
     server = world.servers[1]
-    said = world.ask(extras=f"viewer:00000000000000aa;at:{server.name}")
-    world.ask(ref=said["ref"], extras=f"viewer:00000000000000aa;at:{server.name}")  # held already
-    world.ask(extras="viewer:00000000000000ab;at:s-none")  # of a server that nobody told of
-    world.until(lambda: server.links)
-    assert world.node.sessions.standing == 2 and world.viewer.got == []
-    server.links[0].say(down(said["ref"], 41))
-    world.until(lambda: world.told_of(said["ref"], "down"))
+    set_up = world.send_set_up(extras=f"viewer:00000000000000aa;at:{server.name}")
+    world.send_set_up(
+        ref=set_up["ref"], extras=f"viewer:00000000000000aa;at:{server.name}"
+    )  # handed over before
+    world.send_set_up(extras="viewer:00000000000000ab;at:s-none")  # at a server that is not listed
+    world.run_until(lambda: server.connections)
+    assert world.node.sessions.established_count == 2 and world.viewer.received == []
+    server.connections[0].send(down(set_up["ref"], 41))
+    world.run_until(lambda: world.messages_for(set_up["ref"], "down"))
 
 
 @pytest.mark.parametrize("cls", ["premium", "plain"])
-def test_no_server_that_is_up_is_a_refusal_with_a_pause(worlds: Callable[..., World], cls: str) -> None:
+def test_a_set_up_is_refused_with_a_pause_if_every_server_is_down(
+    worlds: Callable[..., World], cls: str
+) -> None:
     world = worlds(servers=2)
     for server in world.servers:
-        server.die()
-    ref = world.ask(cls)["ref"]
-    world.until(lambda: world.told_of(ref))
-    assert [(m["t"], m["c"]) for m in world.told_of(ref)] == [("down", 34)]  # provably nothing ran
-    assert world.told_of(ref)[0]["f"] == {"wait": "500"}
+        server.kill()
+    ref = world.send_set_up(cls)["ref"]
+    world.run_until(lambda: world.messages_for(ref))
+    assert [(m["t"], m["c"]) for m in world.messages_for(ref)] == [("down", 34)]  # provably nothing ran
+    assert world.messages_for(ref)[0]["f"] == {"wait": "500"}
 
 
-@pytest.mark.parametrize(("cls", "causes", "final"), [("premium", 1, 47), ("plain", 2, 34)])
-def test_what_may_have_run_is_tried_again_only_where_that_does_no_harm(
-    world: World, cls: str, causes: int, final: int
+@pytest.mark.parametrize(("cls", "attempt_count", "final_cause"), [("premium", 1, 47), ("plain", 2, 34)])
+def test_an_attempt_that_may_have_run_is_retried_only_for_idempotent_classes(
+    world: World, cls: str, attempt_count: int, final_cause: int
 ) -> None:
-    ref = world.ask(cls)["ref"]
-    for n in range(causes):
-        world.until(lambda n=n: sum(len(s.asked("new")) for s in world.servers) == n + 1)  # type: ignore[misc]
-        server, link, _ = world.set_up(ref)
-        if n + 1 < causes:
-            link.say(down(ref, 41))
+    ref = world.send_set_up(cls)["ref"]
+    for n in range(attempt_count):
+        world.run_until(
+            lambda n=n: sum(len(server.received_messages("new")) for server in world.servers) == n + 1
+        )  # type: ignore[misc]
+        server, connection, _ = world.wait_for_set_up(ref)
+        if n + 1 < attempt_count:
+            connection.send(down(ref, 41))
         else:
-            newest = [(k, m) for s in world.servers for k, m in s.asked("new") if not k.ended]
-            for one, _ in newest:
-                one.say(down(ref, 41))
-    world.until(lambda: world.told_of(ref))
-    assert [m["c"] for m in world.told_of(ref)] == [final]
-    assert sum(len(s.asked("new")) for s in world.servers) == causes
-
-
-def test_a_refusal_of_the_server_goes_on_to_another(world: World) -> None:
-    ref = world.ask("premium")["ref"]
-    first, link, _ = world.set_up(ref)
-    link.say({"t": "down", "ref": ref, "f": {"load": "x0:1.3;x1:0.2"}, "c": 34})
-    world.until(lambda: sum(len(s.asked("new")) for s in world.servers) == 2)
-    second = next(s for s in world.servers if s is not first)
-    second.asked("new")[0][0].say(up(ref))
-    world.until(lambda: world.told_of(ref, "up"))
-
-
-def test_a_give_up_crosses_the_answer_in_both_orders(world: World) -> None:
+            newest = [
+                (open_connection, message)
+                for server in world.servers
+                for open_connection, message in server.received_messages("new")
+                if not open_connection.closed
+            ]
+            for open_connection, _ in newest:
+                open_connection.send(down(ref, 41))
+    world.run_until(lambda: world.messages_for(ref))
+    assert [m["c"] for m in world.messages_for(ref)] == [final_cause]
+    assert sum(len(server.received_messages("new")) for server in world.servers) == attempt_count
+
+
+def test_after_a_servers_refusal_another_server_is_tried(world: World) -> None:
+    ref = world.send_set_up("premium")["ref"]
+    first, connection, _ = world.wait_for_set_up(ref)
+    connection.send({"t": "down", "ref": ref, "f": {"load": "x0:1.3;x1:0.2"}, "c": 34})
+    world.run_until(lambda: sum(len(server.received_messages("new")) for server in world.servers) == 2)
+    second = next(server for server in world.servers if server is not first)
+    second.received_messages("new")[0][0].send(up(ref))
+    world.run_until(lambda: world.messages_for(ref, "up"))
+
+
+def test_a_give_up_and_the_answer_cross_in_both_orders(world: World) -> None:
     for first in ("viewer", "server"):
-        ref = world.ask()["ref"]
-        _, link, _ = world.set_up(ref)
+        ref = world.send_set_up()["ref"]
+        _, connection, _ = world.wait_for_set_up(ref)
         if first == "viewer":
-            world.viewer.say(down(ref, 16))
+            world.viewer.send(down(ref, 16))
             world.pump()
-            link.say(up(ref))
+            connection.send(up(ref))
         else:
-            link.say(up(ref))
+            connection.send(up(ref))
             world.pump()
-            world.viewer.say(down(ref, 16))
-        world.until(lambda: [m for m in link.got if m["t"] == "down" and m["ref"] == ref])  # noqa: B023
+            world.viewer.send(down(ref, 16))
+        world.run_until(lambda: [m for m in connection.received if m["t"] == "down" and m["ref"] == ref])  # noqa: B023
         world.pump()
-        assert len(world.told_of(ref)) == (first == "server")
-        assert len([m for m in link.got if m["t"] == "down" and m["ref"] == ref]) == 1
+        assert len(world.messages_for(ref)) == (first == "server")
+        assert len([m for m in connection.received if m["t"] == "down" and m["ref"] == ref]) == 1
     assert world.node.sessions.by_ref == {}
-    world.play()  # the connection is still of use
+    world.establish_session()  # the connection is still usable
 
 
-def test_out_of_time_is_answered_in_time_and_the_late_answer_reaches_nobody(world: World) -> None:
-    ref = world.ask("premium", left="800")["ref"]
-    _, link, _ = world.set_up(ref)
-    world.pass_s(0.79, 0.01)
-    assert [m["c"] for m in world.told_of(ref)] == [47]  # it may have run
-    link.say(up(ref))
+def test_a_timeout_is_answered_in_time_and_a_late_answer_is_dropped(world: World) -> None:
+    ref = world.send_set_up("premium", left="800")["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    world.advance(0.79, 0.01)
+    assert [m["c"] for m in world.messages_for(ref)] == [47]  # it may have run
+    connection.send(up(ref))
     world.pump()
-    assert len(world.told_of(ref)) == 1 and [m["t"] for m in link.got] == ["new", "down"]
+    assert len(world.messages_for(ref)) == 1 and [m["t"] for m in connection.received] == ["new", "down"]
 
 
-def test_several_set_ups_share_a_connection_up_to_the_streams(worlds: Callable[..., World]) -> None:
+def test_set_ups_share_a_connection_up_to_the_limit(worlds: Callable[..., World]) -> None:
     world = worlds(servers=1)
-    refs = [world.ask()["ref"] for _ in range(6)]
+    refs = [world.send_set_up()["ref"] for _ in range(6)]
     server = world.servers[0]
-    world.until(lambda: len(server.asked("new")) == 6)
-    assert sorted(sum(m["t"] == "new" for m in k.got) for k in server.links) == [2, 4]
-    for link, message in server.asked("new"):
-        link.say(up(message["ref"]))
-    world.until(lambda: all(world.told_of(ref, "up") for ref in refs))
+    world.run_until(lambda: len(server.received_messages("new")) == 6)
+    assert sorted(sum(message["t"] == "new" for message in peer.received) for peer in server.connections) == [
+        2,
+        4,
+    ]
+    for connection, message in server.received_messages("new"):
+        connection.send(up(message["ref"]))
+    world.run_until(lambda: all(world.messages_for(ref, "up") for ref in refs))
 
 
 @pytest.mark.parametrize(
-    "noise",
+    "data",
     [b"\xff\xfe noise\n", b"{}\n", b"x" * 40000, b'{"t":"up","ref":"00","f":{}}\n', b"[" * 9000 + b"\n"],
 )
-def test_noise_from_a_server_ends_its_connection_and_no_session(world: World, noise: bytes) -> None:
-    played, server, link = world.play()
-    ref = world.ask("premium", extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
-    other, at, _ = world.set_up(ref)
-    at.say(noise)
-    world.until(lambda: world.told_of(ref))
-    assert [m["c"] for m in world.told_of(ref)] == [47]  # it may have run: failed, not refused
-    world.until(lambda: at.ended)
-    assert played in world.node.sessions.by_ref  # what stands lives on
-    world.pass_s(1.0)
-    world.until(lambda: any(not k.ended for k in server.links))  # and has a line again
-    next(k for k in server.links if not k.ended).say(down(played, 16))
-    world.until(lambda: world.told_of(played, "down"))
-
-
-def test_second_copies_and_unknown_ids_are_passed_over(world: World) -> None:
-    ref = world.ask()["ref"]
-    _, link, _ = world.set_up(ref)
-    link.say(up("f" * 16))
-    link.say(up(ref))
-    link.say(up(ref))
-    link.say(down("e" * 16, 41))
-    world.until(lambda: world.told_of(ref))
+def test_invalid_bytes_from_a_server_end_its_connection_but_no_session(world: World, data: bytes) -> None:
+    played, server, connection = world.establish_session()
+    ref = world.send_set_up("premium", extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
+    other, other_connection, _ = world.wait_for_set_up(ref)
+    other_connection.send(data)
+    world.run_until(lambda: world.messages_for(ref))
+    assert [m["c"] for m in world.messages_for(ref)] == [47]  # it may have run: failed, not refused
+    world.run_until(lambda: other_connection.closed)
+    assert played in world.node.sessions.by_ref  # the established session continues
+    world.advance(1.0)
+    world.run_until(
+        lambda: any(not peer.closed for peer in server.connections)
+    )  # and its server is reconnected
+    next(peer for peer in server.connections if not peer.closed).send(down(played, 16))
+    world.run_until(lambda: world.messages_for(played, "down"))
+
+
+def test_duplicates_and_unknown_refs_are_ignored(world: World) -> None:
+    ref = world.send_set_up()["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    connection.send(up("f" * 16))
+    connection.send(up(ref))
+    connection.send(up(ref))
+    connection.send(down("e" * 16, 41))
+    world.run_until(lambda: world.messages_for(ref))
     world.pump()
-    assert len(world.told_of(ref)) == 1 and not link.ended
+    assert len(world.messages_for(ref)) == 1 and not connection.closed
 
 
-def test_a_dying_process_ends_its_sessions_at_their_viewers(worlds: Callable[..., World]) -> None:
+def test_sessions_of_a_process_that_ends_are_released_to_their_viewers(worlds: Callable[..., World]) -> None:
     world = worlds(servers=1)
-    ref, server, _ = world.play()
-    server.die()
-    world.until(lambda: not any(s.links for s in world.node.servers.by_id.values()))
-    world.pass_s(2 * bounds.RECONNECT_S + bounds.SWEEP_S)
-    assert [m["c"] for m in world.told_of(ref, "down")] == [41]
+    ref, server, _ = world.establish_session()
+    server.kill()
+    world.run_until(lambda: not any(server.connections for server in world.node.servers.by_id.values()))
+    world.advance(2 * bounds.RECONNECT_INTERVAL_S + bounds.SWEEP_INTERVAL_S)
+    assert [m["c"] for m in world.messages_for(ref, "down")] == [41]
 
 
-def test_a_machine_that_falls_silent_is_found_within_eight_seconds(world: World) -> None:
-    ref, server, link = world.play()
-    server.door.close()  # open connections stay open and silent; nothing new comes up
-    world.pass_s(7.5)
-    assert [m["c"] for m in world.told_of(ref, "down")] == [41]
+def test_a_silent_machine_is_detected_within_eight_seconds(world: World) -> None:
+    ref, server, connection = world.establish_session()
+    server.listener.close()  # open connections stay open and silent; new ones fail
+    world.advance(7.5)
+    assert [m["c"] for m in world.messages_for(ref, "down")] == [41]
 
 
-def test_a_server_that_stands_still_but_lives_keeps_its_sessions(world: World) -> None:
-    ref, server, link = world.play()
-    world.pass_s(12.0)
-    assert world.told_of(ref, "down") == []
-    link.say({"t": "tell", "ref": ref, "f": {"note": "d", "value": "0"}})
+def test_a_silent_server_that_accepts_connections_keeps_its_sessions(world: World) -> None:
+    ref, server, connection = world.establish_session()
+    world.advance(12.0)
+    assert world.messages_for(ref, "down") == []
+    connection.send({"t": "tell", "ref": ref, "f": {"note": "d", "value": "0"}})
     world.pump()
     assert ref in world.node.sessions.by_ref
 
 
-def test_a_set_up_that_never_left_goes_out_on_another_connection(worlds: Callable[..., World]) -> None:
+def test_a_set_up_that_was_never_sent_is_sent_on_another_connection(worlds: Callable[..., World]) -> None:
     world = worlds(servers=1)
-    ref, server, link = world.play()
-    node_link = world.node.servers.by_id[server.name].links[0]
-    node_link.stream.sock.shutdown(1)  # the kernel takes nothing more
-    again = world.ask("premium")["ref"]
-    _, at, _ = world.set_up(again)
-    assert at is not link
-    at.say(up(again))
-    world.until(lambda: world.told_of(again, "up"))
-
-
-def test_a_drained_server_gets_nothing_new_and_one_that_is_gone_ends_its_sessions(world: World) -> None:
-    drained = world.servers[0]
-    drained.draining = True
-    world.names.seq = 2
-    world.pass_s(1.0)
+    ref, server, connection = world.establish_session()
+    node_connection = world.node.servers.by_id[server.name].connections[0]
+    node_connection.stream.sock.shutdown(1)  # the kernel takes no more bytes
+    again = world.send_set_up("premium")["ref"]
+    _, other, _ = world.wait_for_set_up(again)
+    assert other is not connection
+    other.send(up(again))
+    world.run_until(lambda: world.messages_for(again, "up"))
+
+
+def test_a_draining_server_gets_no_set_ups_and_a_removed_one_loses_its_sessions(world: World) -> None:
+    draining_server = world.servers[0]
+    draining_server.draining = True
+    world.resolver.list_number = 2
+    world.advance(1.0)
     for _ in range(6):
-        _, server, _ = world.play()
+        _, server, _ = world.establish_session()
         assert server is world.servers[1]
     ref = next(iter(world.node.sessions.by_ref))
-    world.names.servers = [drained]
-    world.names.seq = 3
-    world.pass_s(1.0)
-    assert [m["c"] for m in world.told_of(ref, "down")] == [41]
+    world.resolver.servers = [draining_server]
+    world.resolver.list_number = 3
+    world.advance(1.0)
+    assert [m["c"] for m in world.messages_for(ref, "down")] == [41]
     assert world.servers[1].name not in world.node.servers.by_id
 
 
-def test_another_server_at_the_address_of_one_that_has_gone_is_another_server(world: World) -> None:
+def test_a_new_server_at_the_address_of_a_removed_one_is_a_different_server(world: World) -> None:
     old = world.servers[0]
-    new = Server("s-000000ff", old.cell)
-    new.door.close()
-    new.door, new.port = old.door, old.port
+    new = FakeServer("s-000000ff", old.cell)
+    new.listener.close()
+    new.listener, new.port = old.listener, old.port
     world.servers[0] = new
-    new.links = old.links
-    world.names.servers = [new, world.servers[1]]
-    world.names.seq = 2
-    world.pass_s(1.0)
-    assert {s.id for s in world.node.servers.by_id.values()} == {"s-000000ff", world.servers[1].name}
-
-
-def test_a_resolver_that_is_lost_or_lies_changes_nothing_and_is_asked_again(world: World) -> None:
-    world.names.servers, world.names.seq = [], 0
-    world.pass_s(2.0)  # an older list
-    world.names.seq = 5
-    world.names.spoil = lambda data: data[: len(data) // 2]
-    world.pass_s(2.0)
-    world.names.spoil = lambda data: None
-    asked = world.names.asked
-    world.pass_s(3.0)
-    assert 2 < world.names.asked - asked < 9  # with back-off, and no flood
-    assert len(world.node.listed) == 2
-    world.names.servers = [world.servers[1]]
-    world.names.spoil = lambda data: data
-    world.pass_s(1.5)
-    assert set(world.node.listed) == {world.servers[1].name}
+    new.connections = old.connections
+    world.resolver.servers = [new, world.servers[1]]
+    world.resolver.list_number = 2
+    world.advance(1.0)
+    assert {server.id for server in world.node.servers.by_id.values()} == {
+        "s-000000ff",
+        world.servers[1].name,
+    }
+
+
+def test_a_faulty_resolver_changes_nothing_and_is_queried_again(world: World) -> None:
+    world.resolver.servers, world.resolver.list_number = [], 0
+    world.advance(2.0)  # an older list
+    world.resolver.list_number = 5
+    world.resolver.alter_response = lambda data: data[: len(data) // 2]
+    world.advance(2.0)
+    world.resolver.alter_response = lambda data: None
+    queries_before = world.resolver.query_count
+    world.advance(3.0)
+    assert 2 < world.resolver.query_count - queries_before < 9  # with backoff
+    assert len(world.node.listed_servers) == 2
+    world.resolver.servers = [world.servers[1]]
+    world.resolver.alter_response = lambda data: data
+    world.advance(1.5)
+    assert set(world.node.listed_servers) == {world.servers[1].name}
 
 
 def test_a_moved_session_is_released_on_both_sides(world: World) -> None:
     from lemonhall.interface import Move
 
-    ref, _, link = world.play()
+    ref, _, connection = world.establish_session()
     world.node.sessions.move(Move(world.node.sessions.by_ref[ref].number))
-    world.until(lambda: world.told_of(ref, "shift"))
-    world.until(lambda: [m for m in link.got if m["t"] == "down"])
-    link.say(down(ref, 31))
+    world.run_until(lambda: world.messages_for(ref, "shift"))
+    world.run_until(lambda: [m for m in connection.received if m["t"] == "down"])
+    connection.send(down(ref, 31))
     world.pump()
-    assert [m["t"] for m in world.told_of(ref)] == ["up", "shift"]
+    assert [m["t"] for m in world.messages_for(ref)] == ["up", "shift"]
 
 
-def test_what_is_open_when_the_kill_is_near_fails_rather_than_go_unanswered(world: World) -> None:
-    ref = world.ask("premium", left="4000")["ref"]
-    world.set_up(ref)
+def test_open_set_ups_fail_before_sigkill(world: World) -> None:
+    ref = world.send_set_up("premium", left="4000")["ref"]
+    world.wait_for_set_up(ref)
     world.loop.running = True
     world.node.stop()
-    world.pass_s(3.4)
-    assert world.loop.running and not world.told_of(ref)
-    world.pass_s(0.2)
-    assert not world.loop.running and [m["c"] for m in world.told_of(ref)] == [47]
+    world.advance(3.4)
+    assert world.loop.running and not world.messages_for(ref)
+    world.advance(0.2)
+    assert not world.loop.running and [m["c"] for m in world.messages_for(ref)] == [47]
 
 
-def test_stopping_answers_what_was_taken_and_ends_by_itself(world: World) -> None:
-    ref = world.ask()["ref"]
-    _, link, _ = world.set_up(ref)
+def test_stopping_answers_accepted_set_ups_and_ends_by_itself(world: World) -> None:
+    ref = world.send_set_up()["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
     world.loop.running = True
     world.node.stop()
-    late = world.connect()  # new connections keep coming for a while
-    taken = world.ask(viewer=late)["ref"]
-    world.set_up(taken)
-    world.pass_s(0.9)
+    late = world.connect_viewer()  # new connections keep arriving for a while
+    late_ref = world.send_set_up(viewer=late)["ref"]
+    world.wait_for_set_up(late_ref)
+    world.advance(0.9)
     assert world.loop.running  # an answer is still owed
     for server in world.servers:
-        for at, message in server.asked("new"):
-            at.say(up(message["ref"]))
-    world.until(lambda: world.told_of(ref, "up") and world.told_of(taken, "up"))
-    world.pass_s(0.2)
+        for open_connection, message in server.received_messages("new"):
+            open_connection.send(up(message["ref"]))
+    world.run_until(lambda: world.messages_for(ref, "up") and world.messages_for(late_ref, "up"))
+    world.advance(0.2)
     assert not world.loop.running
 
 
-def test_the_first_answer_of_the_resolver_ends_the_doubt_of_the_list(worlds: Callable[..., World]) -> None:
-    """Seen in a recorded day: a front that came back filled all servers at the cold pace for 12 s."""
-    told = settings()
-    told["rules"]["warmWithin"] = 12000.0
-    world = worlds(told=told)
-    assert world.node.confirmed and world.node.bridge.decider.list_fresh  # type: ignore[attr-defined]
+def test_the_first_response_of_the_resolver_confirms_the_list(worlds: Callable[..., World]) -> None:
+    """A restarted front filled all servers at the slow-start rate for 12 s, because it took them for cold."""
+    settings = make_settings()
+    settings["rules"]["warmWithin"] = 12000.0
+    world = worlds(settings=settings)
+    assert world.node.list_confirmed and world.node.bridge.decider.list_fresh  # type: ignore[attr-defined]
     for _ in range(6):
-        world.play()
-    silent = worlds(told=told, resolver_answers=False)
-    assert not silent.node.confirmed
-    refs = [silent.ask()["ref"] for _ in range(6)]  # a list that nobody has confirmed may hide a start
-    silent.until(lambda: any(silent.told_of(ref, "down") for ref in refs))
+        world.establish_session()
+    silent = worlds(settings=settings, resolver_answers=False)
+    assert not silent.node.list_confirmed
+    refs = [silent.send_set_up()["ref"] for _ in range(6)]  # an unconfirmed list may hide a restart
+    silent.run_until(lambda: any(silent.messages_for(ref, "down") for ref in refs))
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -1,4 +1,4 @@
-"""The node as a process: its start, its signals, and what it does not load."""
+"""The node as a process: start, signals, and the modules that it must not load."""
 
 from __future__ import annotations
 
@@ -11,65 +11,69 @@
 
 import pytest
 
-from tests.node.running import NODE, ROOT, Process
-from tests.node.world import Names
+from tests.node.running import NODE_COMMAND, ROOT, NodeProcess
+from tests.node.world import FakeResolver
 
 
 @pytest.fixture
-def process(tmp_path: Path) -> Iterator[Process]:
-    made = Process(tmp_path)
-    yield made
-    made.close()
+def process(tmp_path: Path) -> Iterator[NodeProcess]:
+    process = NodeProcess(tmp_path)
+    yield process
+    process.close()
 
 
-def test_it_serves_and_ends_by_itself_on_sigterm_with_all_answered(process: Process) -> None:
-    process.answer(process.ask("a" * 16))
-    owed = process.ask("b" * 16)
+def test_after_sigterm_it_answers_open_set_ups_and_exits(process: NodeProcess) -> None:
+    process.answer(process.send_set_up("a" * 16))
+    open_set_up = process.send_set_up("b" * 16)
     process.child.send_signal(signal.SIGTERM)
     viewer = process.viewer
     assert viewer
 
-    def failing() -> bool:
-        viewer.say({"t": "hb", "f": {}, "c": 0})
-        return bool(viewer.got and viewer.got[-1].get("t") == "hb_ok" and viewer.got[-1]["c"] == 0)
+    def heartbeat_fails() -> bool:
+        viewer.send({"t": "hb", "f": {}, "c": 0})
+        return bool(
+            viewer.received and viewer.received[-1].get("t") == "hb_ok" and viewer.received[-1]["c"] == 0
+        )
 
-    process.until(failing)
-    process.answer(owed)
-    process.until(lambda: process.child.poll() is not None)
+    process.run_until(heartbeat_fails)
+    process.answer(open_set_up)
+    process.run_until(lambda: process.child.poll() is not None)
     assert process.child.returncode == 0
 
 
-def test_a_new_configuration_moves_the_resolver_and_a_bad_one_changes_nothing(process: Process) -> None:
-    process.answer(process.ask("a" * 16))
+def test_a_reload_changes_the_resolver_and_an_invalid_file_changes_nothing(process: NodeProcess) -> None:
+    process.answer(process.send_set_up("a" * 16))
     process.path.write_text('{"half')
     process.child.send_signal(signal.SIGHUP)
-    process.until(lambda: any(m["event"] == "configuration not taken" for m in process.said()))
-    asked = process.names.asked
-    process.until(lambda: process.names.asked > asked)  # the old one is in force
-    other = Names()
-    other.servers, other.seq = list(process.servers), 2
-    process.others.append(other)
-    process.write(other)  # whole by now: it is read again by itself
-    process.until(lambda: other.asked)
-    process.answer(process.ask("b" * 16))
+    process.run_until(
+        lambda: any(entry["event"] == "configuration not taken" for entry in process.log_entries())
+    )
+    queries_before = process.resolver.query_count
+    process.run_until(lambda: process.resolver.query_count > queries_before)  # the old one is in force
+    other = FakeResolver()
+    other.servers, other.list_number = list(process.servers), 2
+    process.other_resolvers.append(other)
+    process.write_configuration(other)  # complete now, and read again without another signal
+    process.run_until(lambda: other.query_count)
+    process.answer(process.send_set_up("b" * 16))
     assert process.child.poll() is None
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"settings":{}}'])
-def test_a_bad_configuration_at_the_start_is_named_with_exit_code_2(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_at_start_is_reported_with_exit_code_2(tmp_path: Path, text: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
     env = {**os.environ, "PROXY_CONFIG": str(path)}
-    done = subprocess.run(NODE, cwd=ROOT, env=env, capture_output=True, text=True, timeout=30)
+    done = subprocess.run(NODE_COMMAND, cwd=ROOT, env=env, capture_output=True, text=True, timeout=30)
     assert done.returncode == 2 and str(path) in done.stderr and "Traceback" not in done.stderr
 
 
-def test_it_loads_the_standard_library_and_its_own_packages_alone() -> None:
+def test_it_loads_only_the_standard_library_and_its_own_packages() -> None:
     code = "import sys, lemonhall.front.node.process; print(*sorted(sys.modules))"
     out = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    tops = {name.split(".")[0] for name in out.stdout.split()}
-    own = {n for n in out.stdout.split() if n.startswith("lemonhall.")}
-    assert not tops & {
+    top_level_names = {name.split(".")[0] for name in out.stdout.split()}
+    own_modules = {name for name in out.stdout.split() if name.startswith("lemonhall.")}
+    assert not top_level_names & {
         "click",
         "numpy",
         "pyarrow",
@@ -80,7 +84,7 @@
         "asyncio",
         "dns",
     }
-    packages = {".".join(n.split(".")[1:3]) for n in own if n.count(".") > 1}
+    packages = {".".join(name.split(".")[1:3]) for name in own_modules if name.count(".") > 1}
     assert packages <= {"front.node", "front.deciding", "loop.event_loop", "loop.stream"} | {
-        p for p in packages if p.startswith("node.")
+        package for package in packages if package.startswith("node.")
     }
--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -1,7 +1,8 @@
-"""Rare moments on real connections: two events cross, in each order, every time (docs/design/crossings.md).
+"""Rare races on real connections: two events cross, in both orders, reproducibly (docs/design/crossings.md).
 
-The loop is stepped; peers act between its passes, or inside one at a point that is named (`at_call`). What is
-ready in one pass is given forwards or backwards (`in_order`).
+The tests step the loop; peers act between its passes, or inside a pass when the decider is called
+(`act_during_decision`). Sockets that are ready in one pass are handled in ascending or descending order of
+their descriptors (`order_ready_sockets`).
 """
 
 from __future__ import annotations
@@ -15,44 +16,44 @@
 
 import pytest
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.node import bounds
-from tests.node.world import Names, Order, Peer, Server, World, settings
+from tests.node.world import FakeResolver, FakeServer, Peer, ReorderingSelector, World, make_settings
 
-RESET = b"\1\0\0\0\0\0\0\0"
+LINGER_RESET = b"\1\0\0\0\0\0\0\0"
 
 
-def in_order(world: World, backwards: bool) -> None:
-    """What is ready in one pass is given by descriptor, forwards or backwards."""
+def order_ready_sockets(world: World, descending: bool) -> None:
+    """Has the ready sockets of a pass handled in the order of their descriptors."""
 
-    def arrange(found: list[Any]) -> list[Any]:
-        return sorted(found, key=lambda one: one[0].fd, reverse=backwards)
+    def reorder(found: list[Any]) -> list[Any]:
+        return sorted(found, key=lambda entry: entry[0].fd, reverse=descending)
 
-    world.loop.selector = Order(world.loop.selector, arrange)  # type: ignore[assignment]
+    world.loop.selector = ReorderingSelector(world.loop.selector, reorder)  # type: ignore[assignment]
 
 
-@pytest.fixture(params=[False, True], ids=["forwards", "backwards"])
-def ordered(request: pytest.FixtureRequest, worlds: Callable[..., World]) -> Callable[..., World]:
-    def make(**more: Any) -> World:
-        world = worlds(**more)
-        in_order(world, request.param)
+@pytest.fixture(params=[False, True], ids=["ascending", "descending"])
+def ordered_worlds(request: pytest.FixtureRequest, worlds: Callable[..., World]) -> Callable[..., World]:
+    def make(**arguments: Any) -> World:
+        world = worlds(**arguments)
+        order_ready_sockets(world, request.param)
         return world
 
     return make
 
 
-def at_call(world: World, act: Callable[[], object]) -> None:
-    """Has a peer act once in the middle of a pass: after all reads, as the module decides."""
-    module: Any = world.node.bridge.decider
-    handle = module.handle
+def act_during_decision(world: World, act: Callable[[], object]) -> None:
+    """Calls `act` once in the middle of a pass: after all reads, when the decider has decided."""
+    decider: Any = world.node.bridge.decider
+    handle = decider.handle
 
-    def once(now: float, events: list[i.Event]) -> list[i.Action]:
-        module.handle = handle
-        actions: list[i.Action] = handle(now, events)
+    def handle_and_act(now: float, events: list[interface.Event]) -> list[interface.Action]:
+        decider.handle = handle
+        actions: list[interface.Action] = handle(now, events)
         act()
         return actions
 
-    module.handle = once
+    decider.handle = handle_and_act
 
 
 def down(ref: str, cause: int) -> dict[str, Any]:
@@ -63,907 +64,958 @@
     return {"t": "up", "ref": ref, "f": {}, "d": f"v=0 {ref}"}
 
 
-def nothing_held(world: World) -> bool:
-    """Neither the module nor the node holds a session, its place or its seat."""
-    module: Any = world.node.bridge.decider
-    held = [s for box in module.boxes.values() for s in box.sessions.values()]
-    node = world.node.sessions
-    waits = [s for s in world.node.servers.by_id.values() if s.waiting or s.standing]
-    waits += [s for s in world.node.servers.by_id.values() if any(k.open for k in s.links)]
-    return not (module.sessions or held or module.seats or node.by_ref or node.standing or waits)
-
-
-def leave(world: World, viewer: Peer, ref: str, how: str) -> None:
+def no_state_left(world: World) -> bool:
+    """Whether neither the decider nor the node holds a session, a place on a server or a seat."""
+    decider: Any = world.node.bridge.decider
+    held = [session for box in decider.boxes.values() for session in box.sessions.values()]
+    sessions = world.node.sessions
+    busy_servers = [
+        server
+        for server in world.node.servers.by_id.values()
+        if server.waiting_attempts or server.established_sessions
+    ]
+    busy_servers += [
+        server
+        for server in world.node.servers.by_id.values()
+        if any(connection.open_attempts for connection in server.connections)
+    ]
+    return not (
+        decider.sessions
+        or held
+        or decider.seats
+        or sessions.by_ref
+        or sessions.established_count
+        or busy_servers
+    )
+
+
+def end_set_up(world: World, viewer: Peer, ref: str, how: str) -> None:
     if how == "give-up":
-        viewer.say(down(ref, 16))
-    elif how == "half":
+        viewer.send(down(ref, 16))
+    elif how == "half-close":
         viewer.sock.shutdown(socket.SHUT_WR)
     else:
         if how == "reset":
-            viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+            viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         viewer.close()
 
 
-def connected(world: World) -> None:
-    """A connection to the server stands, no session does."""
-    ref, _, link = world.play()
-    link.say(down(ref, 16))
-    world.until(lambda: world.told_of(ref, "down"))
+def connect_server(world: World) -> None:
+    """Leaves a connection to the server open, without a session."""
+    ref, _, connection = world.establish_session()
+    connection.send(down(ref, 16))
+    world.run_until(lambda: world.messages_for(ref, "down"))
 
 
-HOWS = ["give-up", "eof", "reset", "half"]
+WAYS_TO_LEAVE = ["give-up", "eof", "reset", "half-close"]
 
 
-# a set-up whose viewer leaves
+# Set-ups whose viewer leaves
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("cause", [34, 47, 41])
-def test_leaving_and_the_end_of_an_attempt_in_one_pass(
-    ordered: Callable[..., World], how: str, cause: int
+def test_viewer_leaves_in_the_pass_in_which_its_attempt_ends(
+    ordered_worlds: Callable[..., World], how: str, cause: int
 ) -> None:
-    """The module chose the next attempt for a session that nobody had, and held its place for ever."""
-    world = ordered()
-    viewer = world.connect()
-    ref = world.ask(viewer=viewer)["ref"]
-    _, link, _ = world.set_up(ref)
-    link.say(down(ref, cause))
-    leave(world, viewer, ref, how)
+    """The decider started another attempt for a session whose viewer was gone, and never freed its place."""
+    world = ordered_worlds()
+    viewer = world.connect_viewer()
+    ref = world.send_set_up(viewer=viewer)["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    connection.send(down(ref, cause))
+    end_set_up(world, viewer, ref, how)
     world.pump()
-    world.pass_s(2.0)
-    assert nothing_held(world)
-    assert sum(len(s.asked("new")) for s in world.servers) == 1
+    world.advance(2.0)
+    assert no_state_left(world)
+    assert sum(len(s.received_messages("new")) for s in world.servers) == 1
 
 
-@pytest.mark.parametrize("how", HOWS)
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
 @pytest.mark.parametrize("cls", ["plain", "premium"])
-def test_leaving_right_behind_the_request_sends_nothing_on(
-    ordered: Callable[..., World], how: str, cls: str
+def test_a_set_up_followed_by_the_disconnect_is_not_sent_on(
+    ordered_worlds: Callable[..., World], how: str, cls: str
 ) -> None:
-    world = ordered(servers=1)
-    connected(world)
-    viewer = world.connect()
-    first = world.new(cls)
-    second = world.new(cls, extras="home:0;copies:4;viewer:00000000000000ac")
-    viewer.say(json.dumps(first).encode() + b"\n" + json.dumps(second).encode() + b"\n")
+    world = ordered_worlds(servers=1)
+    connect_server(world)
+    viewer = world.connect_viewer()
+    first = world.make_set_up(cls)
+    second = world.make_set_up(cls, extras="home:0;copies:4;viewer:00000000000000ac")
+    viewer.send(json.dumps(first).encode() + b"\n" + json.dumps(second).encode() + b"\n")
     if how == "give-up":
-        leave(world, viewer, second["ref"], how)
-    leave(world, viewer, first["ref"], how)
+        end_set_up(world, viewer, second["ref"], how)
+    end_set_up(world, viewer, first["ref"], how)
     world.pump()
-    world.pass_s(2.0)
-    assert len(world.servers[0].asked("new")) == 1 and nothing_held(world)
+    world.advance(2.0)
+    assert len(world.servers[0].received_messages("new")) == 1 and no_state_left(world)
 
 
-@pytest.mark.parametrize("how", HOWS)
-def test_leaving_as_the_module_decides_sends_nothing_on(ordered: Callable[..., World], how: str) -> None:
-    """It lies unread in the kernel when the set-up is to be written: read before, never written."""
-    world = ordered(servers=1)
-    connected(world)
-    viewer = world.connect()
-    refs = [world.ask(viewer=viewer)["ref"] for _ in range(2)]
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_a_disconnect_during_the_decision_prevents_sending(
+    ordered_worlds: Callable[..., World], how: str
+) -> None:
+    """The disconnect is unread when the set-up is about to be sent: it must be read first."""
+    world = ordered_worlds(servers=1)
+    connect_server(world)
+    viewer = world.connect_viewer()
+    refs = [world.send_set_up(viewer=viewer)["ref"] for _ in range(2)]
 
     def act() -> None:
         for ref in refs if how == "give-up" else refs[:1]:
-            leave(world, viewer, ref, how)
+            end_set_up(world, viewer, ref, how)
 
-    at_call(world, act)
+    act_during_decision(world, act)
     world.pump()
-    world.pass_s(2.0)
-    assert len(world.servers[0].asked("new")) == 1 and nothing_held(world)
-    world.play()
-
-
-@pytest.mark.parametrize("how", HOWS)
-def test_leaving_while_it_waits_for_a_connection(ordered: Callable[..., World], how: str) -> None:
-    """The connection comes up in the pass in which the leaving comes."""
-    world = ordered(servers=1)
-    viewer = world.connect()
-    ref = world.ask(viewer=viewer)["ref"]
-    at_call(world, lambda: None)
+    world.advance(2.0)
+    assert len(world.servers[0].received_messages("new")) == 1 and no_state_left(world)
+    world.establish_session()
+
+
+@pytest.mark.parametrize("how", WAYS_TO_LEAVE)
+def test_viewer_leaves_while_its_attempt_waits_for_a_connection(
+    ordered_worlds: Callable[..., World], how: str
+) -> None:
+    """The disconnect arrives in the pass in which the connection to the server comes up."""
+    world = ordered_worlds(servers=1)
+    viewer = world.connect_viewer()
+    ref = world.send_set_up(viewer=viewer)["ref"]
+    act_during_decision(world, lambda: None)
     server = world.node.servers.by_id[world.servers[0].name]
     for _ in range(10):
-        if not server.waiting:
+        if not server.waiting_attempts:
             world.loop.run_once(0.0)
-    world.servers[0].read()  # the connection is accepted, and the leaving comes: both in the next pass
-    leave(world, viewer, ref, how)
+    world.servers[0].read()  # the connection is accepted; the disconnect arrives in the same pass
+    end_set_up(world, viewer, ref, how)
     world.pump()
-    assert not world.servers[0].asked("new") and nothing_held(world)
+    assert not world.servers[0].received_messages("new") and no_state_left(world)
 
 
-def blocked(world: World) -> tuple[Peer, list[str]]:
-    """A server that reads nothing: set-ups of one viewer, the last of which wait in the link's backlog."""
-    ref, server, link = world.play(viewer=world.connect())
-    server.links.remove(link)  # read by nobody
-    node_link = world.node.servers.by_id[server.name].links[0]
-    node_link.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    viewer = world.connect()
+def fill_server_backlog(world: World) -> tuple[Peer, list[str]]:
+    """Sends set-ups to a server that reads nothing, until the last ones wait in the connection's backlog."""
+    ref, server, connection = world.establish_session(viewer=world.connect_viewer())
+    server.connections.remove(connection)  # not read from here on
+    node_connection = world.node.servers.by_id[server.name].connections[0]
+    node_connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    viewer = world.connect_viewer()
     refs = []
     for _ in range(100):
-        if len(node_link.stream.send_queue) >= 3:
+        if len(node_connection.stream.send_queue) >= 3:
             break
-        made = world.new(extras=f"home:0;copies:4;viewer:{len(refs) + 500:016x}", left="4000")
-        made["d"] = "v" * 7000
-        viewer.say(made)
-        refs.append(made["ref"])
+        message = world.make_set_up(extras=f"home:0;copies:4;viewer:{len(refs) + 500:016x}", left="4000")
+        message["d"] = "v" * 7000
+        viewer.send(message)
+        refs.append(message["ref"])
         world.pump(2)
-    world.servers[0].links.append(link)
-    link.sock.setblocking(False)
+    world.servers[0].connections.append(connection)
+    connection.sock.setblocking(False)
     return viewer, refs
 
 
-WIDE = {"caps": {**settings()["caps"], "maxStreams": 500}}
+LARGE_CAPS = {"caps": {**make_settings()["caps"], "maxStreams": 500}}
 
 
-def wide() -> dict[str, Any]:
-    told = settings(**WIDE)
-    told["specifics"]["placesByKind"] = [500]
-    told["specifics"]["ratesKb"] = [1.0, 2.0, 3.0]
-    return told
+def large_settings() -> dict[str, Any]:
+    settings = make_settings(**LARGE_CAPS)
+    settings["specifics"]["placesByKind"] = [500]
+    settings["specifics"]["ratesKb"] = [1.0, 2.0, 3.0]
+    return settings
 
 
-def test_what_waits_in_a_links_backlog_is_taken_out_and_what_has_begun_is_given_up_behind(
+def test_a_queued_set_up_is_cancelled_and_a_partly_sent_one_is_given_up_at_the_server(
     worlds: Callable[..., World],
 ) -> None:
-    world = worlds(servers=1, told=wide())
-    viewer, refs = blocked(world)
-    node_link = world.node.servers.by_id[world.servers[0].name].links[0]
-    waits = [ref for ref in refs if not node_link.left(node_link.open[ref])]
-    begun = [ref for ref in refs if ref not in waits][-1]
-    assert len(waits) >= 2 and node_link.stream.backlog_bytes
-    for ref in (waits[0], begun):
-        viewer.say(down(ref, 16))
+    world = worlds(servers=1, settings=large_settings())
+    viewer, refs = fill_server_backlog(world)
+    node_connection = world.node.servers.by_id[world.servers[0].name].connections[0]
+    unsent = [ref for ref in refs if not node_connection.was_sent(node_connection.open_attempts[ref])]
+    partly_sent = [ref for ref in refs if ref not in unsent][-1]
+    assert len(unsent) >= 2 and node_connection.stream.backlog_bytes
+    for ref in (unsent[0], partly_sent):
+        viewer.send(down(ref, 16))
     world.pump(3)
-    world.until(lambda: waits[-1] in [m["ref"] for _, m in world.servers[0].asked("new")])
-    world.until(lambda: [m for _, m in world.servers[0].asked("down")])
-    came = [m["ref"] for _, m in world.servers[0].asked("new")]
-    assert waits[0] not in came and begun in came and waits[1] in came
-    assert [m["ref"] for _, m in world.servers[0].asked("down")] == [begun]
+    world.run_until(lambda: unsent[-1] in [m["ref"] for _, m in world.servers[0].received_messages("new")])
+    world.run_until(lambda: [m for _, m in world.servers[0].received_messages("down")])
+    arrived = [m["ref"] for _, m in world.servers[0].received_messages("new")]
+    assert unsent[0] not in arrived and partly_sent in arrived and unsent[1] in arrived
+    assert [m["ref"] for _, m in world.servers[0].received_messages("down")] == [partly_sent]
 
 
-def test_after_a_set_up_is_taken_out_those_behind_it_still_count_as_written(
+def test_after_a_set_up_is_cancelled_the_later_ones_still_count_as_sent(
     worlds: Callable[..., World],
 ) -> None:
-    """Their place in the stream has moved: they may have run once their own first byte has left."""
-    world = worlds(servers=1, told=wide())
-    viewer, refs = blocked(world)
-    node_link = world.node.servers.by_id[world.servers[0].name].links[0]
-    waits = [ref for ref in refs if not node_link.left(node_link.open[ref])]
-    viewer.say(down(waits[0], 16))
+    """Their offsets in the stream have moved: they may have run once their own first byte was sent."""
+    world = worlds(servers=1, settings=large_settings())
+    viewer, refs = fill_server_backlog(world)
+    node_connection = world.node.servers.by_id[world.servers[0].name].connections[0]
+    unsent = [ref for ref in refs if not node_connection.was_sent(node_connection.open_attempts[ref])]
+    viewer.send(down(unsent[0], 16))
     world.pump(3)
-    world.until(lambda: waits[1] in [m["ref"] for _, m in world.servers[0].asked("new")])
-    assert all(node_link.left(attempt) for attempt in node_link.open.values())
+    world.run_until(lambda: unsent[1] in [m["ref"] for _, m in world.servers[0].received_messages("new")])
+    assert all(node_connection.was_sent(attempt) for attempt in node_connection.open_attempts.values())
 
 
-# a set-up that is late, or whose time is short
+# Set-ups that are late or have a short deadline
 
 
-def test_a_set_up_that_the_sweep_finds_out_of_time_is_not_sent_on(world: World) -> None:
-    """The request and the sweep in one pass: the module sent an attempt whose end nobody told it."""
-    world.viewer.say(world.new(left="1"))
-    at = max(timer[0] for timer in world.loop.timers if timer[2].callback == world.node.sweep)
-    world.now = at  # the sweep is due in the very pass that reads the request
+def test_a_set_up_that_the_sweep_finds_overdue_is_not_sent_on(world: World) -> None:
+    """Set-up and sweep fall into one pass: the decider started an attempt whose end was not reported."""
+    world.viewer.send(world.make_set_up(left="1"))
+    sweep_at = max(timer[0] for timer in world.loop.timers if timer[2].callback == world.node.sweep)
+    world.now = sweep_at  # the sweep is due in the pass that reads the set-up
     original = bounds.answer_margin_s
     try:
-        bounds.answer_margin_s = lambda left_s: left_s + 1.0  # it comes when its time is up already
+        bounds.answer_margin_s = lambda left_s: left_s + 1.0  # its deadline has passed when it arrives
         world.pump()
     finally:
         bounds.answer_margin_s = original
-    world.pass_s(1.0)
-    assert nothing_held(world) and len(world.told_of(f"{world.refs:016x}")) == 1
-    assert all(not s.asked("new") for s in world.servers)
+    world.advance(1.0)
+    assert no_state_left(world) and len(world.messages_for(f"{world.ref_count:016x}")) == 1
+    assert all(not s.received_messages("new") for s in world.servers)
 
 
-def test_a_short_time_is_not_all_margin(world: World) -> None:
-    """A customer whose viewers wait 25 ms: a margin of 30 ms would have refused them all."""
-    world.play(left="25")
+def test_a_short_deadline_is_not_consumed_by_the_margin(world: World) -> None:
+    """One customer's viewers wait 25 ms: the full margin of 30 ms would refuse all of their set-ups."""
+    world.establish_session(left="25")
 
 
-# an answer whose viewer is gone
+# Answers whose viewer is gone
 
 
 @pytest.mark.parametrize("how", ["eof", "reset", "give-up"])
-def test_an_answer_for_a_viewer_that_leaves_in_the_same_pass_ends_at_its_server(
-    ordered: Callable[..., World], how: str
+def test_an_answer_in_the_pass_in_which_the_viewer_leaves_is_given_up_at_its_server(
+    ordered_worlds: Callable[..., World], how: str
 ) -> None:
-    world = ordered()
-    viewer = world.connect()
-    ref = world.ask(viewer=viewer)["ref"]
-    _, link, _ = world.set_up(ref)
-    link.say(up(ref))
-    leave(world, viewer, ref, how)
+    world = ordered_worlds()
+    viewer = world.connect_viewer()
+    ref = world.send_set_up(viewer=viewer)["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    connection.send(up(ref))
+    end_set_up(world, viewer, ref, how)
     world.pump()
-    world.pass_s(1.0)
-    gone = [m for m in link.got if m["t"] == "down" and m["ref"] == ref]
-    assert len(gone) == 1 and nothing_held(world)
+    world.advance(1.0)
+    gone = [m for m in connection.received if m["t"] == "down" and m["ref"] == ref]
+    assert len(gone) == 1 and no_state_left(world)
 
 
-def test_an_answer_that_is_written_to_a_connection_that_takes_nothing_ends_at_its_server(
+def test_an_answer_that_cannot_be_written_is_given_up_at_its_server(
     world: World,
 ) -> None:
-    viewer = world.connect()
-    ref = world.ask(viewer=viewer)["ref"]
-    _, link, _ = world.set_up(ref)
-    next(v for v in world.node.viewers.links if ref in v.open).stream.sock.shutdown(socket.SHUT_WR)
-    link.say(up(ref))
-    world.until(lambda: [m for m in link.got if m["t"] == "down" and m["ref"] == ref])
-    assert nothing_held(world)
-
-
-def test_an_answer_that_waits_unsent_when_its_connection_breaks_ends_at_its_server(world: World) -> None:
-    viewer = world.connect()
-    world.viewers.remove(viewer)  # it reads nothing
-    made = world.new()
-    viewer.say(made)
-    _, link, _ = world.set_up(made["ref"])
-    mine = next(v for v in world.node.viewers.links if made["ref"] in v.open)
-    mine.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    viewer = world.connect_viewer()
+    ref = world.send_set_up(viewer=viewer)["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    next(v for v in world.node.viewers.connections if ref in v.open_sessions).stream.sock.shutdown(
+        socket.SHUT_WR
+    )
+    connection.send(up(ref))
+    world.run_until(lambda: [m for m in connection.received if m["t"] == "down" and m["ref"] == ref])
+    assert no_state_left(world)
+
+
+def test_an_unsent_answer_whose_connection_breaks_is_released_at_its_server(world: World) -> None:
+    viewer = world.connect_viewer()
+    world.viewers.remove(viewer)  # not read from here on
+    message = world.make_set_up()
+    viewer.send(message)
+    _, connection, _ = world.wait_for_set_up(message["ref"])
+    node_connection = next(v for v in world.node.viewers.connections if message["ref"] in v.open_sessions)
+    node_connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     for _ in range(100):
-        if not mine.stream.backlog_bytes:
-            viewer.say(b'{"t":"hb","f":{},"c":0}\n' * 500)
+        if not node_connection.stream.backlog_bytes:
+            viewer.send(b'{"t":"hb","f":{},"c":0}\n' * 500)
             world.pump(2)
-    link.say(up(made["ref"]))
-    world.until(lambda: world.node.sessions.standing)
-    viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    connection.send(up(message["ref"]))
+    world.run_until(lambda: world.node.sessions.established_count)
+    viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     viewer.close()
-    world.until(lambda: [m for m in link.got if m["t"] == "down" and m["ref"] == made["ref"]])
-    assert nothing_held(world)
+    world.run_until(
+        lambda: [m for m in connection.received if m["t"] == "down" and m["ref"] == message["ref"]]
+    )
+    assert no_state_left(world)
 
 
-# connections that end
+# Connections that are closed
 
 
-def ending(peer: socket.socket) -> tuple[bytes, str]:
-    """All that a peer reads up to the end, and how it ended."""
+def read_to_end(peer: socket.socket) -> tuple[bytes, str]:
+    """Everything that a peer reads up to the end, and how the connection ended."""
     peer.setblocking(False)
-    got = b""
+    received = b""
     while True:
         try:
             data = peer.recv(65536)
         except BlockingIOError:
-            return got, "open"
+            return received, "open"
         except OSError:
-            return got, "reset"
+            return received, "reset"
         if not data:
-            return got, "eof"
-        got += data
+            return received, "eof"
+        received += data
 
 
-def test_an_error_arrives_although_more_lies_unread_behind_it(world: World) -> None:
-    """A close with bytes unread is a reset, which may overtake the answer before it."""
-    rude = world.connect()
-    world.viewers.remove(rude)
+def test_an_error_arrives_although_later_input_is_unread(world: World) -> None:
+    """A close with unread bytes sends a reset, which may destroy the answer sent before it."""
+    abuser = world.connect_viewer()
+    world.viewers.remove(abuser)
     for _ in range(2):
-        rude.say(world.new("nobody"))
+        abuser.send(world.make_set_up("nobody"))
         world.pump()
-    rude.say(json.dumps(world.new("nobody")).encode() + b"\n" + b"x" * 60000)
+    abuser.send(json.dumps(world.make_set_up("nobody")).encode() + b"\n" + b"x" * 60000)
     world.pump()
-    got, how = ending(rude.sock)
-    assert got.count(b'"c":100') == 2 and how == "eof"
-    rude.sock.close()
+    received, ending = read_to_end(abuser.sock)
+    assert received.count(b'"c":100') == 2 and ending == "eof"
+    abuser.sock.close()
     world.pump()
-    assert len(world.node.viewers.links) == 1
+    assert len(world.node.viewers.connections) == 1
 
 
-def test_a_connection_that_is_ended_costs_bounded_time_and_bytes(world: World) -> None:
-    talker, still = world.connect(), world.connect()
-    for rude in (talker, still):
-        world.viewers.remove(rude)
-        rude.say(world.new("nobody"))
+def test_a_lingering_close_is_bounded_in_time_and_bytes(world: World) -> None:
+    sender, silent = world.connect_viewer(), world.connect_viewer()
+    for abuser in (sender, silent):
+        world.viewers.remove(abuser)
+        abuser.send(world.make_set_up("nobody"))
         world.pump()
-        rude.say(b"noise\n")
+        abuser.send(b"noise\n")
         world.pump()
-    assert len(world.node.viewers.links) == 3
+    assert len(world.node.viewers.connections) == 3
     with pytest.raises(OSError):  # noqa: PT012
         for _ in range(200):
-            talker.say(b"x" * 4000)
+            sender.send(b"x" * 4000)
             world.pump(1)
-    assert len(world.node.viewers.links) == 2
-    world.pass_s(bounds.LINGER_S + 0.1)
-    assert len(world.node.viewers.links) == 1
-    still.close()
-    talker.close()
+    assert len(world.node.viewers.connections) == 2
+    world.advance(bounds.LINGER_TIMEOUT_S + 0.1)
+    assert len(world.node.viewers.connections) == 1
+    silent.close()
+    sender.close()
 
 
-def test_a_request_that_lies_unread_keeps_its_connection(worlds: Callable[..., World]) -> None:
-    """Of all connections it alone has nothing open, when one more is accepted before it is read."""
+def test_a_connection_with_an_unread_set_up_is_not_evicted(worlds: Callable[..., World]) -> None:
+    """It is the only connection without an open set-up when one more is accepted before it is read."""
     world = worlds(sockets=64)
-    most = world.node.viewers.most
-    for n in range(most - 1):
-        world.ask("premium", viewer=world.connect(), key=f"{n:016x}", left="4000")
+    max_connections = world.node.viewers.max_connections
+    for n in range(max_connections - 1):
+        world.send_set_up("premium", viewer=world.connect_viewer(), key=f"{n:016x}", left="4000")
         world.pump(3)
-    asked, ref = world.viewers[1:], "b" * 16
+    others, ref = world.viewers[1:], "b" * 16
     world.pump()
-    assert len(world.node.viewers.links) == most and len(asked) == most - 1
-    in_order(world, False)
-    world.viewer.say(world.new(ref=ref, extras="home:0;copies:4;viewer:00000000000000ff"))
+    assert len(world.node.viewers.connections) == max_connections and len(others) == max_connections - 1
+    order_ready_sockets(world, False)
+    world.viewer.send(world.make_set_up(ref=ref, extras="home:0;copies:4;viewer:00000000000000ff"))
     world.viewers.append(Peer(socket.create_connection(world.address)))
     world.pump()
-    assert not world.viewer.ended
-    assert ref in world.node.sessions.by_ref or world.told_of(ref)
-
-
-def test_a_servers_close_is_read_before_a_set_up_is_written(ordered: Callable[..., World]) -> None:
-    """What was written behind it may have run for all that could be proved: a paid set-up failed."""
-    world = ordered(servers=1)
-    ref, server, link = world.play()
-    link.say(down(ref, 16))
-    world.until(lambda: world.told_of(ref, "down"))
-    again = world.ask("premium")["ref"]
-    at_call(world, link.close)
-    world.until(lambda: [m for k, m in server.asked("new") if m["ref"] == again and k is not link])
-    server.links[-1].say(up(again))
-    world.until(lambda: world.told_of(again, "up"))
-
-
-def one_stream() -> dict[str, Any]:
-    return settings(caps={**settings()["caps"], "maxStreams": 1})
-
-
-def test_a_set_up_that_waits_goes_out_when_another_ends(worlds: Callable[..., World]) -> None:
-    """No new connection comes up, but the one that stands has room again."""
-    world = worlds(servers=1, told=one_stream())
-    first = world.ask()["ref"]
-    server, link, _ = world.set_up(first)
-    server.door.close()
-    second = world.ask(extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
+    assert not world.viewer.closed
+    assert ref in world.node.sessions.by_ref or world.messages_for(ref)
+
+
+def test_a_servers_close_is_read_before_a_set_up_is_sent(ordered_worlds: Callable[..., World]) -> None:
+    """A set-up sent after the close could not be proven unexecuted, so a paid set-up failed."""
+    world = ordered_worlds(servers=1)
+    ref, server, connection = world.establish_session()
+    connection.send(down(ref, 16))
+    world.run_until(lambda: world.messages_for(ref, "down"))
+    again = world.send_set_up("premium")["ref"]
+    act_during_decision(world, connection.close)
+    world.run_until(
+        lambda: [m for k, m in server.received_messages("new") if m["ref"] == again and k is not connection]
+    )
+    server.connections[-1].send(up(again))
+    world.run_until(lambda: world.messages_for(again, "up"))
+
+
+def one_set_up_per_connection() -> dict[str, Any]:
+    return make_settings(caps={**make_settings()["caps"], "maxStreams": 1})
+
+
+def test_a_waiting_attempt_is_sent_when_another_ends(worlds: Callable[..., World]) -> None:
+    """No new connection can be opened, but the open one has room again."""
+    world = worlds(servers=1, settings=one_set_up_per_connection())
+    first = world.send_set_up()["ref"]
+    server, connection, _ = world.wait_for_set_up(first)
+    server.listener.close()
+    second = world.send_set_up(extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
     world.pump()
-    assert world.told_of(second) == []
-    link.say(up(first))
-    world.until(lambda: second in [m["ref"] for _, m in server.asked("new")])
-    link.say(up(second))
-    world.until(lambda: world.told_of(second, "up"))
+    assert world.messages_for(second) == []
+    connection.send(up(first))
+    world.run_until(lambda: second in [m["ref"] for _, m in server.received_messages("new")])
+    connection.send(up(second))
+    world.run_until(lambda: world.messages_for(second, "up"))
 
 
-def test_no_set_up_goes_to_the_address_that_a_server_had_before(world: World) -> None:
-    ref, server, link = world.play()
-    moved = Server(server.name, server.cell)
+def test_no_set_up_is_sent_to_the_previous_address_of_a_server(world: World) -> None:
+    ref, server, connection = world.establish_session()
+    moved = FakeServer(server.name, server.cell)
     world.servers[world.servers.index(server)] = moved
-    world.names.servers = list(world.servers)
-    world.names.seq = 2
-    world.pass_s(1.0)
+    world.resolver.servers = list(world.servers)
+    world.resolver.list_number = 2
+    world.advance(1.0)
     for _ in range(8):
-        world.play()
-    assert len([m for m in link.got if m["t"] == "new"]) == 1
-    assert moved.asked("new")
-    link.close()
-    server.door.close()
+        world.establish_session()
+    assert len([m for m in connection.received if m["t"] == "new"]) == 1
+    assert moved.received_messages("new")
+    connection.close()
+    server.listener.close()
 
 
-def test_sessions_set_up_at_a_new_process_outlive_the_list_that_tells_of_it(
+def test_sessions_of_a_restarted_process_outlive_the_list_that_reports_the_restart(
     worlds: Callable[..., World],
 ) -> None:
-    """The new process was reached before the list told of it: its sessions were taken for the old one's."""
+    """The new process was reached before the list reported it: its sessions were taken for the old one's."""
     world = worlds(servers=1)
-    old, server, link = world.play()
-    world.pass_s(0.1)
-    link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    link.close()
-    server.started = int(world.node.bridge.now_ms())
-    world.pass_s(0.2)
-    ref, _, _ = world.play("premium", extras="home:0;copies:4;viewer:00000000000000ac")
-    world.names.seq = 2
-    world.pass_s(1.0)
-    assert [m["c"] for m in world.told_of(old, "down")] == [41]
-    assert world.told_of(ref, "down") == [] and world.node.sessions.standing == 1
+    old, server, connection = world.establish_session()
+    world.advance(0.1)
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+    connection.close()
+    server.started_ms = int(world.node.bridge.now_ms())
+    world.advance(0.2)
+    ref, _, _ = world.establish_session("premium", extras="home:0;copies:4;viewer:00000000000000ac")
+    world.resolver.list_number = 2
+    world.advance(1.0)
+    assert [m["c"] for m in world.messages_for(old, "down")] == [41]
+    assert world.messages_for(ref, "down") == [] and world.node.sessions.established_count == 1
 
 
-# hand-overs
+# Hand-overs
 
 
-def test_a_session_handed_over_at_a_server_that_no_list_tells_is_over_in_time(world: World) -> None:
-    ref = world.ask(extras="viewer:00000000000000aa;at:s-none")["ref"]
+def test_a_session_handed_over_at_an_unlisted_server_ends_in_time(world: World) -> None:
+    ref = world.send_set_up(extras="viewer:00000000000000aa;at:s-none")["ref"]
     world.pump()
-    assert world.node.sessions.standing == 1
-    world.pass_s(8.0)
-    assert [m["c"] for m in world.told_of(ref, "down")] == [41] and nothing_held(world)
+    assert world.node.sessions.established_count == 1
+    world.advance(8.0)
+    assert [m["c"] for m in world.messages_for(ref, "down")] == [41] and no_state_left(world)
     assert "s-none" not in world.node.servers.by_id
 
 
 def test_a_server_that_is_listed_after_the_hand_over_keeps_the_session(world: World) -> None:
-    late = Server("s-0000000f", 2)
+    late = FakeServer("s-0000000f", 2)
     world.servers.append(late)
-    ref = world.ask(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
-    world.pass_s(3.0)
-    world.names.servers, world.names.seq = list(world.servers), 2
-    world.until(lambda: world.pass_s(0.1) or late.links)
-    late.links[0].say({"t": "tell", "ref": ref, "f": {"note": "l", "value": "0.5"}})
-    world.pass_s(6.0)
-    assert world.told_of(ref) == [] and world.node.sessions.standing == 1
+    ref = world.send_set_up(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
+    world.advance(3.0)
+    world.resolver.servers, world.resolver.list_number = list(world.servers), 2
+    world.run_until(lambda: world.advance(0.1) or late.connections)
+    late.connections[0].send({"t": "tell", "ref": ref, "f": {"note": "l", "value": "0.5"}})
+    world.advance(6.0)
+    assert world.messages_for(ref) == [] and world.node.sessions.established_count == 1
 
 
 @pytest.mark.parametrize("first", ["end", "hand-over"])
 def test_a_servers_release_crosses_the_hand_over(world: World, first: str) -> None:
-    """It goes out on any open connection, also before this front has been told of the session."""
-    _, server, link = world.play()
+    """The server releases on any open connection, also before this front has received the session."""
+    _, server, connection = world.establish_session()
     ref = "c" * 16
-    asked = world.new(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
+    asked = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
     if first == "end":
-        link.say(down(ref, 16))
+        connection.send(down(ref, 16))
         world.pump()
-    world.viewer.say(asked)
+    world.viewer.send(asked)
     world.pump()
     if first != "end":
-        link.say(down(ref, 16))
-    world.until(lambda: [m["c"] for m in world.told_of(ref, "down")] == [16])
-    assert world.node.sessions.standing == 1
+        connection.send(down(ref, 16))
+    world.run_until(lambda: [m["c"] for m in world.messages_for(ref, "down")] == [16])
+    assert world.node.sessions.established_count == 1
 
 
 @pytest.mark.parametrize("first", ["end", "hand-over"])
 def test_a_viewers_release_crosses_the_hand_over(world: World, first: str) -> None:
-    _, server, link = world.play()
-    ref, other = "c" * 16, world.connect()
-    asked = world.new(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
+    _, server, connection = world.establish_session()
+    ref, other = "c" * 16, world.connect_viewer()
+    asked = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
     if first == "end":
-        other.say(down(ref, 16))
+        other.send(down(ref, 16))
         world.pump()
-    world.viewer.say(asked)
+    world.viewer.send(asked)
     world.pump()
     if first != "end":
-        other.say(down(ref, 16))
-    world.until(lambda: [m for m in link.got if m["t"] == "down" and m["ref"] == ref])
+        other.send(down(ref, 16))
+    world.run_until(lambda: [m for m in connection.received if m["t"] == "down" and m["ref"] == ref])
     world.pump()
-    assert world.node.sessions.standing == 1 and world.told_of(ref) == []
+    assert world.node.sessions.established_count == 1 and world.messages_for(ref) == []
 
 
-def test_ends_of_unknown_ids_are_kept_within_a_bound(world: World) -> None:
-    for at in range(0, 3 * bounds.EARLY_ENDS, 100):
-        lines = [json.dumps(down(f"{at + n + 90000:016x}", 16)).encode() for n in range(100)]
-        world.viewer.say(b"\n".join(lines) + b"\n")
+def test_releases_of_unknown_refs_are_kept_within_a_limit(world: World) -> None:
+    for start in range(0, 3 * bounds.MAX_EARLY_RELEASES, 100):
+        lines = [json.dumps(down(f"{start + n + 90000:016x}", 16)).encode() for n in range(100)]
+        world.viewer.send(b"\n".join(lines) + b"\n")
         world.pump(2)
-    assert len(world.node.sessions.early) == bounds.EARLY_ENDS
+    assert len(world.node.sessions.early_releases) == bounds.MAX_EARLY_RELEASES
 
 
-def test_a_release_is_tried_again_where_its_connection_did_not_come_up(worlds: Callable[..., World]) -> None:
+def test_a_release_is_retried_after_a_failed_connect(worlds: Callable[..., World]) -> None:
     world = worlds(servers=1)
-    ref, server, link = world.play()
-    link.close()
-    world.until(lambda: not world.node.servers.by_id[server.name].links)
-    connect_s, world.node.servers.connect_s = world.node.servers.connect_s, 0.0
-    world.viewer.say(down(ref, 31))
-    world.until(lambda: world.node.servers.by_id[server.name].orders)
-    world.until(lambda: not world.node.servers.by_id[server.name].links)  # it was out of time at once
-    assert not [m for _, m in server.asked("down")]
-    world.node.servers.connect_s = connect_s
-    world.pass_s(bounds.RECONNECT_S + 2 * bounds.SWEEP_S)
-    world.until(lambda: [m for _, m in server.asked("down") if m["ref"] == ref])
+    ref, server, connection = world.establish_session()
+    connection.close()
+    world.run_until(lambda: not world.node.servers.by_id[server.name].connections)
+    connect_timeout_s, world.node.servers.connect_timeout_s = world.node.servers.connect_timeout_s, 0.0
+    world.viewer.send(down(ref, 31))
+    world.run_until(lambda: world.node.servers.by_id[server.name].pending_commands)
+    world.run_until(lambda: not world.node.servers.by_id[server.name].connections)  # it timed out at once
+    assert not [m for _, m in server.received_messages("down")]
+    world.node.servers.connect_timeout_s = connect_timeout_s
+    world.advance(bounds.RECONNECT_INTERVAL_S + 2 * bounds.SWEEP_INTERVAL_S)
+    world.run_until(lambda: [m for _, m in server.received_messages("down") if m["ref"] == ref])
 
 
-# stopping
+# Shutdown
 
 
-def stopping(world: World) -> float:
-    """SIGTERM has come; the time at which what is queued and unread is looked for the last time."""
+def stop_node(world: World) -> float:
+    """Stops the node; returns the time at which it reads queued connections and input for the last time."""
     world.loop.running = True
     world.node.stop()
-    end = next(t[0] for t in world.loop.timers if t[2].callback == world.node.end_when_answered)
-    world.pass_s(end - world.now - 0.01, 0.01)
+    end = next(entry[0] for entry in world.loop.timers if entry[2].callback == world.node.stop_when_answered)
+    world.advance(end - world.now - 0.01, 0.01)
     return end
 
 
-def test_what_the_kernel_has_accepted_at_the_end_is_answered(world: World) -> None:
-    """A connection in the queue, and a request unread on an old one, as the door closes."""
-    old = world.connect()
-    old.say({"t": "hb", "f": {}, "c": 0})
-    end = stopping(world)
+def test_connections_and_set_ups_in_the_kernel_at_shutdown_are_answered(world: World) -> None:
+    """When the listener closes, one connection is queued and one set-up is unread on an open connection."""
+    old = world.connect_viewer()
+    old.send({"t": "hb", "f": {}, "c": 0})
+    end = stop_node(world)
     late: list[Peer] = []
 
-    def come() -> None:  # a timer before the node's own, behind all reads of that pass
+    def arrive() -> None:  # from a timer before the node's own, after all reads of that pass
         late.append(Peer(socket.create_connection(world.address)))
-        late[0].say(world.new(ref="a" * 16))
-        old.say(world.new(ref="b" * 16))
+        late[0].send(world.make_set_up(ref="a" * 16))
+        old.send(world.make_set_up(ref="b" * 16))
 
-    world.loop.call_at(end - 1e-6, come)
+    world.loop.call_at(end - 1e-6, arrive)
     world.now = end
     world.loop.run_once(0.0)
     world.viewers += late
     for ref in ("a" * 16, "b" * 16):
-        _, link, _ = world.set_up(ref)
-        link.say(up(ref))
-        world.until(lambda ref=ref: world.told_of(ref, "up"))  # type: ignore[misc]
-    world.pass_s(0.2)
+        _, connection, _ = world.wait_for_set_up(ref)
+        connection.send(up(ref))
+        world.run_until(lambda ref=ref: world.messages_for(ref, "up"))  # type: ignore[misc]
+    world.advance(0.2)
     assert not world.loop.running
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(world.address)
 
 
-def test_an_answer_is_not_undone_by_what_comes_as_the_process_ends(world: World) -> None:
-    """A word of the viewer's comes behind the last read: a close with that unread is a reset."""
-    ref = world.ask("premium", left="4000")["ref"]
-    _, link, _ = world.set_up(ref)
-    stopping(world)
+def test_an_answer_is_not_lost_when_input_arrives_at_exit(world: World) -> None:
+    """A message of the viewer arrives after the last read: a plain close would then send a reset."""
+    ref = world.send_set_up("premium", left="4000")["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    stop_node(world)
     world.viewers.remove(world.viewer)
-    world.pass_s(0.1)
-    summary = world.node.summary
+    world.advance(0.1)
+    log_summary = world.node.log_summary
 
-    def last() -> None:
-        summary()
-        world.viewer.say({"t": "hb", "f": {}, "c": 0})
+    def log_and_send() -> None:
+        log_summary()
+        world.viewer.send({"t": "hb", "f": {}, "c": 0})
 
-    world.node.summary = last  # type: ignore[method-assign]
-    link.say(up(ref))
-    world.pass_s(0.3, 0.02)
+    world.node.log_summary = log_and_send  # type: ignore[method-assign]
+    connection.send(up(ref))
+    world.advance(0.3, 0.02)
     assert not world.loop.running
-    got, how = ending(world.viewer.sock)
-    assert b'"t":"up"' in got and how == "eof"
+    received, ending = read_to_end(world.viewer.sock)
+    assert b'"t":"up"' in received and ending == "eof"
 
 
-def test_words_that_wait_are_sent_before_the_end(worlds: Callable[..., World]) -> None:
-    """A release that waits for a connection which is coming up."""
+def test_waiting_commands_are_sent_before_the_exit(worlds: Callable[..., World]) -> None:
+    """A release waits for a connection that is being opened."""
     world = worlds(servers=1)
-    ref, server, link = world.play()
-    link.close()
-    world.until(lambda: not world.node.servers.by_id[server.name].links)
-    end = stopping(world)
-    world.loop.call_at(end - 1e-6, lambda: world.viewer.say(down(ref, 31)))
+    ref, server, connection = world.establish_session()
+    connection.close()
+    world.run_until(lambda: not world.node.servers.by_id[server.name].connections)
+    end = stop_node(world)
+    world.loop.call_at(end - 1e-6, lambda: world.viewer.send(down(ref, 31)))
     world.now = end
     world.loop.run_once(0.0)
     assert world.loop.running
-    world.pass_s(0.3)
-    world.until(lambda: [m for k, m in server.asked("down") if m["ref"] == ref])
+    world.advance(0.3)
+    world.run_until(lambda: [m for k, m in server.received_messages("down") if m["ref"] == ref])
 
 
 @pytest.mark.parametrize(("deadline_ms", "end_s"), [(400.0, 1.1), (1500.0, 2.2), (9000.0, 3.7)])
-def test_the_end_comes_before_the_kill_of_these_settings(
+def test_the_node_exits_before_sigkill(
     worlds: Callable[..., World], deadline_ms: float, end_s: float
 ) -> None:
-    told = settings()
-    for cls in told["classes"]:
+    settings = make_settings()
+    for cls in settings["classes"]:
         cls["hardLimit"] = deadline_ms
-    world = worlds(told=told)
+    world = worlds(settings=settings)
     world.loop.running = True
     world.node.stop()
-    world.pass_s(0.5)
-    refs = [world.ask("premium", left="400")["ref"]]
-    world.set_up(refs[0])
-    world.node.sessions.by_ref[refs[0]].deadline += 100  # nobody answers it
+    world.advance(0.5)
+    refs = [world.send_set_up("premium", left="400")["ref"]]
+    world.wait_for_set_up(refs[0])
+    world.node.sessions.by_ref[refs[0]].deadline += 100  # it stays unanswered
     attempt = world.node.sessions.by_ref[refs[0]].attempt
     assert attempt and attempt.timer
     attempt.timer.cancel()
-    world.pass_s(end_s - 0.5 - 0.1)
-    assert [m["c"] for m in world.told_of(refs[0])] == [47] and not world.loop.running
+    world.advance(end_s - 0.5 - 0.1)
+    assert [m["c"] for m in world.messages_for(refs[0])] == [47] and not world.loop.running
 
 
-# the configuration and the list
+# The configuration and the list
 
 
-def test_a_new_signal_has_all_its_tries(world: World, tmp_path: Path) -> None:
-    """A file that never came right had used them up: the next half-written one was never read again."""
+def test_each_reload_signal_has_the_full_number_of_attempts(world: World, tmp_path: Path) -> None:
+    """A file that never became valid used them up, and the next half-written file was not read again."""
     path = tmp_path / "config.json"
-    world.node.path = str(path)
+    world.node.config_path = str(path)
     path.write_text("{")
     world.node.reload()
-    world.pass_s(bounds.RELOAD_TRIES * bounds.RELOAD_AGAIN_S + 1)
+    world.advance(bounds.MAX_RELOAD_ATTEMPTS * bounds.RELOAD_RETRY_INTERVAL_S + 1)
     world.node.reload()
-    world.node.reload()  # twice at once: one chain of tries, not two
-    before = world.node.reload_tries
-    world.pass_s(1.0)
-    assert world.node.reload_tries - before <= 1.0 / bounds.RELOAD_AGAIN_S + 1
-    other = Names()
-    other.servers, other.seq = list(world.servers), 2
-    path.write_text(json.dumps({**world.told, "dns": f"127.0.0.1:{other.address[1]}"}))
-    world.pass_s(0.5)
+    world.node.reload()  # twice at once: one series of attempts, not two
+    attempts_before = world.node.reload_attempts
+    world.advance(1.0)
+    assert world.node.reload_attempts - attempts_before <= 1.0 / bounds.RELOAD_RETRY_INTERVAL_S + 1
+    other = FakeResolver()
+    other.servers, other.list_number = list(world.servers), 2
+    path.write_text(json.dumps({**world.config, "dns": f"127.0.0.1:{other.address[1]}"}))
+    world.advance(0.5)
     other.read()
-    assert other.asked
+    assert other.query_count
     other.sock.close()
 
 
-def test_an_empty_list_leaves_the_last_one_in_force(world: World) -> None:
-    """An answer of no records is what a resolver gives that lost its own source."""
-    ref, _, _ = world.play()
-    world.names.servers, world.names.seq = [], 5
-    world.pass_s(3.0)
-    assert len(world.node.listed) == 2 and world.told_of(ref, "down") == []
+def test_an_empty_list_is_ignored(world: World) -> None:
+    """A resolver that lost its own source returns a response without records."""
+    ref, _, _ = world.establish_session()
+    world.resolver.servers, world.resolver.list_number = [], 5
+    world.advance(3.0)
+    assert len(world.node.listed_servers) == 2 and world.messages_for(ref, "down") == []
     assert world.node.counts["resolver_empty"]
-    world.play()
-    world.names.servers, world.names.seq = [world.servers[0]], 6
-    world.pass_s(1.0)
-    assert set(world.node.listed) == {world.servers[0].name}
-
-
-def test_a_report_under_other_names_is_heard_from_an_answer(worlds: Callable[..., World]) -> None:
-    told = settings(report={"how": "answers", "fields": ["queue", "utilization"]})
-    world = worlds(servers=1, told=told)
-    ref = world.ask()["ref"]
-    _, link, _ = world.set_up(ref)
-    link.say({**up(ref), "f": {"load": "queue:3;utilization:0.5"}})
-    world.until(lambda: world.told_of(ref, "up"))
+    world.establish_session()
+    world.resolver.servers, world.resolver.list_number = [world.servers[0]], 6
+    world.advance(1.0)
+    assert set(world.node.listed_servers) == {world.servers[0].name}
+
+
+def test_an_answer_carries_a_load_report_with_configured_field_names(worlds: Callable[..., World]) -> None:
+    settings = make_settings(report={"how": "answers", "fields": ["queue", "utilization"]})
+    world = worlds(servers=1, settings=settings)
+    ref = world.send_set_up()["ref"]
+    _, connection, _ = world.wait_for_set_up(ref)
+    connection.send({**up(ref), "f": {"load": "queue:3;utilization:0.5"}})
+    world.run_until(lambda: world.messages_for(ref, "up"))
     (box,) = world.node.bridge.decider.boxes.values()  # type: ignore[attr-defined]
-    assert box.link.heard_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
+    assert box.connection.heard_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
 
 
-# what is read on the way to a write
+# Input that is read before a write
 
 
-def two_streams() -> dict[str, Any]:
-    return settings(caps={**settings()["caps"], "maxStreams": 2})
+def two_set_ups_per_connection() -> dict[str, Any]:
+    return make_settings(caps={**make_settings()["caps"], "maxStreams": 2})
 
 
 def note(ref: str) -> dict[str, Any]:
     return {"t": "tell", "ref": ref, "f": {"note": "l", "value": "0.5"}}
 
 
-def wait_for(mine: Any) -> None:
-    """What a peer has sent lies in the node's kernel."""
-    assert select.select([mine.stream.sock], [], [], 10)[0]
+def wait_until_readable(node_connection: Any) -> None:
+    """Waits until the bytes that a peer has sent are in the node's kernel."""
+    assert select.select([node_connection.stream.sock], [], [], 10)[0]
+
 
+def send_and_wait(node_connection: Any, peer: Peer, message: dict[str, Any]) -> None:
+    peer.send(message)
+    wait_until_readable(node_connection)
 
-def come(mine: Any, peer: Peer, word: dict[str, Any]) -> None:
-    peer.say(word)
-    wait_for(mine)
 
+@pytest.mark.parametrize("kind", ["end", "note"])
+def test_a_read_before_a_write_does_not_send_waiting_attempts_twice(
+    ordered_worlds: Callable[..., World], kind: str
+) -> None:
+    """The read before a write reports the end of another set-up, which sends the waiting attempts as well.
 
-@pytest.mark.parametrize("word", ["end", "note"])
-def test_what_a_look_brings_may_serve_what_waits(ordered: Callable[..., World], word: str) -> None:
-    """The look before a write hears of another set-up's end: those that wait went out twice over, over the
-    connection's room, or the second taker found nobody there."""
-    world = ordered(servers=1, told=two_streams())
-    other = world.connect()
-    standing, server, link = world.play()
+    They were sent twice, or beyond the connection's limit, or the outer call found none left.
+    """
+    world = ordered_worlds(servers=1, settings=two_set_ups_per_connection())
+    other = world.connect_viewer()
+    established, server, connection = world.establish_session()
     extras = [f"home:0;copies:4;viewer:{n + 500:016x}" for n in range(5)]
-    asked = [world.ask(viewer=other, extras=extras[0])["ref"], world.ask(extras=extras[1])["ref"]]
-    for ref in asked:
-        world.set_up(ref)
-    server.door.close()
-    waits = [world.ask(extras=more)["ref"] for more in extras[2:]]
-    at_server = world.node.servers.by_id[server.name]
-    mine = at_server.links[0]
-    world.until(lambda: len(at_server.waiting) == 3 and at_server.links == [mine])
-    other.say(down(asked[0], 16))  # its place is given away behind all reads of this pass
-    wait_for(next(v for v in world.node.viewers.links if asked[0] in v.open))
-    world.loop.call_soon(come, mine, link, up(asked[1]) if word == "end" else note(standing))
+    open_refs = [
+        world.send_set_up(viewer=other, extras=extras[0])["ref"],
+        world.send_set_up(extras=extras[1])["ref"],
+    ]
+    for ref in open_refs:
+        world.wait_for_set_up(ref)
+    server.listener.close()
+    waiting = [world.send_set_up(extras=fields)["ref"] for fields in extras[2:]]
+    node_server = world.node.servers.by_id[server.name]
+    node_connection = node_server.connections[0]
+    world.run_until(
+        lambda: len(node_server.waiting_attempts) == 3 and node_server.connections == [node_connection]
+    )
+    other.send(down(open_refs[0], 16))  # its place is taken after all reads of this pass
+    wait_until_readable(next(v for v in world.node.viewers.connections if open_refs[0] in v.open_sessions))
+    world.loop.call_soon(
+        send_and_wait, node_connection, connection, up(open_refs[1]) if kind == "end" else note(established)
+    )
     for _ in range(12):
         world.loop.run_once(0.0)
-        assert len(mine.open) <= 2
-    world.until(lambda: {m["ref"] for _, m in server.asked("new")} & set(waits))
+        assert len(node_connection.open_attempts) <= 2
+    world.run_until(lambda: {m["ref"] for _, m in server.received_messages("new")} & set(waiting))
     world.pump()
-    sent = [m["ref"] for _, m in server.asked("new") if m["ref"] in waits]
-    assert sent == waits[: 2 if word == "end" else 1]
+    sent = [m["ref"] for _, m in server.received_messages("new") if m["ref"] in waiting]
+    assert sent == waiting[: 2 if kind == "end" else 1]
 
 
-# words that a reset overtakes
+# Messages that a reset destroys
 
 
-@pytest.mark.parametrize("taken", [False, True], ids=["refused", "taken"])
-def test_a_viewers_release_that_a_reset_overtakes_is_said_again(
-    ordered: Callable[..., World], taken: bool
+@pytest.mark.parametrize("written", [False, True], ids=["write-failed", "written"])
+def test_a_viewers_release_that_a_reset_destroys_is_sent_again(
+    ordered_worlds: Callable[..., World], written: bool
 ) -> None:
-    """The kernel refused it, or took it and the reset came behind: its session played on for nobody."""
-    world = ordered(servers=1)
-    ref, server, link = world.play()
-    link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    if taken:
-        server.links.remove(link)  # read by nobody
-        world.viewer.say(down(ref, 31))
-        world.until(lambda: not world.node.sessions.standing)
-        link.close()
+    """The write failed, or a reset followed it: the session continued at the server without a viewer."""
+    world = ordered_worlds(servers=1)
+    ref, server, connection = world.establish_session()
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+    if written:
+        server.connections.remove(connection)  # not read from here on
+        world.viewer.send(down(ref, 31))
+        world.run_until(lambda: not world.node.sessions.established_count)
+        connection.close()
     else:
-        world.viewer.say(down(ref, 31))
-        link.close()
-    world.until(lambda: [m for _, m in server.asked("down") if m["ref"] == ref])
-    assert nothing_held(world)
-    world.pass_s(3.0)
-    assert len([m for _, m in server.asked("down")]) == 1
-
-
-def test_an_end_that_each_connection_takes_along_is_said_twice(world: World) -> None:
-    ref, server, link = world.play()
-    server.links.remove(link)
-    world.viewer.say(down(ref, 31))
-    world.until(lambda: not world.node.sessions.standing)
-    said = []
+        world.viewer.send(down(ref, 31))
+        connection.close()
+    world.run_until(lambda: [m for _, m in server.received_messages("down") if m["ref"] == ref])
+    assert no_state_left(world)
+    world.advance(3.0)
+    assert len([m for _, m in server.received_messages("down")]) == 1
+
+
+def test_a_release_lost_with_each_connection_is_sent_twice_at_most(world: World) -> None:
+    ref, server, connection = world.establish_session()
+    server.connections.remove(connection)
+    world.viewer.send(down(ref, 31))
+    world.run_until(lambda: not world.node.sessions.established_count)
+    repeated = []
     for _ in range(4):
-        link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-        link.close()
-        world.pass_s(1.5)
-        links = [k for k in server.links if not k.ended]
-        said += [m for k in links for m in k.got if m["t"] == "down"]
-        if not links:
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+        connection.close()
+        world.advance(1.5)
+        peers = [peer for peer in server.connections if not peer.closed]
+        repeated += [m for peer in peers for m in peer.received if m["t"] == "down"]
+        if not peers:
             break
-        link = links[0]
-    assert [m["ref"] for m in said] == [ref]
+        connection = peers[0]
+    assert [m["ref"] for m in repeated] == [ref]
 
 
-def test_an_answer_given_up_at_its_server_is_so_although_the_connection_breaks(
-    ordered: Callable[..., World],
+def test_a_give_up_at_the_server_survives_a_broken_connection(
+    ordered_worlds: Callable[..., World],
 ) -> None:
-    world = ordered(servers=1)
-    viewer = world.connect()
-    ref = world.ask(viewer=viewer)["ref"]
-    server, link, _ = world.set_up(ref)
-    server.links.remove(link)
-    link.say(up(ref))
+    world = ordered_worlds(servers=1)
+    viewer = world.connect_viewer()
+    ref = world.send_set_up(viewer=viewer)["ref"]
+    server, connection, _ = world.wait_for_set_up(ref)
+    server.connections.remove(connection)
+    connection.send(up(ref))
     viewer.close()
     world.pump()
-    link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    link.close()
-    world.until(lambda: [m for _, m in server.asked("down") if m["ref"] == ref])
-    assert nothing_held(world)
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+    connection.close()
+    world.run_until(lambda: [m for _, m in server.received_messages("down") if m["ref"] == ref])
+    assert no_state_left(world)
 
 
 @pytest.mark.parametrize("how", ["eof", "reset"])
-@pytest.mark.parametrize("when", ["before", "behind"])
-def test_a_release_whose_connection_breaks_goes_out_on_another(
-    ordered: Callable[..., World], how: str, when: str
+@pytest.mark.parametrize("when", ["before", "after"])
+def test_a_release_whose_connection_breaks_is_sent_on_another(
+    ordered_worlds: Callable[..., World], how: str, when: str
 ) -> None:
-    """Nobody else would ever tell the viewer that its session is over."""
-    world = ordered(servers=1)
-    world.play(extras="home:0;copies:4;viewer:00000000000000ac")  # the other connection is proven
-    own = world.connect()
-    ref, _, link = world.play(viewer=own)
-    world.viewers.remove(own)  # reads nothing from here on
-    if when == "behind":
-        link.say(down(ref, 16))
-        world.until(lambda: world.node.sessions.standing == 1)
-    leave(world, own, ref, how)
+    """The viewer would never learn that its session has ended."""
+    world = ordered_worlds(servers=1)
+    world.establish_session(
+        extras="home:0;copies:4;viewer:00000000000000ac"
+    )  # the other connection is proven
+    own = world.connect_viewer()
+    ref, _, connection = world.establish_session(viewer=own)
+    world.viewers.remove(own)  # not read from here on
+    if when == "after":
+        connection.send(down(ref, 16))
+        world.run_until(lambda: world.node.sessions.established_count == 1)
+    end_set_up(world, own, ref, how)
     if when == "before":
-        link.say(down(ref, 16))
-    world.until(lambda: world.told_of(ref, "down"))
-    world.pass_s(1.0)
-    assert len([m for m in world.viewer.got if m.get("ref") == ref]) == 1
+        connection.send(down(ref, 16))
+    world.run_until(lambda: world.messages_for(ref, "down"))
+    world.advance(1.0)
+    assert len([m for m in world.viewer.received if m.get("ref") == ref]) == 1
     world.viewers.append(own)
 
 
-@pytest.mark.parametrize("heard", ["ack", "late"])
-def test_a_release_that_was_heard_is_said_once(world: World, heard: str) -> None:
-    world.play(extras="home:0;copies:4;viewer:00000000000000ac")
-    own = world.connect()
-    ref, _, link = world.play(viewer=own)
-    link.say(down(ref, 16))
-    world.until(lambda: world.told_of(ref, "down"))
-    if heard == "ack":
-        own.say({"t": "ack", "ref": ref, "f": {}})
+@pytest.mark.parametrize("case", ["ack", "late"])
+def test_a_release_that_has_arrived_is_sent_once(world: World, case: str) -> None:
+    world.establish_session(extras="home:0;copies:4;viewer:00000000000000ac")
+    own = world.connect_viewer()
+    ref, _, connection = world.establish_session(viewer=own)
+    connection.send(down(ref, 16))
+    world.run_until(lambda: world.messages_for(ref, "down"))
+    if case == "ack":
+        own.send({"t": "ack", "ref": ref, "f": {}})
         world.pump()
     else:
-        world.pass_s(bounds.OVERTAKEN_S + 0.1)
+        world.advance(bounds.RESEND_WINDOW_S + 0.1)
     own.close()
-    world.pass_s(1.0)
-    assert not [m for m in world.viewer.got if m.get("ref") == ref]
+    world.advance(1.0)
+    assert not [m for m in world.viewer.received if m.get("ref") == ref]
 
 
-def test_releases_kept_until_they_are_heard_are_few(world: World) -> None:
-    """A viewer that acknowledges nothing: those that have arrived are forgotten as new ones come."""
-    mine = next(iter(world.node.viewers.links))
+def test_the_number_of_unacknowledged_releases_is_limited(world: World) -> None:
+    """A viewer acknowledges nothing: releases that have arrived are forgotten when new ones are sent."""
+    node_connection = next(iter(world.node.viewers.connections))
     for n in range(100):
-        mine.release(f"{n:016x}", b"{}\n")
-        world.pass_s(0.1)
-    assert len(mine.releases) <= 12
+        node_connection.send_release(f"{n:016x}", b"{}\n")
+        world.advance(0.1)
+    assert len(node_connection.unacknowledged_releases) <= 12
 
 
-def test_a_release_for_a_server_that_is_listed_only_then_reaches_it(world: World) -> None:
-    """It was dropped with the server's entry, which nothing else held."""
-    late = Server("s-0000000f", 2)
+def test_a_release_reaches_a_server_that_is_listed_later(world: World) -> None:
+    """The release was dropped together with the server's entry, which had no other reason to exist."""
+    late = FakeServer("s-0000000f", 2)
     world.servers.append(late)
-    ref = world.ask(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
+    ref = world.send_set_up(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
     world.pump()
-    world.viewer.say(down(ref, 31))
-    world.pass_s(0.5)
-    assert nothing_held(world)
-    world.names.servers, world.names.seq = list(world.servers), 2
-    world.pass_s(2.0)
-    assert [m["ref"] for _, m in late.asked("down")] == [ref]
-
-
-def test_a_server_that_leaves_the_list_as_a_session_ends_there_hears_of_it(world: World) -> None:
-    """The close behind the word met a note unread: a reset, which overtook it."""
-    ref, server, link = world.play()
-    world.names.servers = [s for s in world.servers if s is not server]
-    server.links.remove(link)
-    at_server = world.node.servers.by_id[server.name]
-    at_server.listed = False  # its last session keeps the entry
-    del world.node.listed[server.name]
-    world.viewer.say(down(ref, 31))
-    handle = world.node.sessions.viewer_down
-
-    def behind(*told: Any) -> None:
-        come(at_server.links[0], link, note(ref))
-        handle(*told)
-
-    world.node.viewers.on_down = behind
-    world.until(lambda: server.name not in world.node.servers.by_id)
-    world.pass_s(0.1)
-    got, how = ending(link.sock)
-    assert b'"t":"down","ref":"%s"' % ref.encode() in got and how == "eof"
-    link.close()
-
-
-def test_an_idle_close_reads_first_what_lies_there(worlds: Callable[..., World]) -> None:
-    """The end of a session was lost with the connection, its viewer never told."""
-    world = worlds(servers=1, told=one_stream())
-    refs = [world.ask(extras=f"home:0;copies:4;viewer:{n + 500:016x}")["ref"] for n in range(2)]
-    links = []
+    world.viewer.send(down(ref, 31))
+    world.advance(0.5)
+    assert no_state_left(world)
+    world.resolver.servers, world.resolver.list_number = list(world.servers), 2
+    world.advance(2.0)
+    assert [m["ref"] for _, m in late.received_messages("down")] == [ref]
+
+
+def test_a_server_that_leaves_the_list_gets_the_release_of_its_last_session(world: World) -> None:
+    """The close after the release found an unread note and sent a reset, which destroyed the release."""
+    ref, server, connection = world.establish_session()
+    world.resolver.servers = [s for s in world.servers if s is not server]
+    server.connections.remove(connection)
+    node_server = world.node.servers.by_id[server.name]
+    node_server.listed = False  # its last session keeps the entry
+    del world.node.listed_servers[server.name]
+    world.viewer.send(down(ref, 31))
+    handle = world.node.sessions.on_viewer_down
+
+    def send_note_first(*arguments: Any) -> None:
+        send_and_wait(node_server.connections[0], connection, note(ref))
+        handle(*arguments)
+
+    world.node.viewers.on_down = send_note_first
+    world.run_until(lambda: server.name not in world.node.servers.by_id)
+    world.advance(0.1)
+    received, ending = read_to_end(connection.sock)
+    assert b'"t":"down","ref":"%s"' % ref.encode() in received and ending == "eof"
+    connection.close()
+
+
+def test_unread_input_is_read_before_an_idle_close(worlds: Callable[..., World]) -> None:
+    """The release of a session was lost with the connection, and its viewer never received it."""
+    world = worlds(servers=1, settings=one_set_up_per_connection())
+    refs = [world.send_set_up(extras=f"home:0;copies:4;viewer:{n + 500:016x}")["ref"] for n in range(2)]
+    peers = []
     for ref in refs:
-        server, link, _ = world.set_up(ref)
-        link.say(up(ref))
-        links.append(link)
-    world.until(lambda: world.node.sessions.standing == 2)
-    at_server = world.node.servers.by_id[server.name]
-    assert len(at_server.links) == 2
-    mine = next(k for k in at_server.links if k.stream.sock.getsockname() == links[0].sock.getpeername())
-    mine.used -= world.node.servers.idle_s
+        server, connection, _ = world.wait_for_set_up(ref)
+        connection.send(up(ref))
+        peers.append(connection)
+    world.run_until(lambda: world.node.sessions.established_count == 2)
+    node_server = world.node.servers.by_id[server.name]
+    assert len(node_server.connections) == 2
+    node_connection = next(
+        k for k in node_server.connections if k.stream.sock.getsockname() == peers[0].sock.getpeername()
+    )
+    node_connection.last_used_at -= world.node.servers.idle_timeout_s
     due = next(t[0] for t in sorted(world.loop.timers) if t[2].callback == world.node.sweep)
-    # Behind all reads of that pass.
-    world.loop.call_at(due - 1e-6, come, mine, links[0], down(refs[0], 16))
+    # After all reads of that pass.
+    world.loop.call_at(due - 1e-6, send_and_wait, node_connection, peers[0], down(refs[0], 16))
     world.now = due
     world.loop.run_once(0.0)
-    world.until(lambda: [m["c"] for m in world.told_of(refs[0], "down")] == [16])
+    world.run_until(lambda: [m["c"] for m in world.messages_for(refs[0], "down")] == [16])
 
 
-def test_a_release_that_waits_is_sent_at_the_end(world: World) -> None:
-    """It waited for a connection that is proven; at the end any that stands is better."""
-    ref, _, link = world.play()
+def test_a_waiting_release_is_sent_at_shutdown(world: World) -> None:
+    """It waits for a proven connection; at shutdown any open connection is better than none."""
+    ref, _, connection = world.establish_session()
     world.viewer.close()
-    fresh = world.connect()
-    fresh.say({"t": "hb", "f": {}, "c": 0})
+    unproven = world.connect_viewer()
+    unproven.send({"t": "hb", "f": {}, "c": 0})
     world.pump()
-    end = stopping(world)
-    world.pass_s(end - 1e-6 - world.now)
-    link.say(down(ref, 16))
-    world.until(lambda: world.node.viewers.waiting)
-    world.pass_s(0.3, 0.02)
+    end = stop_node(world)
+    world.advance(end - 1e-6 - world.now)
+    connection.send(down(ref, 16))
+    world.run_until(lambda: world.node.viewers.waiting_releases)
+    world.advance(0.3, 0.02)
     assert not world.loop.running
     world.pump(3)
-    assert [m["c"] for m in fresh.got if m.get("ref") == ref] == [16]
+    assert [m["c"] for m in unproven.received if m.get("ref") == ref] == [16]
 
 
 @pytest.mark.parametrize("how", ["eof", "reset"])
-def test_a_server_that_drains_refuses_and_plays_on(worlds: Callable[..., World], how: str) -> None:
-    """It closed its connection in order, took no new one, and the list told late that it drains: its sessions
-    were released while they stood. A process that ends resets its connections: its sessions are over."""
+def test_sessions_of_a_draining_server_that_refuses_connections_continue(
+    worlds: Callable[..., World], how: str
+) -> None:
+    """The server closed its connection in order and refused new ones before the list reported the draining.
+
+    Its sessions were released although they continued. A process that ends resets its connections instead,
+    and its sessions are over.
+    """
     world = worlds(servers=1)
-    ref, server, link = world.play()
-    server.door.close()
+    ref, server, connection = world.establish_session()
+    server.listener.close()
     if how == "reset":
-        link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    link.close()
-    world.pass_s(1.5)
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+    connection.close()
+    world.advance(1.5)
     assert world.node.counts["link_refused_new"]
     if how == "reset":
-        assert [m["c"] for m in world.told_of(ref, "down")] == [41]
+        assert [m["c"] for m in world.messages_for(ref, "down")] == [41]
         return
-    assert world.told_of(ref, "down") == [] and world.node.sessions.standing == 1
-    world.pass_s(bounds.LOST_AFTER_S)  # nothing will ever tell of its end
-    assert [m["c"] for m in world.told_of(ref, "down")] == [41] and nothing_held(world)
+    assert world.messages_for(ref, "down") == [] and world.node.sessions.established_count == 1
+    world.advance(bounds.SERVER_LOST_AFTER_S)  # its end could not be reported any more
+    assert [m["c"] for m in world.messages_for(ref, "down")] == [41] and no_state_left(world)
 
 
-def test_a_release_that_cannot_be_written_tells_of_the_leaving(ordered: Callable[..., World]) -> None:
-    """The look before a write hears of the end of another session of its viewer's; that the release found
-    nobody there was known, and the set-up was sent on all the same."""
-    world = ordered(servers=1)
-    viewer = world.connect()
-    ref, server, link = world.play(viewer=viewer)
-    at_node = world.node.sessions.by_ref[ref].viewer
-    assert at_node
-    mine = world.node.servers.by_id[server.name].links[0]
+def test_a_failed_write_of_a_release_prevents_sending_on_for_the_same_viewer(
+    ordered_worlds: Callable[..., World],
+) -> None:
+    """The read before a write reports the end of another session of the same viewer.
+
+    Writing the release failed, so the disconnect was known, but the set-up was sent on even so.
+    """
+    world = ordered_worlds(servers=1)
+    viewer = world.connect_viewer()
+    ref, server, connection = world.establish_session(viewer=viewer)
+    node_viewer = world.node.sessions.by_ref[ref].viewer
+    assert node_viewer
+    node_connection = world.node.servers.by_id[server.name].connections[0]
 
     def act() -> None:
-        viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         viewer.close()
         poll = select.poll()
-        poll.register(at_node.stream.sock, select.POLLERR)
+        poll.register(node_viewer.stream.sock, select.POLLERR)
         assert poll.poll(10_000)
-        come(mine, link, down(ref, 16))
+        send_and_wait(node_connection, connection, down(ref, 16))
 
-    at_call(world, act)
-    again = world.ask(viewer=viewer, extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
-    world.until(lambda: world.node.counts["given_up"])
-    world.pass_s(1.0)
-    assert again not in [m["ref"] for _, m in server.asked("new")] and nothing_held(world)
+    act_during_decision(world, act)
+    again = world.send_set_up(viewer=viewer, extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
+    world.run_until(lambda: world.node.counts["given_up"])
+    world.advance(1.0)
+    assert again not in [m["ref"] for _, m in server.received_messages("new")] and no_state_left(world)
 
 
 @pytest.mark.parametrize("how", ["eof", "reset"])
-def test_silence_on_a_new_connection_ends_sessions_only_behind_a_reset(
+def test_silence_on_a_new_connection_ends_sessions_only_after_a_reset(
     worlds: Callable[..., World], how: str
 ) -> None:
-    """Idle, the server closed in order; a new connection came up and nothing was to be said for a while: the
-    session was released while it stood. Behind a reset another process may have the address."""
+    """The server closed an idle connection in order, and the new connection carried no message for a while.
+
+    The session was released although it continued. After a reset another process may have the address.
+    """
     world = worlds(servers=1)
-    ref, server, link = world.play()
-    world.pass_s(0.5)
+    ref, server, connection = world.establish_session()
+    world.advance(0.5)
     if how == "reset":
-        link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-    link.close()
-    world.until(lambda: not world.node.servers.by_id[server.name].links)
-    world.pass_s(1.0)
-    world.until(lambda: any(k.up for k in world.node.servers.by_id[server.name].links))
-    world.pass_s(8.0)
-    assert [m["c"] for m in world.told_of(ref, "down")] == ([41] if how == "reset" else [])
+        connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+    connection.close()
+    world.run_until(lambda: not world.node.servers.by_id[server.name].connections)
+    world.advance(1.0)
+    world.run_until(lambda: any(k.connected for k in world.node.servers.by_id[server.name].connections))
+    world.advance(8.0)
+    assert [m["c"] for m in world.messages_for(ref, "down")] == ([41] if how == "reset" else [])
--- a/tests/node/test_rude.py
+++ b/tests/node/test_rude.py
@@ -1,4 +1,4 @@
-"""Viewers that do harm get an error or a close, soon, and take nothing from the others."""
+"""Abusive viewers get an error or a close within the time limit and do not affect other viewers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lemonhall.node import bounds
 from tests.node.world import Peer, World
 
-BAD_LINES = [
+INVALID_LINES = [
     b"noise\n",
     b"\xff\xff\xff\n",
     b"[]\n",
@@ -23,120 +23,130 @@
 ]
 
 
-def ended(world: World, viewer: Peer) -> Callable[[], bool]:
-    return lambda: viewer.ended or any(m["t"] == "down" for m in viewer.got)
+def rejected(world: World, viewer: Peer) -> Callable[[], bool]:
+    return lambda: viewer.closed or any(m["t"] == "down" for m in viewer.received)
 
 
-@pytest.mark.parametrize("data", BAD_LINES, ids=lambda d: repr(d[:20]))
-def test_what_cannot_be_read_closes_its_own_connection_alone(world: World, data: bytes) -> None:
-    rude = world.connect()
-    rude.say(data)
-    world.until(lambda: rude.ended)
-    world.play()
+@pytest.mark.parametrize("data", INVALID_LINES, ids=lambda d: repr(d[:20]))
+def test_an_unreadable_line_closes_only_its_own_connection(world: World, data: bytes) -> None:
+    abuser = world.connect_viewer()
+    abuser.send(data)
+    world.run_until(lambda: abuser.closed)
+    world.establish_session()
 
 
-def test_bad_figures_get_an_error_and_no_server_hears_of_them(world: World) -> None:
-    rude = world.connect()
-    bad = [world.new("nobody"), world.new(left="-1"), world.new(tenant="x"), world.new(key="?")]
-    for message in bad[:2]:
-        rude.say(message)
-    world.until(lambda: len(rude.got) == 2)
-    assert [m["c"] for m in rude.got] == [100, 100]
-    for message in bad[2:]:
-        rude.say(message)
-    world.until(lambda: rude.ended)  # and with too many of them, a close
-    assert all(not s.asked("new") for s in world.servers)
+def test_invalid_fields_get_an_error_and_are_not_forwarded(world: World) -> None:
+    abuser = world.connect_viewer()
+    invalid = [
+        world.make_set_up("nobody"),
+        world.make_set_up(left="-1"),
+        world.make_set_up(tenant="x"),
+        world.make_set_up(key="?"),
+    ]
+    for message in invalid[:2]:
+        abuser.send(message)
+    world.run_until(lambda: len(abuser.received) == 2)
+    assert [m["c"] for m in abuser.received] == [100, 100]
+    for message in invalid[2:]:
+        abuser.send(message)
+    world.run_until(lambda: abuser.closed)  # too many of them: the connection is closed
+    assert all(not server.received_messages("new") for server in world.servers)
 
 
 @pytest.mark.parametrize("start", [b"", b'{"t":"new","ref":'])
-def test_silent_and_half_said_are_closed_within_three_seconds(world: World, start: bytes) -> None:
-    rude = world.connect()
-    rude.say(start)
-    world.pass_s(2.9)
-    assert rude.ended and not world.viewer.got
-    assert not world.node.viewers.links  # also the usual one that has said nothing: it may come again
-
-
-def test_an_id_that_is_open_is_nobodys_second_answer(world: World) -> None:
-    asked = world.ask()
-    _, link, _ = world.set_up(asked["ref"])
-    rude = world.connect()
-    rude.say({**asked, "d": "v=0 another"})
-    world.until(lambda: rude.ended)
-    assert rude.got == []
-    link.say({"t": "up", "ref": asked["ref"], "f": {}, "d": "v=0 mine"})
-    world.until(lambda: world.told_of(asked["ref"]))
-    assert [m["d"] for m in world.told_of(asked["ref"])] == ["v=0 mine"]
-
-
-def test_bad_figures_under_somebody_elses_id_get_no_word(world: World) -> None:
-    asked = world.ask()
-    world.set_up(asked["ref"])
-    rude = world.connect()
-    rude.say(world.new("nobody", ref=asked["ref"]))
-    world.until(lambda: rude.ended)
-    assert rude.got == [] and world.told_of(asked["ref"]) == []
-
-
-def test_a_stranger_cannot_give_up_what_another_asked(world: World) -> None:
-    asked = world.ask()
-    world.set_up(asked["ref"])
-    rude = world.connect()
-    rude.say({"t": "down", "ref": asked["ref"], "f": {}, "c": 16})
+def test_silent_and_incomplete_connections_are_closed_within_three_seconds(
+    world: World, start: bytes
+) -> None:
+    abuser = world.connect_viewer()
+    abuser.send(start)
+    world.advance(2.9)
+    assert abuser.closed and not world.viewer.received
+    # The ordinary viewer is closed too, because it has sent nothing; it may reconnect.
+    assert not world.node.viewers.connections
+
+
+def test_a_ref_in_use_gets_no_second_answer(world: World) -> None:
+    set_up = world.send_set_up()
+    _, connection, _ = world.wait_for_set_up(set_up["ref"])
+    abuser = world.connect_viewer()
+    abuser.send({**set_up, "d": "v=0 another"})
+    world.run_until(lambda: abuser.closed)
+    assert abuser.received == []
+    connection.send({"t": "up", "ref": set_up["ref"], "f": {}, "d": "v=0 mine"})
+    world.run_until(lambda: world.messages_for(set_up["ref"]))
+    assert [m["d"] for m in world.messages_for(set_up["ref"])] == ["v=0 mine"]
+
+
+def test_invalid_fields_under_a_foreign_ref_get_no_answer(world: World) -> None:
+    set_up = world.send_set_up()
+    world.wait_for_set_up(set_up["ref"])
+    abuser = world.connect_viewer()
+    abuser.send(world.make_set_up("nobody", ref=set_up["ref"]))
+    world.run_until(lambda: abuser.closed)
+    assert abuser.received == [] and world.messages_for(set_up["ref"]) == []
+
+
+def test_a_viewer_cannot_give_up_a_foreign_set_up(world: World) -> None:
+    set_up = world.send_set_up()
+    world.wait_for_set_up(set_up["ref"])
+    abuser = world.connect_viewer()
+    abuser.send({"t": "down", "ref": set_up["ref"], "f": {}, "c": 16})
     world.pump()
-    assert asked["ref"] in world.node.sessions.by_ref
+    assert set_up["ref"] in world.node.sessions.by_ref
 
 
-def test_hundreds_taken_back_at_once_leave_nothing(world: World) -> None:
-    rude = world.connect()
+def test_hundreds_of_set_ups_given_up_at_once_leave_no_state(world: World) -> None:
+    abuser = world.connect_viewer()
     lines = b""
     for n in range(400):
-        message = world.new(ref=f"{n + 5000:016x}")
+        message = world.make_set_up(ref=f"{n + 5000:016x}")
         lines += json.dumps(message).encode() + b"\n"
         lines += json.dumps({"t": "down", "ref": message["ref"], "f": {}, "c": 16}).encode() + b"\n"
-    for at in range(0, len(lines), 16000):
-        rude.say(lines[at : at + 16000])
+    for start in range(0, len(lines), 16000):
+        abuser.send(lines[start : start + 16000])
         world.pump(3)
     world.pump()
-    assert world.node.sessions.by_ref == {} and all(not s.waiting for s in world.node.servers.by_id.values())
-    world.play()
-
-
-def test_hundreds_at_once_on_one_connection_are_bounded(
-    world: World, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(bounds, "OPEN_A_CONNECTION", 8)
-    rude = world.connect()
-    rude.say(b"".join(json.dumps(world.new(ref=f"{n + 5000:016x}")).encode() + b"\n" for n in range(40)))
-    world.until(lambda: rude.ended)
+    assert world.node.sessions.by_ref == {} and all(
+        not server.waiting_attempts for server in world.node.servers.by_id.values()
+    )
+    world.establish_session()
+
+
+def test_open_set_ups_per_connection_are_limited(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(bounds, "MAX_OPEN_SET_UPS", 8)
+    abuser = world.connect_viewer()
+    abuser.send(
+        b"".join(json.dumps(world.make_set_up(ref=f"{n + 5000:016x}")).encode() + b"\n" for n in range(40))
+    )
+    world.run_until(lambda: abuser.closed)
     assert (world.node.counts["asked"], world.node.counts["bad_id"]) == (8, 1)
-    assert world.node.open == 0  # what it had open was given up
-    world.play(viewer=world.connect())
+    assert world.node.open_set_up_count == 0  # its open set-ups were given up
+    world.establish_session(viewer=world.connect_viewer())
 
 
-def test_connections_by_the_hundred_leave_room_for_the_usual(worlds: Callable[..., World]) -> None:
+def test_hundreds_of_connections_leave_room_for_ordinary_viewers(worlds: Callable[..., World]) -> None:
     world = worlds(sockets=64)
-    ref, _, link = world.play()
-    crowd = [world.connect() for _ in range(100)]
-    assert len(world.node.viewers.links) <= 64 * bounds.VIEWERS_PART
-    assert sum(not v.ended for v in crowd) < 64 * bounds.VIEWERS_PART
-    assert not world.viewer.ended  # it has a session: those without make way
-    world.play()
-    link.say({"t": "down", "ref": ref, "f": {}, "c": 16})
-    world.until(lambda: world.told_of(ref, "down"))
+    ref, _, connection = world.establish_session()
+    connections = [world.connect_viewer() for _ in range(100)]
+    assert len(world.node.viewers.connections) <= 64 * bounds.VIEWER_DESCRIPTORS_SHARE
+    assert sum(not viewer.closed for viewer in connections) < 64 * bounds.VIEWER_DESCRIPTORS_SHARE
+    assert not world.viewer.closed  # it has a session; connections without one are evicted first
+    world.establish_session()
+    connection.send({"t": "down", "ref": ref, "f": {}, "c": 16})
+    world.run_until(lambda: world.messages_for(ref, "down"))
 
 
 def test_a_viewer_that_reads_nothing_is_closed(world: World) -> None:
-    rude = world.connect()
-    world.viewers.remove(rude)  # nobody reads it
-    rude.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+    abuser = world.connect_viewer()
+    world.viewers.remove(abuser)  # its socket is not read from here on
+    abuser.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     counts = world.node.counts
-    for _ in range(5000):  # it ends, also where the node would end the connection for another reason
+    for _ in range(5000):  # bounded, in case the connection ends for another reason
         if counts["viewer_reads_nothing"]:
             break
         with suppress(OSError):
-            rude.sock.send(b'{"t":"hb","f":{},"c":0}\n' * 600)
+            abuser.sock.send(b'{"t":"hb","f":{},"c":0}\n' * 600)
         world.pump(1)
     assert counts["viewer_reads_nothing"]
-    rude.sock.close()
-    world.play()
+    abuser.sock.close()
+    world.establish_session()
--- a/tests/node/world.py
+++ b/tests/node/world.py
@@ -1,4 +1,4 @@
-"""A node in this process on a clock of the test's own, with small stand-ins for all that it talks to."""
+"""A node in this process on a clock that the test controls, with small fakes of all its peers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import dns.message
 import dns.rrset
 
-from lemonhall.front.node.process import Node
+from lemonhall.front.node.process import FrontNode
 from lemonhall.loop import Loop
 from lemonhall.node import configuration
 
@@ -20,9 +20,9 @@
 CLASSES = ("premium", "plain")
 
 
-def settings(**more: Any) -> dict[str, Any]:
-    """Settings under the simulator's names: a class that is paid for, one that is not."""
-    made: dict[str, Any] = {
+def make_settings(**overrides: Any) -> dict[str, Any]:
+    """Settings under the simulator's names, with one paid and one unpaid class."""
+    settings: dict[str, Any] = {
         "areas": ["east", "west"],
         "machineTypes": ["std"],
         "caps": {
@@ -69,115 +69,123 @@
             "toldLate": 900.0,
         },
     }
-    made.update(more)
-    return made
+    settings.update(overrides)
+    return settings
 
 
-class Order:
-    """A selector that gives what is ready in one pass as `arrange` puts it."""
+class ReorderingSelector:
+    """A selector that returns the ready sockets of a pass in the order that `reorder` chooses."""
 
-    def __init__(self, inner: Any, arrange: Callable[[list[Any]], list[Any]]) -> None:
-        self.inner, self.arrange = inner, arrange
+    def __init__(self, inner: Any, reorder: Callable[[list[Any]], list[Any]]) -> None:
+        self.inner, self.reorder = inner, reorder
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
-    def select(self, wait_s: float) -> list[Any]:
-        return self.arrange(self.inner.select(wait_s))
+    def select(self, timeout_s: float) -> list[Any]:
+        return self.reorder(self.inner.select(timeout_s))
 
 
 class Peer:
-    """A socket that speaks lines; `got` holds what came, unread ones first. `acks`: it says what it heard."""
+    """A client socket for JSON lines; `received` holds the messages read so far.
 
-    def __init__(self, sock: socket.socket, acks: bool = False) -> None:
-        self.sock, self.kept, self.got = sock, b"", list[dict[str, Any]]()
-        self.ended, self.acks = False, acks
-        self.name = sock.getsockname()
+    With `acknowledges` it acknowledges each release.
+    """
+
+    def __init__(self, sock: socket.socket, acknowledges: bool = False) -> None:
+        self.sock, self.buffer, self.received = sock, b"", list[dict[str, Any]]()
+        self.closed, self.acknowledges = False, acknowledges
+        self.address = sock.getsockname()
         sock.setblocking(False)
 
     def read(self) -> None:
-        while not self.ended:
+        while not self.closed:
             try:
                 data = self.sock.recv(65536)
             except BlockingIOError:
                 break
             except OSError:
                 data = b""
-            self.ended = not data
-            self.kept += data
-        *lines, self.kept = self.kept.split(b"\n")
-        told = [json.loads(line) for line in lines]
-        self.got += told
-        for message in told if self.acks and not self.ended else []:
+            self.closed = not data
+            self.buffer += data
+        *lines, self.buffer = self.buffer.split(b"\n")
+        messages = [json.loads(line) for line in lines]
+        self.received += messages
+        for message in messages if self.acknowledges and not self.closed else []:
             if message["t"] == "down":
-                self.say({"t": "ack", "ref": message["ref"], "f": {}})
+                self.send({"t": "ack", "ref": message["ref"], "f": {}})
 
-    def say(self, data: bytes | dict[str, Any]) -> None:
+    def send(self, data: bytes | dict[str, Any]) -> None:
         self.sock.sendall(data if isinstance(data, bytes) else json.dumps(data).encode() + b"\n")
 
     def close(self) -> None:
         self.sock.close()
-        self.ended = True
+        self.closed = True
 
 
-class Server:
-    """A media server: what it was asked, and the connection of each set-up."""
+class FakeServer:
+    """A media server that records what it receives on each connection."""
 
     def __init__(self, name: str, cell: int) -> None:
         self.name, self.cell = name, cell
-        self.door = socket.create_server(("127.0.0.1", 0))
-        self.door.setblocking(False)
-        self.port = self.door.getsockname()[1]
-        self.links: list[Peer] = []
-        self.draining, self.started, self.refuses = False, 0, False
+        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener.setblocking(False)
+        self.port = self.listener.getsockname()[1]
+        self.connections: list[Peer] = []
+        self.draining, self.started_ms, self.refusing = False, 0, False
 
     def read(self) -> None:
         while True:
             try:
-                self.links.append(Peer(self.door.accept()[0]))
+                self.connections.append(Peer(self.listener.accept()[0]))
             except OSError:
                 break
-        for link in self.links:
-            if not link.ended:
-                link.read()
-
-    def asked(self, kind: str) -> list[tuple[Peer, dict[str, Any]]]:
-        return [(link, m) for link in self.links for m in link.got if m["t"] == kind]
-
-    def refuse(self) -> None:
-        """Keeps the port, so that nobody else has it when it serves again."""
-        self.door.close()
-        self.door = socket.socket()
-        self.door.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.door.setblocking(False)
-        self.door.bind(("127.0.0.1", self.port))
-        self.refuses = True
-
-    def serve(self) -> None:
-        self.door.listen()
-        self.refuses = False
-
-    def die(self) -> None:
-        """Refuses connections and resets those that stand."""
-        self.door.close()
-        for link in self.links:
-            if not link.ended:
-                link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-                link.close()
-
-
-class Names:
-    """The resolver: answers each question with the list, or as `spoil` makes it."""
+        for connection in self.connections:
+            if not connection.closed:
+                connection.read()
+
+    def received_messages(self, kind: str) -> list[tuple[Peer, dict[str, Any]]]:
+        return [
+            (connection, message)
+            for connection in self.connections
+            for message in connection.received
+            if message["t"] == kind
+        ]
+
+    def refuse_connections(self) -> None:
+        """Keeps the port bound, so that it is still free when the server listens again."""
+        self.listener.close()
+        self.listener = socket.socket()
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listener.setblocking(False)
+        self.listener.bind(("127.0.0.1", self.port))
+        self.refusing = True
+
+    def listen(self) -> None:
+        self.listener.listen()
+        self.refusing = False
+
+    def kill(self) -> None:
+        """Refuses new connections and resets the open ones."""
+        self.listener.close()
+        for connection in self.connections:
+            if not connection.closed:
+                connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+                connection.close()
+
+
+class FakeResolver:
+    """The resolver: answers each query with the server list, passed through `alter_response`."""
 
     def __init__(self) -> None:
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.sock.bind(("127.0.0.1", 0))
         self.sock.setblocking(False)
         self.address = self.sock.getsockname()
-        self.seq = 1
-        self.servers: list[Server] = []
-        self.asked = 0
-        self.spoil: Callable[[bytes], bytes | None] = lambda data: data
+        self.list_number = 1
+        self.servers: list[FakeServer] = []
+        self.query_count = 0
+        self.alter_response: Callable[[bytes], bytes | None] = lambda data: data
 
     def read(self) -> None:
         while True:
@@ -185,161 +193,185 @@
                 data, peer = self.sock.recvfrom(4096)
             except OSError:
                 return
-            self.asked += 1
-            if (out := self.spoil(answer(data, self.seq, self.servers))) is not None:
-                self.sock.sendto(out, peer)
-
-
-def answer(query: bytes, seq: int, servers: list[Server]) -> bytes:
-    """As dnspython writes it, names compressed."""
-    made = dns.message.make_response(dns.message.from_wire(query))
-    made.flags |= dns.flags.AA
-    soa = f"ns.cluster.lan. root.cluster.lan. {seq} 1 1 1 1"
-    made.authority.append(dns.rrset.from_text("cluster.lan.", 1, "IN", "SOA", soa))
-    lines = [f"{int(s.draining)} 10 {s.port} {s.name}.east.hosts." for s in servers]
-    if lines:
-        made.answer.append(dns.rrset.from_text(SERVICE, 1, "IN", "SRV", *lines))
-    for s in servers:
-        host = f"{s.name}.east.hosts."
-        made.additional.append(dns.rrset.from_text(host, 1, "IN", "A", "127.0.0.1"))
-        words = f'"kind=std" "cell={s.cell}" "started={s.started}"'
-        made.additional.append(dns.rrset.from_text(host, 1, "IN", "TXT", words))
-    return made.to_wire(max_size=65535)
+            self.query_count += 1
+            if (
+                response := self.alter_response(build_response(data, self.list_number, self.servers))
+            ) is not None:
+                self.sock.sendto(response, peer)
+
+
+def build_response(query: bytes, list_number: int, servers: list[FakeServer]) -> bytes:
+    """A response written by dnspython, with compressed names."""
+    response = dns.message.make_response(dns.message.from_wire(query))
+    response.flags |= dns.flags.AA
+    soa = f"ns.cluster.lan. root.cluster.lan. {list_number} 1 1 1 1"
+    response.authority.append(dns.rrset.from_text("cluster.lan.", 1, "IN", "SOA", soa))
+    targets = [f"{int(server.draining)} 10 {server.port} {server.name}.east.hosts." for server in servers]
+    if targets:
+        response.answer.append(dns.rrset.from_text(SERVICE, 1, "IN", "SRV", *targets))
+    for server in servers:
+        host = f"{server.name}.east.hosts."
+        response.additional.append(dns.rrset.from_text(host, 1, "IN", "A", "127.0.0.1"))
+        fields = f'"kind=std" "cell={server.cell}" "started={server.started_ms}"'
+        response.additional.append(dns.rrset.from_text(host, 1, "IN", "TXT", fields))
+    return response.to_wire(max_size=65535)
 
 
 class World:
+    """The node, its fake peers and the clock; tests run all of them step by step."""
+
     def __init__(
         self,
         servers: int = 2,
         sockets: int = 256,
-        told: dict[str, Any] | None = None,
+        settings: dict[str, Any] | None = None,
         resolver_answers: bool = True,
-        acks: bool = False,
+        acknowledges: bool = False,
     ) -> None:
         self.now = 1000.0
-        self.acks = acks
-        self.handed: set[str] = set()  # sessions that were handed over: nobody is owed an answer
-        self.names = Names()
+        self.acknowledges = acknowledges
+        self.handed_over_refs: set[str] = set()  # handed-over sessions, which get no answer
+        self.resolver = FakeResolver()
         if not resolver_answers:
-            self.names.spoil = lambda data: None
-        self.servers = [Server(f"s-{n:08x}", n) for n in range(servers)]
-        self.names.servers = list(self.servers)
+            self.resolver.alter_response = lambda data: None
+        self.servers = [FakeServer(f"s-{n:08x}", n) for n in range(servers)]
+        self.resolver.servers = list(self.servers)
         self.loop = Loop(clock=lambda: self.now)
-        self.told = config(self.servers, self.names.address, sockets, told)
-        read = configuration.read(json.dumps(self.told), "config.json")
-        self.node = Node(self.loop, read, "config.json")
-        self.node.fault = self.faulty  # type: ignore[method-assign]
-        self.loop.on_error = self.faulty
+        self.config = make_configuration(self.servers, self.resolver.address, sockets, settings)
+        parsed = configuration.parse_configuration(json.dumps(self.config), "config.json")
+        self.node = FrontNode(self.loop, parsed, "config.json")
+        self.node.on_callback_error = self.raise_error  # type: ignore[method-assign]
+        self.loop.on_error = self.raise_error
         self.viewers: list[Peer] = []
-        self.refs = 0
+        self.ref_count = 0
         listener = self.node.viewers.listener
         assert listener
         self.address = listener.getsockname()
-        self.pass_s(1.0)  # the resolver has answered, no server is taken for cold
-        self.viewer = self.connect()
+        self.advance(1.0)  # the resolver has answered, so no server counts as cold
+        self.viewer = self.connect_viewer()
 
-    def faulty(self, error: Exception) -> None:
+    def raise_error(self, error: Exception) -> None:
         raise error
 
-    def connect(self) -> Peer:
-        made = Peer(socket.create_connection(self.address), self.acks)
-        self.viewers.append(made)
+    def connect_viewer(self) -> Peer:
+        viewer = Peer(socket.create_connection(self.address), self.acknowledges)
+        self.viewers.append(viewer)
         self.pump()
-        return made
+        return viewer
 
-    def pump(self, turns: int = 12) -> None:
-        for _ in range(turns):
+    def pump(self, passes: int = 12) -> None:
+        """Runs the node and all peers for some passes of the loop."""
+        for _ in range(passes):
             self.loop.run_once(0.0)
-            self.names.read()
+            self.resolver.read()
             for server in self.servers:
                 server.read()
             for viewer in self.viewers:
                 viewer.read()
 
-    def until(self, true: Callable[[], object]) -> None:
-        """Runs all parties until it is so; the clock of the node stands still meanwhile."""
+    def run_until(self, condition: Callable[[], object]) -> None:
+        """Runs the node and all peers until the condition holds; the node's clock does not advance."""
         limit = time.monotonic() + 10
-        while not true():
-            assert time.monotonic() < limit, "never came to be"
+        while not condition():
+            assert time.monotonic() < limit, "the condition did not become true"
             self.loop.run_once(0.0005)
             self.pump(1)
 
-    def pass_s(self, seconds: float, step: float = 0.05) -> None:
-        """Time goes on in steps, so that what is due is due in its order."""
+    def advance(self, seconds: float, step: float = 0.05) -> None:
+        """Advances the clock in steps, so that timers run in their order."""
         end = self.now + seconds
         while self.now < end:
             self.now = min(end, self.now + step)
             self.pump(2)
 
-    def new(self, cls: str = "plain", ref: str = "", **more: Any) -> dict[str, Any]:
-        self.refs += 1
+    def make_set_up(self, cls: str = "plain", ref: str = "", **overrides: Any) -> dict[str, Any]:
+        self.ref_count += 1
         fields = {"class": cls, "tenant": "acme", "left": "1500", "key": f"{7:016x}"}
         fields["extras"] = "home:0;copies:4;top:2;viewer:00000000000000aa"
-        fields.update(more)
-        return {"t": "new", "ref": ref or f"{self.refs:016x}", "f": fields, "d": "v=0\r\nc=IN IP4 10.4.7.9"}
-
-    def ask(self, cls: str = "plain", viewer: Peer | None = None, **more: Any) -> dict[str, Any]:
-        made = self.new(cls, **more)
-        (viewer or self.viewer).say(made)
-        return made
-
-    def set_up(self, ref: str) -> tuple[Server, Peer, dict[str, Any]]:
-        """The set-up of an id at a server, once it is there: the newest."""
-        found: list[tuple[Server, Peer, dict[str, Any]]] = []
+        fields.update(overrides)
+        return {
+            "t": "new",
+            "ref": ref or f"{self.ref_count:016x}",
+            "f": fields,
+            "d": "v=0\r\nc=IN IP4 10.4.7.9",
+        }
 
-        def came() -> bool:
-            found[:] = [(s, k, m) for s in self.servers for k, m in s.asked("new") if m["ref"] == ref]
+    def send_set_up(self, cls: str = "plain", viewer: Peer | None = None, **overrides: Any) -> dict[str, Any]:
+        message = self.make_set_up(cls, **overrides)
+        (viewer or self.viewer).send(message)
+        return message
+
+    def wait_for_set_up(self, ref: str) -> tuple[FakeServer, Peer, dict[str, Any]]:
+        """Waits until the set-up arrives at a server; returns the newest: server, connection, message."""
+        found: list[tuple[FakeServer, Peer, dict[str, Any]]] = []
+
+        def arrived() -> bool:
+            found[:] = [
+                (server, connection, message)
+                for server in self.servers
+                for connection, message in server.received_messages("new")
+                if message["ref"] == ref
+            ]
             return bool(found)
 
-        self.until(came)
+        self.run_until(arrived)
         return found[-1]
 
-    def play(self, cls: str = "plain", **more: Any) -> tuple[str, Server, Peer]:
-        ref = self.ask(cls, **more)["ref"]
-        server, link, _ = self.set_up(ref)
-        link.say({"t": "up", "ref": ref, "f": {}, "d": f"v=0 {ref}"})
-        self.until(lambda: self.told_of(ref, "up"))
-        return ref, server, link
-
-    def told_of(self, ref: str, kind: str = "") -> list[dict[str, Any]]:
-        """What viewers were told under an id."""
-        return [m for v in self.viewers for m in v.got if m.get("ref") == ref and kind in ("", m["t"])]
+    def establish_session(self, cls: str = "plain", **overrides: Any) -> tuple[str, FakeServer, Peer]:
+        ref = self.send_set_up(cls, **overrides)["ref"]
+        server, connection, _ = self.wait_for_set_up(ref)
+        connection.send({"t": "up", "ref": ref, "f": {}, "d": f"v=0 {ref}"})
+        self.run_until(lambda: self.messages_for(ref, "up"))
+        return ref, server, connection
+
+    def messages_for(self, ref: str, kind: str = "") -> list[dict[str, Any]]:
+        """What viewers received under a ref."""
+        return [
+            message
+            for viewer in self.viewers
+            for message in viewer.received
+            if message.get("ref") == ref and kind in ("", message["t"])
+        ]
 
     def close(self) -> None:
         self.node.resolver.close()
         self.node.viewers.stop_listening()
         for handler in [
-            *self.node.viewers.links,
-            *(k for s in self.node.servers.by_id.values() for k in s.links),
+            *self.node.viewers.connections,
+            *(connection for server in self.node.servers.by_id.values() for connection in server.connections),
         ]:
             handler.stream.detach()
-        for sock in [*(s.door for s in self.servers), self.names.sock, *(v.sock for v in self.viewers)]:
+        for sock in [
+            *(server.listener for server in self.servers),
+            self.resolver.sock,
+            *(viewer.sock for viewer in self.viewers),
+        ]:
             sock.close()
         for server in self.servers:
-            for link in server.links:
-                link.sock.close()
+            for connection in server.connections:
+                connection.sock.close()
         self.loop.close()
 
 
-def config(
-    servers: list[Server],
+def make_configuration(
+    servers: list[FakeServer],
     resolver: tuple[str, int],
     sockets: int = 256,
-    told: dict[str, Any] | None = None,
+    settings: dict[str, Any] | None = None,
     listen: str = "127.0.0.1:0",
 ) -> dict[str, Any]:
     entries = [
         {
-            "id": s.name,
-            "addr": f"127.0.0.1:{s.port}",
+            "id": server.name,
+            "addr": f"127.0.0.1:{server.port}",
             "zone": "east",
             "kind": "std",
-            "cell": s.cell,
+            "cell": server.cell,
             "state": "up",
             "weight": 1,
             "started_ms": 0,
         }
-        for s in servers
+        for server in servers
     ]
     return {
         "name": "n0",
@@ -352,5 +384,5 @@
             "seq": 1,
             "results": [{"seq": 1, "fleet": {"version": 1, "full": True, "servers": entries}}],
         },
-        "settings": told or settings(),
+        "settings": settings or make_settings(),
     }
