--- a/lemonhall/front/node/log.py
+++ b/lemonhall/front/node/log.py
@@ -20,7 +20,7 @@
         self.written: Counter[str] = Counter()
         self.left_out: Counter[str] = Counter()
 
-    def write(self, event: str, **fields: object) -> None:
+    def emit(self, event: str, **fields: object) -> None:
         now = time.time()
         if int(now) != self.second:
             self.second = int(now)
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -53,17 +53,17 @@
             max_note_interval_s,
             int(config.max_descriptors * bounds.SERVER_DESCRIPTORS_SHARE),
             self.counts,
-            log.write,
+            log.emit,
         )
         self.viewers = ViewerConnections(
             loop,
             config.names,
             int(config.max_descriptors * bounds.VIEWER_DESCRIPTORS_SHARE),
             self.counts,
-            log.write,
+            log.emit,
         )
         self.sessions = Sessions(
-            loop, self.bridge, settings, self.servers, self.viewers, self.counts, log.write
+            loop, self.bridge, settings, self.servers, self.viewers, self.counts, log.emit
         )
         self.viewers.is_known_ref = self.sessions.by_ref.__contains__
         self.viewers.is_serving = self.is_serving
@@ -72,7 +72,7 @@
         self.stopping_since: float | None = None
         self.reload_attempts = 0
         self.reload_timer: Timer | None = None
-        self.shutdown_timeout_s = bounds.shutdown_timeout_s(max(config.names.deadlines_ms) / 1000)
+        self.stop_timeout_s = bounds.shutdown_timeout_s(max(config.names.deadlines_ms) / 1000)
         loop.on_error = self.on_callback_error
         loop.end_of_pass_callbacks.append(self.flush_events)
         self.report_list(interface.ListKind.CACHED, config.list_number, tuple(config.servers.values()), ())
@@ -84,7 +84,7 @@
             self.random,
             self.on_list,
             self.counts,
-            log.write,
+            log.emit,
         )
         self.viewers.listen(config.listen_address)
         self.sweep()
@@ -106,7 +106,7 @@
         while trace and trace.tb_next:
             trace = trace.tb_next
         where = f"{trace.tb_frame.f_code.co_filename}:{trace.tb_lineno}" if trace else ""
-        log.write("fault", error=f"{type(error).__name__}: {error}", where=where)
+        log.emit("fault", error=f"{type(error).__name__}: {error}", where=where)
 
     def set_timer(self, action: interface.SetTimer) -> None:
         self.loop.call_later(action.after_ms / 1000, self.bridge.tell, interface.TimerDue(action.token))
@@ -144,7 +144,7 @@
                 # are its own, because a connection may reach it before the list reports it.
                 server.lose_sessions("restarted", entry.started_ms / 1000 - self.clock_offset_s)
             if server.established_sessions and (moved or not server.connections):
-                server.connect()
+                server.open_connection()
             state = interface.ServerState.DRAINING if entry.draining else interface.ServerState.READY
             reported.append(self.make_server(entry, server.number, state))
         for entry in removed:
@@ -152,7 +152,7 @@
             if kind is interface.ListKind.CHANGES:  # a whole list reports it by omission
                 server = self.servers.get_or_add(entry.id)
                 reported.append(self.make_server(entry, server.number, interface.ServerState.GONE))
-        log.write("list", number=list_number, kind=kind.name.lower(), changed=len(changed), gone=len(removed))
+        log.emit("list", number=list_number, kind=kind.name.lower(), changed=len(changed), gone=len(removed))
         self.bridge.tell(interface.ServerList(kind, list_number, tuple(reported)))
         # After the report, so that the decider sees these sessions end on a server that is gone.
         for entry in removed:
@@ -187,21 +187,21 @@
                 config = configuration.parse_configuration(file.read(), self.config_path)
         except (OSError, ValueError, BadInput) as error:
             self.reload_attempts += 1
-            log.write("configuration not taken", why=str(error), tries=self.reload_attempts)
+            log.emit("configuration not taken", why=str(error), tries=self.reload_attempts)
             if self.reload_attempts < bounds.MAX_RELOAD_ATTEMPTS:
                 self.reload_timer = self.loop.call_later(
                     bounds.RELOAD_RETRY_INTERVAL_S, self.read_configuration
                 )
             return
         self.counts["reloads"] += 1
-        log.write("configuration taken", dns=config.resolver_address)
+        log.emit("configuration taken", dns=config.resolver_address)
         self.resolver.change_address(config.resolver_address)
 
     def stop(self) -> None:
         """From here on heartbeats fail; requests that still arrive are accepted for a while and answered."""
         if self.stopping_since is None:
             self.stopping_since = self.loop.now()
-            log.write("stopping", open=self.open_set_up_count, standing=self.sessions.established_count)
+            log.emit("stopping", open=self.open_set_up_count, standing=self.sessions.established_count)
             self.loop.call_later(bounds.ACCEPT_AFTER_TERM_S, self.stop_when_answered)
 
     @property
@@ -226,7 +226,7 @@
             viewer.read_pending()
         if (
             self.open_set_up_count or self.has_unsent_messages
-        ) and self.loop.now() - self.stopping_since < self.shutdown_timeout_s:
+        ) and self.loop.now() - self.stopping_since < self.stop_timeout_s:
             self.loop.call_later(bounds.SHUTDOWN_POLL_INTERVAL_S, self.stop_when_answered)
             return
         self.sessions.fail_open_set_ups()
@@ -255,7 +255,7 @@
     def log_summary(self) -> None:
         self.loop.call_later(SUMMARY_INTERVAL_S, self.log_summary)
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        log.write(
+        log.emit(
             "summary",
             open=self.open_set_up_count,
             standing=self.sessions.established_count,
@@ -307,6 +307,6 @@
         return EXIT_BAD_INPUT
     gc.collect()
     gc.freeze()
-    log.write("serving", name=config.name, listen=config.listen_address, servers=len(config.servers))
+    log.emit("serving", name=config.name, listen=config.listen_address, servers=len(config.servers))
     loop.run()
     return 0
--- a/lemonhall/front/node/servers.py
+++ b/lemonhall/front/node/servers.py
@@ -129,7 +129,7 @@
         self.waiting_attempts.append(attempt)
         self.send_waiting_attempts()
         if attempt in self.waiting_attempts:
-            self.connect()
+            self.open_connection()
 
     def usable_connection(self) -> ServerConnection | None:
         now, owner = self.owner.loop.now(), self.owner
@@ -158,7 +158,7 @@
             left_ms = min(left_ms, (attempt.timer.when - self.owner.loop.now()) * 1000)
         connection.send_set_up(attempt, messages.encode_set_up(session.set_up, left_ms, session.rung))
 
-    def connect(self) -> None:
+    def open_connection(self) -> None:
         """Opens one connection at a time, until the waiting attempts have enough."""
         if (
             any(not connection.connected for connection in self.connections)
@@ -187,7 +187,7 @@
             connection.send_command(ref, kind, line)
         self.send_waiting_attempts()
         if self.waiting_attempts:
-            self.connect()
+            self.open_connection()
 
     def send_waiting_attempts(self) -> None:
         """Sends waiting attempts while a connection has room.
@@ -255,7 +255,7 @@
         elif self.waiting_attempts:
             self.send_waiting_attempts()
             if self.waiting_attempts:
-                self.connect()
+                self.open_connection()
 
     def fail_waiting_attempts(self) -> None:
         """Ends the attempts that wait for a connection: they provably never ran."""
@@ -308,7 +308,7 @@
                 return
         self.pending_commands[ref, kind] = line
         self.command_queued_at = self.owner.loop.now()
-        self.connect()
+        self.open_connection()
 
     def add_session(self, session: Session) -> None:
         if not self.established_sessions:
@@ -342,7 +342,7 @@
         if (
             self.waiting_attempts or self.pending_commands
         ) and now - self.connect_started_at > bounds.RECONNECT_INTERVAL_S:
-            self.connect()  # the last connect failed or took too long
+            self.open_connection()  # the last connect failed or took too long
         for connection in list(self.connections):
             if self.is_idle(connection, now):
                 if not self.established_sessions or any(
@@ -352,7 +352,7 @@
                     if connection.stream.read_pending() and self.is_idle(connection, now):
                         connection.stream.close()
                 elif not any(not other.connected for other in self.connections):
-                    self.connect()  # the idle connection is closed once its replacement is up
+                    self.open_connection()  # the idle connection is closed once its replacement is up
         if not self.established_sessions:
             return
         silence_s = now - self.last_message_at
@@ -360,7 +360,7 @@
         if (
             probe_due or not self.connections
         ) and now - self.connect_started_at > bounds.RECONNECT_INTERVAL_S:
-            self.connect()  # whether it succeeds shows whether the machine is alive
+            self.open_connection()  # whether it succeeds shows whether the machine is alive
         # A machine that vanished sends nothing and accepts no connection. If connections were reset and only
         # a new one came up, another process may have taken the address: without a message that is treated
         # the same. A server that was never listed has no address, so the end of a session that was handed
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -56,7 +56,7 @@
         # Releases of unknown refs: when, from which server (empty: from a viewer), the cause.
         self.early_releases: dict[str, tuple[float, str, int]] = {}
         viewers.on_set_up, viewers.on_down, viewers.on_disconnected = (
-            self.on_set_up,
+            self.accept_set_up,
             self.on_viewer_down,
             self.on_viewer_disconnected,
         )
@@ -65,7 +65,7 @@
             self.on_server_down,
             self.on_server_note,
         )
-        servers.on_attempt_ended, servers.on_session_lost = self.on_attempt_ended, self.on_session_lost
+        servers.on_attempt_ended, servers.on_session_lost = self.end_attempt, self.end_lost_session
         bridge.carry_out.update(
             {
                 interface.SetUp: self.start_attempt,
@@ -79,7 +79,7 @@
 
     # Messages from viewers
 
-    def on_set_up(self, viewer: ViewerConnection, set_up: NewSetUp) -> bool:
+    def accept_set_up(self, viewer: ViewerConnection, set_up: NewSetUp) -> bool:
         """False: the ref belongs to another session, so the sender gets no answer under it."""
         known = self.by_ref.get(set_up.ref)
         if set_up.playing_at:
@@ -141,7 +141,7 @@
             )
         )
         if not server.connections:
-            server.connect()  # the session's notes and release arrive on a connection of ours
+            server.open_connection()  # the session's notes and release arrive on a connection of ours
 
     def apply_early_release(self, session: Session, server: MediaServer) -> bool:
         """Forwards a release that arrived before the hand-over, on another connection, to the other side."""
@@ -278,7 +278,7 @@
         if attempt:
             del connection.open_attempts[down.ref]
             attempt.connection = None
-            self.on_attempt_ended(attempt, outcome_before_answer(down.cause), down.load)
+            self.end_attempt(attempt, outcome_before_answer(down.cause), down.load)
             return
         session = self.by_ref.get(down.ref)
         if session is None:
@@ -311,7 +311,7 @@
             interface.Note(session.number, session.attempt.number, server_number, note.kind, note.value)
         )
 
-    def on_attempt_ended(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
+    def end_attempt(self, attempt: Attempt, outcome: Outcome, load: tuple[float, ...] = ()) -> None:
         """The end of an attempt that did not establish the session; ignored if it is not the current one."""
         session = attempt.session
         if session.attempt is not attempt or session.established:
@@ -330,9 +330,9 @@
     def on_attempt_timeout(self, attempt: Attempt) -> None:
         """A set-up that was never sent is reported as a failed connection: it provably did not run."""
         may_have_run = self.stop_waiting(attempt)
-        self.on_attempt_ended(attempt, Outcome.TIMEOUT if may_have_run else Outcome.CONNECT_FAILED)
+        self.end_attempt(attempt, Outcome.TIMEOUT if may_have_run else Outcome.CONNECT_FAILED)
 
-    def on_session_lost(self, session: Session) -> None:
+    def end_lost_session(self, session: Session) -> None:
         """The server is gone, and the session with it."""
         self.viewers.release_session(session, messages.encode_down(session.ref, CONNECTION_LOST))
         self.end(session, Outcome.RESET)
@@ -437,7 +437,7 @@
         attempt = session.attempt if session and not session.established else None
         if attempt and attempt.number == action.attempt:
             may_have_run = self.stop_waiting(attempt)
-            self.on_attempt_ended(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
+            self.end_attempt(attempt, Outcome.CANCELLED if may_have_run else Outcome.MOOT)
 
     def fail_open_set_ups(self) -> None:
         """Fails open set-ups before SIGKILL arrives, so that none goes unanswered."""
--- a/tests/node/running.py
+++ b/tests/node/running.py
@@ -1,4 +1,4 @@
-"""Runs a node as a process; this process plays its servers, resolver and viewer."""
+"""Runs a node as a process; this process plays its servers, fake_resolver and viewer."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     """A node process with two fake servers and a fake resolver."""
 
     def __init__(self, folder: Path, command: list[str] | None = None, **env: str) -> None:
-        self.resolver, self.servers = FakeResolver(), [FakeServer(f"s-{n:08x}", n) for n in range(2)]
-        self.resolver.servers = list(self.servers)
+        self.fake_resolver, self.servers = FakeResolver(), [FakeServer(f"s-{n:08x}", n) for n in range(2)]
+        self.fake_resolver.servers = list(self.servers)
         self.path = folder / "config.json"
         self.address = ("127.0.0.1", free_port())
         self.other_resolvers: list[FakeResolver] = []
-        self.write_configuration(self.resolver)
+        self.write_configuration(self.fake_resolver)
         self.log = open(folder / "log", "w+")  # noqa: SIM115
         env = {**os.environ, "PROXY_CONFIG": str(self.path), **env}
         self.child = subprocess.Popen(command or NODE_COMMAND, cwd=ROOT, env=env, stderr=self.log)
@@ -38,7 +38,9 @@
 
     def write_configuration(self, resolver: FakeResolver) -> None:
         listen = f"127.0.0.1:{self.address[1]}"
-        self.path.write_text(json.dumps(make_configuration(self.servers, resolver.address, listen=listen)))
+        self.path.write_text(
+            json.dumps(make_configuration(self.servers, fake_resolver.address, listen=listen))
+        )
 
     def connect_viewer(self) -> bool:
         try:
@@ -48,8 +50,8 @@
         return True
 
     def pump(self) -> None:
-        for resolver in [self.resolver, *self.other_resolvers]:
-            resolver.read()
+        for fake_resolver in [self.fake_resolver, *self.other_resolvers]:
+            fake_resolver.read()
         for server in self.servers:
             server.read()
         if self.viewer:
@@ -63,11 +65,11 @@
                 empty_selector.select(0.002)
                 self.pump()
 
-    def send_set_up(self, ref: str) -> dict[str, Any]:
+    def request_set_up(self, ref: str) -> dict[str, Any]:
         assert self.viewer
         fields = {"class": "plain", "tenant": "acme", "left": "3000", "key": f"{7:016x}"}
         fields["extras"] = "home:0;copies:4;top:2;viewer:00000000000000aa"
-        self.viewer.send({"t": "new", "ref": ref, "f": fields, "d": "v=0"})
+        self.viewer.send_data({"t": "new", "ref": ref, "f": fields, "d": "v=0"})
         found: list[tuple[Peer, dict[str, Any]]] = []
 
         def arrived() -> bool:
@@ -83,7 +85,7 @@
         return {"connection": found[-1][0], "ref": ref}
 
     def answer(self, set_up: dict[str, Any]) -> None:
-        set_up["connection"].send({"t": "up", "ref": set_up["ref"], "f": {}, "d": "v=0"})
+        set_up["connection"].send_data({"t": "up", "ref": set_up["ref"], "f": {}, "d": "v=0"})
         viewer = self.viewer
         assert viewer
         self.run_until(lambda: any(message.get("ref") == set_up["ref"] for message in viewer.received))
@@ -97,7 +99,7 @@
         self.child.wait()
         self.log.close()
         for sock in [
-            *(resolver.sock for resolver in [self.resolver, *self.other_resolvers]),
-            *(server.listener for server in self.servers),
+            *(fake_resolver.sock for fake_resolver in [self.fake_resolver, *self.other_resolvers]),
+            *(server.listen_socket for server in self.servers),
         ]:
             sock.close()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -114,7 +114,7 @@
         set_ups += [(connection, ref) for connection in connections for ref in sorted(world.handed_over_refs)]
         if step in ("ask", "pay"):
             viewer = next((peer for peer in world.viewers if not peer.closed), None) or world.connect_viewer()
-            world.send_set_up("premium" if step == "pay" else "plain", viewer=viewer, key=f"{n:016x}")
+            world.request_set_up("premium" if step == "pay" else "plain", viewer=viewer, key=f"{n:016x}")
         elif step == "wait":
             world.advance(0.1 * (n + 1))
         elif step == "leave" and n == 0:
@@ -123,16 +123,16 @@
             for viewer in world.viewers:
                 if not viewer.closed:
                     ref = f"{max(1, world.ref_count - n):016x}"
-                    viewer.send({"t": "down", "ref": ref, "f": {}, "c": 16})
+                    viewer.send_data({"t": "down", "ref": ref, "f": {}, "c": 16})
         elif set_ups and step not in ("leave", "give up"):
             connection, ref = set_ups[-1 - n % len(set_ups)]
             if step == "up" and ref not in world.handed_over_refs:
-                connection.send({"t": "up", "ref": ref, "f": {}, "d": "v=0"})
+                connection.send_data({"t": "up", "ref": ref, "f": {}, "d": "v=0"})
             elif step == "noise":
-                connection.send(b"noise\n")
+                connection.send_data(b"noise\n")
             else:
                 cause = causes.get(step, 16 if step == "end" else 41)
-                connection.send({"t": "down", "ref": ref, "f": {}, "c": cause})
+                connection.send_data({"t": "down", "ref": ref, "f": {}, "c": cause})
         if pump:
             world.pump(3)
 
@@ -159,7 +159,7 @@
     found = []
     for viewer in world.node.viewers.connections:
         try:
-            if viewer.stream.sock.getpeername() == peer.address:
+            if viewer.stream.sock.getpeername() == peer.local_address:
                 found.append(viewer.stream.sock)
         except OSError:  # a reset has arrived, or it is closed
             continue
@@ -194,7 +194,7 @@
         self.sent: Counter[str] = Counter()  # set-ups written to streams, whether or not the kernel took them
         self.sent_when_left: dict[str, int] = {}  # of set-ups whose viewer has left
         self.viewer_of: dict[str, Peer] = {}
-        self.listener = world.servers[0].listener
+        self.listen_socket = world.servers[0].listen_socket
         self.hanging = False
 
     def run_batch(self, batch: list[tuple[str, int]]) -> None:
@@ -237,7 +237,9 @@
             viewer = viewers[n % len(viewers)]
             cls = "premium" if event == "pay" else "plain"
             extras = f"home:0;copies:4;top:2;viewer:{world.ref_count:016x}"
-            viewer_of[world.send_set_up(cls, viewer=viewer, key=f"{n:016x}", extras=extras)["ref"]] = viewer
+            viewer_of[world.request_set_up(cls, viewer=viewer, key=f"{n:016x}", extras=extras)["ref"]] = (
+                viewer
+            )
         elif event == "connect":
             world.viewers.append(Peer(socket.create_connection(world.address), True))
         elif event in ("give up", "release") and (
@@ -245,8 +247,8 @@
         ):
             ref = refs[-1 - n % len(refs)]
             cause = 16 if event == "give up" else 31
-            viewer_of[ref].send({"t": "down", "ref": ref, "f": {}, "c": cause})
-            wait_until_delivered(self.viewer_of[ref])
+            viewer_of[ref].send_data({"t": "down", "ref": ref, "f": {}, "c": cause})
+            wait_until_delivered(viewer_of[ref])
             self.mark_left([ref])
         elif event in ("leave", "reset viewer") and viewers:
             viewer = viewers[n % len(viewers)]
@@ -265,24 +267,24 @@
         elif event == "hand over" and viewers:
             at = world.servers[n % 2].name
             extras = f"viewer:{world.ref_count:016x};at:{at}"
-            ref = world.send_set_up(viewer=viewers[n % len(viewers)], extras=extras)["ref"]
+            ref = world.request_set_up(viewer=viewers[n % len(viewers)], extras=extras)["ref"]
             world.handed_over_refs.add(ref)
         elif event == "gone":
-            world.resolver.servers = world.servers[: 1 + (len(world.resolver.servers) == 1)]
-            world.resolver.list_number += 1
+            world.fake_resolver.servers = world.servers[: 1 + (len(world.fake_resolver.servers) == 1)]
+            world.fake_resolver.list_number += 1
         elif event == "restart":
             world.servers[1].started_ms = int(world.node.bridge.now_ms())
-            world.resolver.list_number += 1
+            world.fake_resolver.list_number += 1
         elif event == "list":
             world.servers[0].draining = not world.servers[0].draining
-            world.resolver.list_number += 1
-        elif event == "hang" and world.servers[0].listener.fileno() >= 0:
+            world.fake_resolver.list_number += 1
+        elif event == "hang" and world.servers[0].listen_socket.fileno() >= 0:
             # Connections hang: the kernel queues them, and nobody accepts them.
             self.hanging = not self.hanging
-            world.servers[0].listener = socket.socket() if self.hanging else self.listener
+            world.servers[0].listen_socket = socket.socket() if self.hanging else self.listen_socket
         elif event == "refuse":
             server = world.servers[1]
-            (server.listen if server.refusing else server.refuse_connections)()
+            (server.start_listening if server.refusing else server.refuse_connections)()
         elif event == "hup":
             world.node.reload()
         elif event == "wait":
@@ -313,10 +315,10 @@
         for batch in batches:
             crossing.run_batch(batch)
     if crossing.hanging:
-        world.servers[0].listener = crossing.listener
+        world.servers[0].listen_socket = crossing.listen_socket
     for server in world.servers:
         if server.refusing:
-            server.listen()
+            server.start_listening()
     return {
         ref: viewer
         for ref, viewer in crossing.viewer_of.items()
--- a/tests/node/test_deploy.py
+++ b/tests/node/test_deploy.py
@@ -85,7 +85,7 @@
     assert run.startswith("exec ") and not set(run) & set(";&|`$(")
     process = NodeProcess(tmp_path, ["/bin/sh", "-c", run], **watched(tmp_path))
     try:
-        process.answer(process.send_set_up("a" * 16))
+        process.answer(process.request_set_up("a" * 16))
         pid = process.child.pid  # the shell's number is the node's, since it ended by exec
         proc = Path(f"/proc/{pid}")
         assert b"lemonhall.front.node" in (proc / "cmdline").read_bytes()
@@ -97,7 +97,7 @@
         assert not [h for h in held if h.startswith("anon_inode") and "eventpoll" not in h]
         process.child.send_signal(signal.SIGHUP)
         process.run_until(lambda: any(m["event"] == "configuration taken" for m in process.log_entries()))
-        process.answer(process.send_set_up("b" * 16))
+        process.answer(process.request_set_up("b" * 16))
         process.child.send_signal(signal.SIGTERM)
         process.run_until(lambda: process.child.poll() is not None)
         assert process.child.returncode == 0
--- a/tests/node/test_dns.py
+++ b/tests/node/test_dns.py
@@ -9,7 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lemonhall.node.dns import DnsError, ListedServer, encode_query, list_changes, parse_response
+from lemonhall.node import dns as node_dns
+from lemonhall.node.dns import DnsError, ListedServer
 from tests.node.world import build_response
 
 NAME = "_app._tcp.cluster.lan"
@@ -23,26 +24,26 @@
 
 def make_response(count: int = 5, list_number: int = 41) -> bytes:
     return build_response(
-        encode_query(7, NAME),
+        node_dns.encode_query(7, NAME),
         list_number,
         [Entry(number) for number in range(count)],  # type: ignore[list-item]
     )
 
 
 def test_dnspython_parses_the_query() -> None:
-    question = dns.message.from_wire(encode_query(7, NAME)).question[0]
+    question = dns.message.from_wire(node_dns.encode_query(7, NAME)).question[0]
     assert str(question) == f"{NAME}. IN SRV"
 
 
 def test_records_of_a_server_are_joined() -> None:
-    list_number, servers = parse_response(make_response(), 7, NAME)
+    list_number, servers = node_dns.parse_response(make_response(), 7, NAME)
     assert list_number == 41 and len(servers) == 5
     found = {s.id: s for s in servers}["s-00000003"]
     assert found == ListedServer("s-00000003", "127.0.0.1", 2908, "east", "std", 3, True, 1.0, 3000.0)
 
 
 def test_an_empty_list_is_valid() -> None:
-    assert parse_response(make_response(0), 7, NAME) == (41, ())
+    assert node_dns.parse_response(make_response(0), 7, NAME) == (41, ())
 
 
 def with_flags(data: bytes, value: int) -> bytes:
@@ -72,7 +73,7 @@
     data = corrupt(make_response())
     assert data != make_response()
     with pytest.raises(DnsError):
-        parse_response(data, 7, NAME)
+        node_dns.parse_response(data, 7, NAME)
 
 
 @given(st.integers(0, 300), st.binary(min_size=1, max_size=6), st.integers(0, 300))
@@ -81,13 +82,13 @@
     data = data[:offset] + noise + data[offset + len(noise) :]
     for corrupted in (data, data[: len(data) - cut]):
         with suppress(DnsError):
-            parse_response(corrupted, 7, NAME)
+            node_dns.parse_response(corrupted, 7, NAME)
 
 
 def test_changes_between_two_lists() -> None:
-    _, old = parse_response(make_response(4), 7, NAME)
-    _, new = parse_response(make_response(3), 7, NAME)
-    changed, removed = list_changes({server.id: server for server in old}, new)
+    _, old = node_dns.parse_response(make_response(4), 7, NAME)
+    _, new = node_dns.parse_response(make_response(3), 7, NAME)
+    changed, removed = node_dns.list_changes({server.id: server for server in old}, new)
     assert changed == () and [server.cell for server in removed] == [3]
-    changed, removed = list_changes({}, new)
+    changed, removed = node_dns.list_changes({}, new)
     assert changed == new and removed == ()
--- a/tests/node/test_growth.py
+++ b/tests/node/test_growth.py
@@ -49,7 +49,7 @@
         message = world.make_set_up(key=f"{number * 1000 + n:016x}")
         message["f"]["extras"] = f"home:0;copies:4;top:2;viewer:{number * 1000 + n:016x}"
         lines += json.dumps(message).encode() + b"\n"
-    viewer.send(lines)
+    viewer.send_data(lines)
     world.viewers = [viewer]
 
     def answered() -> bool:
@@ -57,8 +57,8 @@
             for connection in server.connections:
                 for message in connection.received:
                     if message["t"] == "new":
-                        connection.send({"t": "up", "ref": message["ref"], "f": {}, "d": "v=0"})
-                        connection.send({"t": "down", "ref": message["ref"], "f": {}, "c": 16})
+                        connection.send_data({"t": "up", "ref": message["ref"], "f": {}, "d": "v=0"})
+                        connection.send_data({"t": "down", "ref": message["ref"], "f": {}, "c": 16})
                 connection.received.clear()
         releases = [message for message in viewer.received if message["t"] == "down"]
         return len(releases) == SESSIONS_PER_ROUND
@@ -68,10 +68,10 @@
     world.pump(2)
     world.now += 0.3
     if number % 20 == 0:
-        world.resolver.list_number += 1
-        old = world.resolver.servers.pop(0)
+        world.fake_resolver.list_number += 1
+        old = world.fake_resolver.servers.pop(0)
         old.name = f"s-{number + 5000:08x}"  # a new server at the address of a removed one
-        world.resolver.servers.append(old)
+        world.fake_resolver.servers.append(old)
         world.advance(0.6)
     for server in world.servers:
         server.connections = [connection for connection in server.connections if not connection.closed]
--- a/tests/node/test_messages.py
+++ b/tests/node/test_messages.py
@@ -26,12 +26,12 @@
     return {"t": "new", "ref": REF, "f": {**fields, **overrides}, "d": "v=0\r\nm=audio 31000 RTP/AVP 0"}
 
 
-def encode(message: dict[str, Any]) -> bytes:
+def encode_line(message: dict[str, Any]) -> bytes:
     return json.dumps(message).encode()
 
 
 def test_all_fields_of_a_set_up_are_parsed() -> None:
-    set_up = messages.parse_viewer_message(encode(make_set_up(retry="1")), NAMES)
+    set_up = messages.parse_viewer_message(encode_line(make_set_up(retry="1")), NAMES)
     assert isinstance(set_up, NewSetUp)
     assert (set_up.ref, set_up.cls, set_up.tenant, set_up.left_ms, set_up.top_rung) == (REF, 1, 0, 1500.0, 2)
     assert (set_up.first_cell, set_up.cells, set_up.viewer, set_up.title) == (
@@ -46,7 +46,7 @@
 def test_a_handed_over_session_needs_no_description() -> None:
     message = make_set_up(extras="viewer:00000000b4d65521;at:s-00c41f7a")
     del message["d"], message["f"]["left"]
-    set_up = messages.parse_viewer_message(encode(message), NAMES)
+    set_up = messages.parse_viewer_message(encode_line(message), NAMES)
     assert isinstance(set_up, NewSetUp) and set_up.playing_at == "s-00c41f7a"
 
 
@@ -80,9 +80,9 @@
 def test_invalid_fields_are_rejected_with_the_ref(overrides: dict[str, Any]) -> None:
     with pytest.raises(MessageError) as error:
         messages.parse_viewer_message(
-            encode(make_set_up(**overrides))[:16000]
+            encode_line(make_set_up(**overrides))[:16000]
             if "9999" not in str(overrides)
-            else encode(make_set_up(**overrides)),
+            else encode_line(make_set_up(**overrides)),
             NAMES,
         )
     assert error.value.ref == REF
@@ -91,7 +91,7 @@
 @pytest.mark.parametrize("text", ["", "x" * 9000, "nul \0", "half \ud800", 7, None], ids=repr)
 def test_an_invalid_description_is_rejected(text: Any) -> None:
     with pytest.raises(MessageError):
-        messages.parse_viewer_message(encode({**make_set_up(), "d": text}), NAMES)
+        messages.parse_viewer_message(encode_line({**make_set_up(), "d": text}), NAMES)
 
 
 @pytest.mark.parametrize(
@@ -149,15 +149,15 @@
 
 def test_messages_of_media_servers() -> None:
     up = messages.parse_server_message(
-        encode({"t": "up", "ref": REF, "f": {"load": "x0:0.5;x1:1;q:3"}, "d": "v=0"}), NAMES
+        encode_line({"t": "up", "ref": REF, "f": {"load": "x0:0.5;x1:1;q:3"}, "d": "v=0"}), NAMES
     )
     assert up == Up(REF, "v=0", (0.5, 1.0))
     down = messages.parse_server_message(
-        encode({"t": "down", "ref": REF, "f": {"load": "x0:a"}, "c": 34}), NAMES
+        encode_line({"t": "down", "ref": REF, "f": {"load": "x0:a"}, "c": 34}), NAMES
     )
     assert down == Down(REF, 34, ())  # an invalid report does not invalidate the refusal
     note = messages.parse_server_message(
-        encode({"t": "tell", "ref": REF, "f": {"note": "l", "value": "0.25"}}), NAMES
+        encode_line({"t": "tell", "ref": REF, "f": {"note": "l", "value": "0.25"}}), NAMES
     )
     assert note == Note(REF, 3, 0.25, ())
     for invalid in (
@@ -165,12 +165,12 @@
         {"t": "tell", "ref": REF, "f": {"note": "z", "value": 1}},
     ):
         with pytest.raises(MessageError):
-            messages.parse_server_message(encode(invalid), NAMES)
+            messages.parse_server_message(encode_line(invalid), NAMES)
 
 
 @given(st.text(min_size=1, max_size=200).filter(lambda t: not messages.FORBIDDEN_CHARS.search(t)))
 def test_descriptions_are_unchanged_in_both_directions(text: str) -> None:
-    set_up = messages.parse_viewer_message(encode({**make_set_up(), "d": text}), NAMES)
+    set_up = messages.parse_viewer_message(encode_line({**make_set_up(), "d": text}), NAMES)
     assert isinstance(set_up, NewSetUp)
     sent = json.loads(messages.encode_set_up(set_up, 1234.9, 1))
     assert (sent["d"], sent["ref"], sent["f"]) == (
@@ -178,7 +178,7 @@
         REF,
         {"class": "plain", "left": "1234", "key": "7f3a9c21e0b4d655", "rung": "1"},
     )
-    up = messages.parse_server_message(encode({"t": "up", "ref": REF, "f": {}, "d": text}), NAMES)
+    up = messages.parse_server_message(encode_line({"t": "up", "ref": REF, "f": {}, "d": text}), NAMES)
     assert isinstance(up, Up)
     assert json.loads(messages.encode_answer(REF, up.description))["d"] == text
 
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -23,14 +23,14 @@
 
 
 def test_after_sigterm_it_answers_open_set_ups_and_exits(process: NodeProcess) -> None:
-    process.answer(process.send_set_up("a" * 16))
-    open_set_up = process.send_set_up("b" * 16)
+    process.answer(process.request_set_up("a" * 16))
+    open_set_up = process.request_set_up("b" * 16)
     process.child.send_signal(signal.SIGTERM)
     viewer = process.viewer
     assert viewer
 
     def heartbeat_fails() -> bool:
-        viewer.send({"t": "hb", "f": {}, "c": 0})
+        viewer.send_data({"t": "hb", "f": {}, "c": 0})
         return bool(
             viewer.received and viewer.received[-1].get("t") == "hb_ok" and viewer.received[-1]["c"] == 0
         )
@@ -42,20 +42,20 @@
 
 
 def test_a_reload_changes_the_resolver_and_an_invalid_file_changes_nothing(process: NodeProcess) -> None:
-    process.answer(process.send_set_up("a" * 16))
+    process.answer(process.request_set_up("a" * 16))
     process.path.write_text('{"half')
     process.child.send_signal(signal.SIGHUP)
     process.run_until(
         lambda: any(entry["event"] == "configuration not taken" for entry in process.log_entries())
     )
-    queries_before = process.resolver.query_count
-    process.run_until(lambda: process.resolver.query_count > queries_before)  # the old one is in force
+    queries_before = process.fake_resolver.query_count
+    process.run_until(lambda: process.fake_resolver.query_count > queries_before)  # the old one is in force
     other = FakeResolver()
     other.servers, other.list_number = list(process.servers), 2
     process.other_resolvers.append(other)
     process.write_configuration(other)  # complete now, and read again without another signal
     process.run_until(lambda: other.query_count)
-    process.answer(process.send_set_up("b" * 16))
+    process.answer(process.request_set_up("b" * 16))
     assert process.child.poll() is None
 
 
--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -91,7 +91,7 @@
 
 def end_set_up(world: World, viewer: Peer, ref: str, how: str) -> None:
     if how == "give-up":
-        viewer.send(down(ref, 16))
+        viewer.send_data(down(ref, 16))
     elif how == "half-close":
         viewer.sock.shutdown(socket.SHUT_WR)
     else:
@@ -103,7 +103,7 @@
 def connect_server(world: World) -> None:
     """Leaves a connection to the server open, without a session."""
     ref, _, connection = world.establish_session()
-    connection.send(down(ref, 16))
+    connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
 
 
@@ -121,9 +121,9 @@
     """The decider started another attempt for a session whose viewer was gone, and never freed its place."""
     world = ordered_worlds()
     viewer = world.connect_viewer()
-    ref = world.send_set_up(viewer=viewer)["ref"]
+    ref = world.request_set_up(viewer=viewer)["ref"]
     _, connection, _ = world.wait_for_set_up(ref)
-    connection.send(down(ref, cause))
+    connection.send_data(down(ref, cause))
     end_set_up(world, viewer, ref, how)
     world.pump()
     world.advance(2.0)
@@ -141,7 +141,7 @@
     viewer = world.connect_viewer()
     first = world.make_set_up(cls)
     second = world.make_set_up(cls, extras="home:0;copies:4;viewer:00000000000000ac")
-    viewer.send(json.dumps(first).encode() + b"\n" + json.dumps(second).encode() + b"\n")
+    viewer.send_data(json.dumps(first).encode() + b"\n" + json.dumps(second).encode() + b"\n")
     if how == "give-up":
         end_set_up(world, viewer, second["ref"], how)
     end_set_up(world, viewer, first["ref"], how)
@@ -158,7 +158,7 @@
     world = ordered_worlds(servers=1)
     connect_server(world)
     viewer = world.connect_viewer()
-    refs = [world.send_set_up(viewer=viewer)["ref"] for _ in range(2)]
+    refs = [world.request_set_up(viewer=viewer)["ref"] for _ in range(2)]
 
     def act() -> None:
         for ref in refs if how == "give-up" else refs[:1]:
@@ -178,7 +178,7 @@
     """The disconnect arrives in the pass in which the connection to the server comes up."""
     world = ordered_worlds(servers=1)
     viewer = world.connect_viewer()
-    ref = world.send_set_up(viewer=viewer)["ref"]
+    ref = world.request_set_up(viewer=viewer)["ref"]
     act_during_decision(world, lambda: None)
     server = world.node.servers.by_id[world.servers[0].name]
     for _ in range(10):
@@ -203,7 +203,7 @@
             break
         message = world.make_set_up(extras=f"home:0;copies:4;viewer:{len(refs) + 500:016x}", left="4000")
         message["d"] = "v" * 7000
-        viewer.send(message)
+        viewer.send_data(message)
         refs.append(message["ref"])
         world.pump(2)
     world.servers[0].connections.append(connection)
@@ -231,7 +231,7 @@
     partly_sent = [ref for ref in refs if ref not in unsent][-1]
     assert len(unsent) >= 2 and node_connection.stream.backlog_bytes
     for ref in (unsent[0], partly_sent):
-        viewer.send(down(ref, 16))
+        viewer.send_data(down(ref, 16))
     world.pump(3)
     world.run_until(lambda: unsent[-1] in [m["ref"] for _, m in world.servers[0].received_messages("new")])
     world.run_until(lambda: [m for _, m in world.servers[0].received_messages("down")])
@@ -248,7 +248,7 @@
     viewer, refs = fill_server_backlog(world)
     node_connection = world.node.servers.by_id[world.servers[0].name].connections[0]
     unsent = [ref for ref in refs if not node_connection.was_sent(node_connection.open_attempts[ref])]
-    viewer.send(down(unsent[0], 16))
+    viewer.send_data(down(unsent[0], 16))
     world.pump(3)
     world.run_until(lambda: unsent[1] in [m["ref"] for _, m in world.servers[0].received_messages("new")])
     assert all(node_connection.was_sent(attempt) for attempt in node_connection.open_attempts.values())
@@ -259,7 +259,7 @@
 
 def test_a_set_up_that_the_sweep_finds_overdue_is_not_sent_on(world: World) -> None:
     """Set-up and sweep fall into one pass: the decider started an attempt whose end was not reported."""
-    world.viewer.send(world.make_set_up(left="1"))
+    world.viewer.send_data(world.make_set_up(left="1"))
     sweep_at = max(timer[0] for timer in world.loop.timers if timer[2].callback == world.node.sweep)
     world.now = sweep_at  # the sweep is due in the pass that reads the set-up
     original = bounds.answer_margin_s
@@ -287,9 +287,9 @@
 ) -> None:
     world = ordered_worlds()
     viewer = world.connect_viewer()
-    ref = world.send_set_up(viewer=viewer)["ref"]
+    ref = world.request_set_up(viewer=viewer)["ref"]
     _, connection, _ = world.wait_for_set_up(ref)
-    connection.send(up(ref))
+    connection.send_data(up(ref))
     end_set_up(world, viewer, ref, how)
     world.pump()
     world.advance(1.0)
@@ -301,12 +301,12 @@
     world: World,
 ) -> None:
     viewer = world.connect_viewer()
-    ref = world.send_set_up(viewer=viewer)["ref"]
+    ref = world.request_set_up(viewer=viewer)["ref"]
     _, connection, _ = world.wait_for_set_up(ref)
     next(v for v in world.node.viewers.connections if ref in v.open_sessions).stream.sock.shutdown(
         socket.SHUT_WR
     )
-    connection.send(up(ref))
+    connection.send_data(up(ref))
     world.run_until(lambda: [m for m in connection.received if m["t"] == "down" and m["ref"] == ref])
     assert no_state_left(world)
 
@@ -315,15 +315,15 @@
     viewer = world.connect_viewer()
     world.viewers.remove(viewer)  # not read from here on
     message = world.make_set_up()
-    viewer.send(message)
+    viewer.send_data(message)
     _, connection, _ = world.wait_for_set_up(message["ref"])
     node_connection = next(v for v in world.node.viewers.connections if message["ref"] in v.open_sessions)
     node_connection.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     for _ in range(100):
         if not node_connection.stream.backlog_bytes:
-            viewer.send(b'{"t":"hb","f":{},"c":0}\n' * 500)
+            viewer.send_data(b'{"t":"hb","f":{},"c":0}\n' * 500)
             world.pump(2)
-    connection.send(up(message["ref"]))
+    connection.send_data(up(message["ref"]))
     world.run_until(lambda: world.node.sessions.established_count)
     viewer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     viewer.close()
@@ -357,9 +357,9 @@
     abuser = world.connect_viewer()
     world.viewers.remove(abuser)
     for _ in range(2):
-        abuser.send(world.make_set_up("nobody"))
+        abuser.send_data(world.make_set_up("nobody"))
         world.pump()
-    abuser.send(json.dumps(world.make_set_up("nobody")).encode() + b"\n" + b"x" * 60000)
+    abuser.send_data(json.dumps(world.make_set_up("nobody")).encode() + b"\n" + b"x" * 60000)
     world.pump()
     received, ending = read_to_end(abuser.sock)
     assert received.count(b'"c":100') == 2 and ending == "eof"
@@ -372,14 +372,14 @@
     sender, silent = world.connect_viewer(), world.connect_viewer()
     for abuser in (sender, silent):
         world.viewers.remove(abuser)
-        abuser.send(world.make_set_up("nobody"))
+        abuser.send_data(world.make_set_up("nobody"))
         world.pump()
-        abuser.send(b"noise\n")
+        abuser.send_data(b"noise\n")
         world.pump()
     assert len(world.node.viewers.connections) == 3
     with pytest.raises(OSError):  # noqa: PT012
         for _ in range(200):
-            sender.send(b"x" * 4000)
+            sender.send_data(b"x" * 4000)
             world.pump(1)
     assert len(world.node.viewers.connections) == 2
     world.advance(bounds.LINGER_TIMEOUT_S + 0.1)
@@ -393,13 +393,13 @@
     world = worlds(sockets=64)
     max_connections = world.node.viewers.max_connections
     for n in range(max_connections - 1):
-        world.send_set_up("premium", viewer=world.connect_viewer(), key=f"{n:016x}", left="4000")
+        world.request_set_up("premium", viewer=world.connect_viewer(), key=f"{n:016x}", left="4000")
         world.pump(3)
     others, ref = world.viewers[1:], "b" * 16
     world.pump()
     assert len(world.node.viewers.connections) == max_connections and len(others) == max_connections - 1
     order_ready_sockets(world, False)
-    world.viewer.send(world.make_set_up(ref=ref, extras="home:0;copies:4;viewer:00000000000000ff"))
+    world.viewer.send_data(world.make_set_up(ref=ref, extras="home:0;copies:4;viewer:00000000000000ff"))
     world.viewers.append(Peer(socket.create_connection(world.address)))
     world.pump()
     assert not world.viewer.closed
@@ -410,14 +410,14 @@
     """A set-up sent after the close could not be proven unexecuted, so a paid set-up failed."""
     world = ordered_worlds(servers=1)
     ref, server, connection = world.establish_session()
-    connection.send(down(ref, 16))
+    connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
-    again = world.send_set_up("premium")["ref"]
+    again = world.request_set_up("premium")["ref"]
     act_during_decision(world, connection.close)
     world.run_until(
         lambda: [m for k, m in server.received_messages("new") if m["ref"] == again and k is not connection]
     )
-    server.connections[-1].send(up(again))
+    server.connections[-1].send_data(up(again))
     world.run_until(lambda: world.messages_for(again, "up"))
 
 
@@ -428,15 +428,15 @@
 def test_a_waiting_attempt_is_sent_when_another_ends(worlds: Callable[..., World]) -> None:
     """No new connection can be opened, but the open one has room again."""
     world = worlds(servers=1, settings=one_set_up_per_connection())
-    first = world.send_set_up()["ref"]
+    first = world.request_set_up()["ref"]
     server, connection, _ = world.wait_for_set_up(first)
-    server.listener.close()
-    second = world.send_set_up(extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
+    server.listen_socket.close()
+    second = world.request_set_up(extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
     world.pump()
     assert world.messages_for(second) == []
-    connection.send(up(first))
+    connection.send_data(up(first))
     world.run_until(lambda: second in [m["ref"] for _, m in server.received_messages("new")])
-    connection.send(up(second))
+    connection.send_data(up(second))
     world.run_until(lambda: world.messages_for(second, "up"))
 
 
@@ -444,15 +444,15 @@
     ref, server, connection = world.establish_session()
     moved = FakeServer(server.name, server.cell)
     world.servers[world.servers.index(server)] = moved
-    world.resolver.servers = list(world.servers)
-    world.resolver.list_number = 2
+    world.fake_resolver.servers = list(world.servers)
+    world.fake_resolver.list_number = 2
     world.advance(1.0)
     for _ in range(8):
         world.establish_session()
     assert len([m for m in connection.received if m["t"] == "new"]) == 1
     assert moved.received_messages("new")
     connection.close()
-    server.listener.close()
+    server.listen_socket.close()
 
 
 def test_sessions_of_a_restarted_process_outlive_the_list_that_reports_the_restart(
@@ -467,7 +467,7 @@
     server.started_ms = int(world.node.bridge.now_ms())
     world.advance(0.2)
     ref, _, _ = world.establish_session("premium", extras="home:0;copies:4;viewer:00000000000000ac")
-    world.resolver.list_number = 2
+    world.fake_resolver.list_number = 2
     world.advance(1.0)
     assert [m["c"] for m in world.messages_for(old, "down")] == [41]
     assert world.messages_for(ref, "down") == [] and world.node.sessions.established_count == 1
@@ -477,7 +477,7 @@
 
 
 def test_a_session_handed_over_at_an_unlisted_server_ends_in_time(world: World) -> None:
-    ref = world.send_set_up(extras="viewer:00000000000000aa;at:s-none")["ref"]
+    ref = world.request_set_up(extras="viewer:00000000000000aa;at:s-none")["ref"]
     world.pump()
     assert world.node.sessions.established_count == 1
     world.advance(8.0)
@@ -488,11 +488,11 @@
 def test_a_server_that_is_listed_after_the_hand_over_keeps_the_session(world: World) -> None:
     late = FakeServer("s-0000000f", 2)
     world.servers.append(late)
-    ref = world.send_set_up(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
+    ref = world.request_set_up(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
     world.advance(3.0)
-    world.resolver.servers, world.resolver.list_number = list(world.servers), 2
+    world.fake_resolver.servers, world.fake_resolver.list_number = list(world.servers), 2
     world.run_until(lambda: world.advance(0.1) or late.connections)
-    late.connections[0].send({"t": "tell", "ref": ref, "f": {"note": "l", "value": "0.5"}})
+    late.connections[0].send_data({"t": "tell", "ref": ref, "f": {"note": "l", "value": "0.5"}})
     world.advance(6.0)
     assert world.messages_for(ref) == [] and world.node.sessions.established_count == 1
 
@@ -504,12 +504,12 @@
     ref = "c" * 16
     asked = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
     if first == "end":
-        connection.send(down(ref, 16))
+        connection.send_data(down(ref, 16))
         world.pump()
-    world.viewer.send(asked)
+    world.viewer.send_data(asked)
     world.pump()
     if first != "end":
-        connection.send(down(ref, 16))
+        connection.send_data(down(ref, 16))
     world.run_until(lambda: [m["c"] for m in world.messages_for(ref, "down")] == [16])
     assert world.node.sessions.established_count == 1
 
@@ -520,12 +520,12 @@
     ref, other = "c" * 16, world.connect_viewer()
     asked = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
     if first == "end":
-        other.send(down(ref, 16))
+        other.send_data(down(ref, 16))
         world.pump()
-    world.viewer.send(asked)
+    world.viewer.send_data(asked)
     world.pump()
     if first != "end":
-        other.send(down(ref, 16))
+        other.send_data(down(ref, 16))
     world.run_until(lambda: [m for m in connection.received if m["t"] == "down" and m["ref"] == ref])
     world.pump()
     assert world.node.sessions.established_count == 1 and world.messages_for(ref) == []
@@ -534,7 +534,7 @@
 def test_releases_of_unknown_refs_are_kept_within_a_limit(world: World) -> None:
     for start in range(0, 3 * bounds.MAX_EARLY_RELEASES, 100):
         lines = [json.dumps(down(f"{start + n + 90000:016x}", 16)).encode() for n in range(100)]
-        world.viewer.send(b"\n".join(lines) + b"\n")
+        world.viewer.send_data(b"\n".join(lines) + b"\n")
         world.pump(2)
     assert len(world.node.sessions.early_releases) == bounds.MAX_EARLY_RELEASES
 
@@ -545,7 +545,7 @@
     connection.close()
     world.run_until(lambda: not world.node.servers.by_id[server.name].connections)
     connect_timeout_s, world.node.servers.connect_timeout_s = world.node.servers.connect_timeout_s, 0.0
-    world.viewer.send(down(ref, 31))
+    world.viewer.send_data(down(ref, 31))
     world.run_until(lambda: world.node.servers.by_id[server.name].pending_commands)
     world.run_until(lambda: not world.node.servers.by_id[server.name].connections)  # it timed out at once
     assert not [m for _, m in server.received_messages("down")]
@@ -569,14 +569,14 @@
 def test_connections_and_set_ups_in_the_kernel_at_shutdown_are_answered(world: World) -> None:
     """When the listener closes, one connection is queued and one set-up is unread on an open connection."""
     old = world.connect_viewer()
-    old.send({"t": "hb", "f": {}, "c": 0})
+    old.send_data({"t": "hb", "f": {}, "c": 0})
     end = stop_node(world)
     late: list[Peer] = []
 
     def arrive() -> None:  # from a timer before the node's own, after all reads of that pass
         late.append(Peer(socket.create_connection(world.address)))
-        late[0].send(world.make_set_up(ref="a" * 16))
-        old.send(world.make_set_up(ref="b" * 16))
+        late[0].send_data(world.make_set_up(ref="a" * 16))
+        old.send_data(world.make_set_up(ref="b" * 16))
 
     world.loop.call_at(end - 1e-6, arrive)
     world.now = end
@@ -584,7 +584,7 @@
     world.viewers += late
     for ref in ("a" * 16, "b" * 16):
         _, connection, _ = world.wait_for_set_up(ref)
-        connection.send(up(ref))
+        connection.send_data(up(ref))
         world.run_until(lambda ref=ref: world.messages_for(ref, "up"))  # type: ignore[misc]
     world.advance(0.2)
     assert not world.loop.running
@@ -594,7 +594,7 @@
 
 def test_an_answer_is_not_lost_when_input_arrives_at_exit(world: World) -> None:
     """A message of the viewer arrives after the last read: a plain close would then send a reset."""
-    ref = world.send_set_up("premium", left="4000")["ref"]
+    ref = world.request_set_up("premium", left="4000")["ref"]
     _, connection, _ = world.wait_for_set_up(ref)
     stop_node(world)
     world.viewers.remove(world.viewer)
@@ -603,10 +603,10 @@
 
     def log_and_send() -> None:
         log_summary()
-        world.viewer.send({"t": "hb", "f": {}, "c": 0})
+        world.viewer.send_data({"t": "hb", "f": {}, "c": 0})
 
     world.node.log_summary = log_and_send  # type: ignore[method-assign]
-    connection.send(up(ref))
+    connection.send_data(up(ref))
     world.advance(0.3, 0.02)
     assert not world.loop.running
     received, ending = read_to_end(world.viewer.sock)
@@ -620,7 +620,7 @@
     connection.close()
     world.run_until(lambda: not world.node.servers.by_id[server.name].connections)
     end = stop_node(world)
-    world.loop.call_at(end - 1e-6, lambda: world.viewer.send(down(ref, 31)))
+    world.loop.call_at(end - 1e-6, lambda: world.viewer.send_data(down(ref, 31)))
     world.now = end
     world.loop.run_once(0.0)
     assert world.loop.running
@@ -639,7 +639,7 @@
     world.loop.running = True
     world.node.stop()
     world.advance(0.5)
-    refs = [world.send_set_up("premium", left="400")["ref"]]
+    refs = [world.request_set_up("premium", left="400")["ref"]]
     world.wait_for_set_up(refs[0])
     world.node.sessions.by_ref[refs[0]].deadline += 100  # it stays unanswered
     attempt = world.node.sessions.by_ref[refs[0]].attempt
@@ -676,12 +676,12 @@
 def test_an_empty_list_is_ignored(world: World) -> None:
     """A resolver that lost its own source returns a response without records."""
     ref, _, _ = world.establish_session()
-    world.resolver.servers, world.resolver.list_number = [], 5
+    world.fake_resolver.servers, world.fake_resolver.list_number = [], 5
     world.advance(3.0)
     assert len(world.node.listed_servers) == 2 and world.messages_for(ref, "down") == []
     assert world.node.counts["resolver_empty"]
     world.establish_session()
-    world.resolver.servers, world.resolver.list_number = [world.servers[0]], 6
+    world.fake_resolver.servers, world.fake_resolver.list_number = [world.servers[0]], 6
     world.advance(1.0)
     assert set(world.node.listed_servers) == {world.servers[0].name}
 
@@ -689,9 +689,9 @@
 def test_an_answer_carries_a_load_report_with_configured_field_names(worlds: Callable[..., World]) -> None:
     settings = make_settings(report={"how": "answers", "fields": ["queue", "utilization"]})
     world = worlds(servers=1, settings=settings)
-    ref = world.send_set_up()["ref"]
+    ref = world.request_set_up()["ref"]
     _, connection, _ = world.wait_for_set_up(ref)
-    connection.send({**up(ref), "f": {"load": "queue:3;utilization:0.5"}})
+    connection.send_data({**up(ref), "f": {"load": "queue:3;utilization:0.5"}})
     world.run_until(lambda: world.messages_for(ref, "up"))
     (box,) = world.node.bridge.decider.boxes.values()  # type: ignore[attr-defined]
     assert box.connection.heard_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
@@ -714,7 +714,7 @@
 
 
 def send_and_wait(node_connection: Any, peer: Peer, message: dict[str, Any]) -> None:
-    peer.send(message)
+    peer.send_data(message)
     wait_until_readable(node_connection)
 
 
@@ -731,19 +731,19 @@
     established, server, connection = world.establish_session()
     extras = [f"home:0;copies:4;viewer:{n + 500:016x}" for n in range(5)]
     open_refs = [
-        world.send_set_up(viewer=other, extras=extras[0])["ref"],
-        world.send_set_up(extras=extras[1])["ref"],
+        world.request_set_up(viewer=other, extras=extras[0])["ref"],
+        world.request_set_up(extras=extras[1])["ref"],
     ]
     for ref in open_refs:
         world.wait_for_set_up(ref)
-    server.listener.close()
-    waiting = [world.send_set_up(extras=fields)["ref"] for fields in extras[2:]]
+    server.listen_socket.close()
+    waiting = [world.request_set_up(extras=fields)["ref"] for fields in extras[2:]]
     node_server = world.node.servers.by_id[server.name]
     node_connection = node_server.connections[0]
     world.run_until(
         lambda: len(node_server.waiting_attempts) == 3 and node_server.connections == [node_connection]
     )
-    other.send(down(open_refs[0], 16))  # its place is taken after all reads of this pass
+    other.send_data(down(open_refs[0], 16))  # its place is taken after all reads of this pass
     wait_until_readable(next(v for v in world.node.viewers.connections if open_refs[0] in v.open_sessions))
     world.loop.call_soon(
         send_and_wait, node_connection, connection, up(open_refs[1]) if kind == "end" else note(established)
@@ -770,11 +770,11 @@
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     if written:
         server.connections.remove(connection)  # not read from here on
-        world.viewer.send(down(ref, 31))
+        world.viewer.send_data(down(ref, 31))
         world.run_until(lambda: not world.node.sessions.established_count)
         connection.close()
     else:
-        world.viewer.send(down(ref, 31))
+        world.viewer.send_data(down(ref, 31))
         connection.close()
     world.run_until(lambda: [m for _, m in server.received_messages("down") if m["ref"] == ref])
     assert no_state_left(world)
@@ -785,7 +785,7 @@
 def test_a_release_lost_with_each_connection_is_sent_twice_at_most(world: World) -> None:
     ref, server, connection = world.establish_session()
     server.connections.remove(connection)
-    world.viewer.send(down(ref, 31))
+    world.viewer.send_data(down(ref, 31))
     world.run_until(lambda: not world.node.sessions.established_count)
     repeated = []
     for _ in range(4):
@@ -805,10 +805,10 @@
 ) -> None:
     world = ordered_worlds(servers=1)
     viewer = world.connect_viewer()
-    ref = world.send_set_up(viewer=viewer)["ref"]
+    ref = world.request_set_up(viewer=viewer)["ref"]
     server, connection, _ = world.wait_for_set_up(ref)
     server.connections.remove(connection)
-    connection.send(up(ref))
+    connection.send_data(up(ref))
     viewer.close()
     world.pump()
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -831,11 +831,11 @@
     ref, _, connection = world.establish_session(viewer=own)
     world.viewers.remove(own)  # not read from here on
     if when == "after":
-        connection.send(down(ref, 16))
+        connection.send_data(down(ref, 16))
         world.run_until(lambda: world.node.sessions.established_count == 1)
     end_set_up(world, own, ref, how)
     if when == "before":
-        connection.send(down(ref, 16))
+        connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
     world.advance(1.0)
     assert len([m for m in world.viewer.received if m.get("ref") == ref]) == 1
@@ -847,10 +847,10 @@
     world.establish_session(extras="home:0;copies:4;viewer:00000000000000ac")
     own = world.connect_viewer()
     ref, _, connection = world.establish_session(viewer=own)
-    connection.send(down(ref, 16))
+    connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
     if case == "ack":
-        own.send({"t": "ack", "ref": ref, "f": {}})
+        own.send_data({"t": "ack", "ref": ref, "f": {}})
         world.pump()
     else:
         world.advance(bounds.RESEND_WINDOW_S + 0.1)
@@ -872,12 +872,12 @@
     """The release was dropped together with the server's entry, which had no other reason to exist."""
     late = FakeServer("s-0000000f", 2)
     world.servers.append(late)
-    ref = world.send_set_up(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
+    ref = world.request_set_up(extras=f"viewer:00000000000000aa;at:{late.name}")["ref"]
     world.pump()
-    world.viewer.send(down(ref, 31))
+    world.viewer.send_data(down(ref, 31))
     world.advance(0.5)
     assert no_state_left(world)
-    world.resolver.servers, world.resolver.list_number = list(world.servers), 2
+    world.fake_resolver.servers, world.fake_resolver.list_number = list(world.servers), 2
     world.advance(2.0)
     assert [m["ref"] for _, m in late.received_messages("down")] == [ref]
 
@@ -885,12 +885,12 @@
 def test_a_server_that_leaves_the_list_gets_the_release_of_its_last_session(world: World) -> None:
     """The close after the release found an unread note and sent a reset, which destroyed the release."""
     ref, server, connection = world.establish_session()
-    world.resolver.servers = [s for s in world.servers if s is not server]
+    world.fake_resolver.servers = [s for s in world.servers if s is not server]
     server.connections.remove(connection)
     node_server = world.node.servers.by_id[server.name]
     node_server.listed = False  # its last session keeps the entry
     del world.node.listed_servers[server.name]
-    world.viewer.send(down(ref, 31))
+    world.viewer.send_data(down(ref, 31))
     handle = world.node.sessions.on_viewer_down
 
     def send_note_first(*arguments: Any) -> None:
@@ -908,11 +908,11 @@
 def test_unread_input_is_read_before_an_idle_close(worlds: Callable[..., World]) -> None:
     """The release of a session was lost with the connection, and its viewer never received it."""
     world = worlds(servers=1, settings=one_set_up_per_connection())
-    refs = [world.send_set_up(extras=f"home:0;copies:4;viewer:{n + 500:016x}")["ref"] for n in range(2)]
+    refs = [world.request_set_up(extras=f"home:0;copies:4;viewer:{n + 500:016x}")["ref"] for n in range(2)]
     peers = []
     for ref in refs:
         server, connection, _ = world.wait_for_set_up(ref)
-        connection.send(up(ref))
+        connection.send_data(up(ref))
         peers.append(connection)
     world.run_until(lambda: world.node.sessions.established_count == 2)
     node_server = world.node.servers.by_id[server.name]
@@ -934,11 +934,11 @@
     ref, _, connection = world.establish_session()
     world.viewer.close()
     unproven = world.connect_viewer()
-    unproven.send({"t": "hb", "f": {}, "c": 0})
+    unproven.send_data({"t": "hb", "f": {}, "c": 0})
     world.pump()
     end = stop_node(world)
     world.advance(end - 1e-6 - world.now)
-    connection.send(down(ref, 16))
+    connection.send_data(down(ref, 16))
     world.run_until(lambda: world.node.viewers.waiting_releases)
     world.advance(0.3, 0.02)
     assert not world.loop.running
@@ -957,7 +957,7 @@
     """
     world = worlds(servers=1)
     ref, server, connection = world.establish_session()
-    server.listener.close()
+    server.listen_socket.close()
     if how == "reset":
         connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     connection.close()
@@ -994,7 +994,7 @@
         send_and_wait(node_connection, connection, down(ref, 16))
 
     act_during_decision(world, act)
-    again = world.send_set_up(viewer=viewer, extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
+    again = world.request_set_up(viewer=viewer, extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
     world.run_until(lambda: world.node.counts["given_up"])
     world.advance(1.0)
     assert again not in [m["ref"] for _, m in server.received_messages("new")] and no_state_left(world)
--- a/tests/node/test_rude.py
+++ b/tests/node/test_rude.py
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("data", INVALID_LINES, ids=lambda d: repr(d[:20]))
 def test_an_unreadable_line_closes_only_its_own_connection(world: World, data: bytes) -> None:
     abuser = world.connect_viewer()
-    abuser.send(data)
+    abuser.send_data(data)
     world.run_until(lambda: abuser.closed)
     world.establish_session()
 
@@ -44,11 +44,11 @@
         world.make_set_up(key="?"),
     ]
     for message in invalid[:2]:
-        abuser.send(message)
+        abuser.send_data(message)
     world.run_until(lambda: len(abuser.received) == 2)
     assert [m["c"] for m in abuser.received] == [100, 100]
     for message in invalid[2:]:
-        abuser.send(message)
+        abuser.send_data(message)
     world.run_until(lambda: abuser.closed)  # too many of them: the connection is closed
     assert all(not server.received_messages("new") for server in world.servers)
 
@@ -58,7 +58,7 @@
     world: World, start: bytes
 ) -> None:
     abuser = world.connect_viewer()
-    abuser.send(start)
+    abuser.send_data(start)
     world.advance(2.9)
     assert abuser.closed and not world.viewer.received
     # The ordinary viewer is closed too, because it has sent nothing; it may reconnect.
@@ -66,31 +66,31 @@
 
 
 def test_a_ref_in_use_gets_no_second_answer(world: World) -> None:
-    set_up = world.send_set_up()
+    set_up = world.request_set_up()
     _, connection, _ = world.wait_for_set_up(set_up["ref"])
     abuser = world.connect_viewer()
-    abuser.send({**set_up, "d": "v=0 another"})
+    abuser.send_data({**set_up, "d": "v=0 another"})
     world.run_until(lambda: abuser.closed)
     assert abuser.received == []
-    connection.send({"t": "up", "ref": set_up["ref"], "f": {}, "d": "v=0 mine"})
+    connection.send_data({"t": "up", "ref": set_up["ref"], "f": {}, "d": "v=0 mine"})
     world.run_until(lambda: world.messages_for(set_up["ref"]))
     assert [m["d"] for m in world.messages_for(set_up["ref"])] == ["v=0 mine"]
 
 
 def test_invalid_fields_under_a_foreign_ref_get_no_answer(world: World) -> None:
-    set_up = world.send_set_up()
+    set_up = world.request_set_up()
     world.wait_for_set_up(set_up["ref"])
     abuser = world.connect_viewer()
-    abuser.send(world.make_set_up("nobody", ref=set_up["ref"]))
+    abuser.send_data(world.make_set_up("nobody", ref=set_up["ref"]))
     world.run_until(lambda: abuser.closed)
     assert abuser.received == [] and world.messages_for(set_up["ref"]) == []
 
 
 def test_a_viewer_cannot_give_up_a_foreign_set_up(world: World) -> None:
-    set_up = world.send_set_up()
+    set_up = world.request_set_up()
     world.wait_for_set_up(set_up["ref"])
     abuser = world.connect_viewer()
-    abuser.send({"t": "down", "ref": set_up["ref"], "f": {}, "c": 16})
+    abuser.send_data({"t": "down", "ref": set_up["ref"], "f": {}, "c": 16})
     world.pump()
     assert set_up["ref"] in world.node.sessions.by_ref
 
@@ -103,7 +103,7 @@
         lines += json.dumps(message).encode() + b"\n"
         lines += json.dumps({"t": "down", "ref": message["ref"], "f": {}, "c": 16}).encode() + b"\n"
     for start in range(0, len(lines), 16000):
-        abuser.send(lines[start : start + 16000])
+        abuser.send_data(lines[start : start + 16000])
         world.pump(3)
     world.pump()
     assert world.node.sessions.by_ref == {} and all(
@@ -115,7 +115,7 @@
 def test_open_set_ups_per_connection_are_limited(world: World, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(bounds, "MAX_OPEN_SET_UPS", 8)
     abuser = world.connect_viewer()
-    abuser.send(
+    abuser.send_data(
         b"".join(json.dumps(world.make_set_up(ref=f"{n + 5000:016x}")).encode() + b"\n" for n in range(40))
     )
     world.run_until(lambda: abuser.closed)
@@ -132,7 +132,7 @@
     assert sum(not viewer.closed for viewer in connections) < 64 * bounds.VIEWER_DESCRIPTORS_SHARE
     assert not world.viewer.closed  # it has a session; connections without one are evicted first
     world.establish_session()
-    connection.send({"t": "down", "ref": ref, "f": {}, "c": 16})
+    connection.send_data({"t": "down", "ref": ref, "f": {}, "c": 16})
     world.run_until(lambda: world.messages_for(ref, "down"))
 
 
--- a/tests/node/test_story.py
+++ b/tests/node/test_story.py
@@ -12,12 +12,12 @@
 class EventRecorder:
     """Forwards to a decider and records the events that it receives."""
 
-    def __init__(self, decider: Any) -> None:
-        self.decider, self.events = decider, list[interface.Event]()
+    def __init__(self, wrapped: Any) -> None:
+        self.wrapped, self.events = wrapped, list[interface.Event]()
 
     def handle(self, now: float, events: list[interface.Event]) -> list[interface.Action]:
         self.events += events
-        actions: list[interface.Action] = self.decider.handle(now, events)
+        actions: list[interface.Action] = self.wrapped.handle(now, events)
         return actions
 
 
@@ -49,27 +49,27 @@
     recorder = EventRecorder(world.node.bridge.decider)
     world.node.bridge.decider = recorder  # type: ignore[assignment]
     server = world.servers[0]
-    handed_over_ref = world.send_set_up(
+    handed_over_ref = world.request_set_up(
         extras=f"home:0;copies:4;top:2;viewer:00000000000000aa;at:{server.name}", left="1500"
     )["ref"]
     world.run_until(lambda: server.connections)
-    server.connections[0].send({"t": "tell", "ref": handed_over_ref, "f": {"note": "r", "value": "1"}})
+    server.connections[0].send_data({"t": "tell", "ref": handed_over_ref, "f": {"note": "r", "value": "1"}})
     world.pump()
-    ref = world.send_set_up()["ref"]
+    ref = world.request_set_up()["ref"]
     first, connection, _ = world.wait_for_set_up(ref)
-    connection.send({"t": "down", "ref": ref, "f": {"load": "x0:1.25;x1:0.5"}, "c": 34})
+    connection.send_data({"t": "down", "ref": ref, "f": {"load": "x0:1.25;x1:0.5"}, "c": 34})
     second = next(other for other in world.servers if other is not first)
     world.run_until(lambda: second.received_messages("new"))
     connection = second.received_messages("new")[0][0]
-    connection.send({"t": "up", "ref": ref, "f": {}, "d": "v=0"})
+    connection.send_data({"t": "up", "ref": ref, "f": {}, "d": "v=0"})
     world.run_until(lambda: world.messages_for(ref, "up"))
     for note, value in (("l", "0.25"), ("d", "1.0")):
-        connection.send({"t": "tell", "ref": ref, "f": {"note": note, "value": value}})
-    connection.send({"t": "down", "ref": ref, "f": {}, "c": 16})
+        connection.send_data({"t": "tell", "ref": ref, "f": {"note": note, "value": value}})
+    connection.send_data({"t": "down", "ref": ref, "f": {}, "c": 16})
     world.run_until(lambda: world.messages_for(ref, "down"))
-    given_up_ref = world.send_set_up()["ref"]
+    given_up_ref = world.request_set_up()["ref"]
     world.wait_for_set_up(given_up_ref)
-    world.viewer.send({"t": "down", "ref": given_up_ref, "f": {}, "c": 16})
+    world.viewer.send_data({"t": "down", "ref": given_up_ref, "f": {}, "c": 16})
     world.run_until(lambda: any(isinstance(event, interface.ViewerGone) for event in recorder.events))
     numbers = [event.id for event in recorder.events if isinstance(event, interface.NewSession)]
     handed_over = next(
--- a/tests/node/world.py
+++ b/tests/node/world.py
@@ -95,7 +95,7 @@
     def __init__(self, sock: socket.socket, acknowledges: bool = False) -> None:
         self.sock, self.buffer, self.received = sock, b"", list[dict[str, Any]]()
         self.closed, self.acknowledges = False, acknowledges
-        self.address = sock.getsockname()
+        self.local_address = sock.getsockname()
         sock.setblocking(False)
 
     def read(self) -> None:
@@ -113,9 +113,9 @@
         self.received += messages
         for message in messages if self.acknowledges and not self.closed else []:
             if message["t"] == "down":
-                self.send({"t": "ack", "ref": message["ref"], "f": {}})
+                self.send_data({"t": "ack", "ref": message["ref"], "f": {}})
 
-    def send(self, data: bytes | dict[str, Any]) -> None:
+    def send_data(self, data: bytes | dict[str, Any]) -> None:
         self.sock.sendall(data if isinstance(data, bytes) else json.dumps(data).encode() + b"\n")
 
     def close(self) -> None:
@@ -128,16 +128,16 @@
 
     def __init__(self, name: str, cell: int) -> None:
         self.name, self.cell = name, cell
-        self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.setblocking(False)
-        self.port = self.listener.getsockname()[1]
+        self.listen_socket = socket.create_server(("127.0.0.1", 0))
+        self.listen_socket.setblocking(False)
+        self.port = self.listen_socket.getsockname()[1]
         self.connections: list[Peer] = []
         self.draining, self.started_ms, self.refusing = False, 0, False
 
     def read(self) -> None:
         while True:
             try:
-                self.connections.append(Peer(self.listener.accept()[0]))
+                self.connections.append(Peer(self.listen_socket.accept()[0]))
             except OSError:
                 break
         for connection in self.connections:
@@ -154,20 +154,20 @@
 
     def refuse_connections(self) -> None:
         """Keeps the port bound, so that it is still free when the server listens again."""
-        self.listener.close()
-        self.listener = socket.socket()
-        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.listener.setblocking(False)
-        self.listener.bind(("127.0.0.1", self.port))
+        self.listen_socket.close()
+        self.listen_socket = socket.socket()
+        self.listen_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listen_socket.setblocking(False)
+        self.listen_socket.bind(("127.0.0.1", self.port))
         self.refusing = True
 
-    def listen(self) -> None:
-        self.listener.listen()
+    def start_listening(self) -> None:
+        self.listen_socket.listen()
         self.refusing = False
 
     def kill(self) -> None:
         """Refuses new connections and resets the open ones."""
-        self.listener.close()
+        self.listen_socket.close()
         for connection in self.connections:
             if not connection.closed:
                 connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -231,13 +231,13 @@
         self.now = 1000.0
         self.acknowledges = acknowledges
         self.handed_over_refs: set[str] = set()  # handed-over sessions, which get no answer
-        self.resolver = FakeResolver()
+        self.fake_resolver = FakeResolver()
         if not resolver_answers:
-            self.resolver.alter_response = lambda data: None
+            self.fake_resolver.alter_response = lambda data: None
         self.servers = [FakeServer(f"s-{n:08x}", n) for n in range(servers)]
-        self.resolver.servers = list(self.servers)
+        self.fake_resolver.servers = list(self.servers)
         self.loop = Loop(clock=lambda: self.now)
-        self.config = make_configuration(self.servers, self.resolver.address, sockets, settings)
+        self.config = make_configuration(self.servers, self.fake_resolver.address, sockets, settings)
         parsed = configuration.parse_configuration(json.dumps(self.config), "config.json")
         self.node = FrontNode(self.loop, parsed, "config.json")
         self.node.on_callback_error = self.raise_error  # type: ignore[method-assign]
@@ -263,7 +263,7 @@
         """Runs the node and all peers for some passes of the loop."""
         for _ in range(passes):
             self.loop.run_once(0.0)
-            self.resolver.read()
+            self.fake_resolver.read()
             for server in self.servers:
                 server.read()
             for viewer in self.viewers:
@@ -296,9 +296,11 @@
             "d": "v=0\r\nc=IN IP4 10.4.7.9",
         }
 
-    def send_set_up(self, cls: str = "plain", viewer: Peer | None = None, **overrides: Any) -> dict[str, Any]:
+    def request_set_up(
+        self, cls: str = "plain", viewer: Peer | None = None, **overrides: Any
+    ) -> dict[str, Any]:
         message = self.make_set_up(cls, **overrides)
-        (viewer or self.viewer).send(message)
+        (viewer or self.viewer).send_data(message)
         return message
 
     def wait_for_set_up(self, ref: str) -> tuple[FakeServer, Peer, dict[str, Any]]:
@@ -318,9 +320,9 @@
         return found[-1]
 
     def establish_session(self, cls: str = "plain", **overrides: Any) -> tuple[str, FakeServer, Peer]:
-        ref = self.send_set_up(cls, **overrides)["ref"]
+        ref = self.request_set_up(cls, **overrides)["ref"]
         server, connection, _ = self.wait_for_set_up(ref)
-        connection.send({"t": "up", "ref": ref, "f": {}, "d": f"v=0 {ref}"})
+        connection.send_data({"t": "up", "ref": ref, "f": {}, "d": f"v=0 {ref}"})
         self.run_until(lambda: self.messages_for(ref, "up"))
         return ref, server, connection
 
@@ -342,8 +344,8 @@
         ]:
             handler.stream.detach()
         for sock in [
-            *(server.listener for server in self.servers),
-            self.resolver.sock,
+            *(server.listen_socket for server in self.servers),
+            self.fake_resolver.sock,
             *(viewer.sock for viewer in self.viewers),
         ]:
             sock.close()
