--- a/tests/node/running.py
+++ b/tests/node/running.py
@@ -38,9 +38,7 @@
 
     def write_configuration(self, resolver: FakeResolver) -> None:
         listen = f"127.0.0.1:{self.address[1]}"
-        self.path.write_text(
-            json.dumps(make_configuration(self.servers, fake_resolver.address, listen=listen))
-        )
+        self.path.write_text(json.dumps(make_configuration(self.servers, resolver.address, listen=listen)))
 
     def connect_viewer(self) -> bool:
         try:
--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -694,7 +694,7 @@
     connection.send_data({**up(ref), "f": {"load": "queue:3;utilization:0.5"}})
     world.run_until(lambda: world.messages_for(ref, "up"))
     (box,) = world.node.bridge.decider.boxes.values()  # type: ignore[attr-defined]
-    assert box.connection.heard_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
+    assert box.link.heard_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
 
 
 # Input that is read before a write
