--- a/lemonhall/front/node/log.py
+++ b/lemonhall/front/node/log.py
@@ -15,6 +15,8 @@
 
 
 class Log:
+    """Counts the lines that the limit suppresses; the next line of the event carries them as `left_out`."""
+
     def __init__(self) -> None:
         self.second = 0
         self.written: Counter[str] = Counter()
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -31,7 +31,7 @@
 
 
 class FrontNode:
-    """Raises `OSError` if it cannot listen."""
+    """A front node: its connections, server list and decider. Raises `OSError` if it cannot listen."""
 
     def __init__(self, loop: Loop, config: Configuration, config_path: str) -> None:
         self.loop, self.config, self.config_path = loop, config, config_path
@@ -114,7 +114,7 @@
     # Server list
 
     def on_list(self, list_number: int, servers: tuple[ListedServer, ...]) -> None:
-        """The first response is reported as a whole list: it confirms or replaces the list of the start."""
+        """Reports the first response as a complete list: it confirms or replaces the list of the start."""
         changed, removed = list_changes(self.listed_servers, servers)
         if not self.list_confirmed:
             self.list_confirmed = True
@@ -149,7 +149,7 @@
             reported.append(self.make_server(entry, server.number, state))
         for entry in removed:
             del self.listed_servers[entry.id]
-            if kind is interface.ListKind.CHANGES:  # a whole list reports it by omission
+            if kind is interface.ListKind.CHANGES:  # a complete list reports it by omission
                 server = self.servers.get_or_add(entry.id)
                 reported.append(self.make_server(entry, server.number, interface.ServerState.GONE))
         log.emit("list", number=list_number, kind=kind.name.lower(), changed=len(changed), gone=len(removed))
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -35,6 +35,8 @@
 
 
 class Sessions:
+    """All sessions of the node: turns messages into events of the decider and its actions into messages."""
+
     def __init__(
         self,
         loop: Loop,
@@ -141,10 +143,10 @@
             )
         )
         if not server.connections:
-            server.open_connection()  # the session's notes and release arrive on a connection of ours
+            server.open_connection()  # on which the session's notes and release arrive
 
     def apply_early_release(self, session: Session, server: MediaServer) -> bool:
-        """Forwards a release that arrived before the hand-over, on another connection, to the other side."""
+        """Forwards a release that arrived before the handover, on another connection, to the other side."""
         received_at, server_id, cause = self.early_releases.pop(session.ref, (NEVER, "", 0))
         if self.loop.now() - received_at > bounds.EARLY_RELEASE_TTL_S or server_id not in ("", server.id):
             return False
@@ -157,7 +159,7 @@
         return True
 
     def remember_early_release(self, ref: str, server_id: str, cause: int) -> None:
-        """Keeps the release of an unknown ref for a while: the hand-over may still be on its way."""
+        """Keeps the release of an unknown ref for a while: the handover may still be on its way."""
         self.early_releases.pop(ref, None)
         while len(self.early_releases) >= bounds.MAX_EARLY_RELEASES:
             del self.early_releases[next(iter(self.early_releases))]
@@ -184,7 +186,9 @@
             return  # we are closing it: what was written to it is still sent
         unsent_answers, viewer.unsent_answers = viewer.unsent_answers, []
         for end, session in unsent_answers:
-            if session.established and end > viewer.stream.bytes_written:  # the answer was not sent whole
+            if (
+                session.established and end > viewer.stream.bytes_written
+            ):  # the answer was not sent completely
                 self.counts["up_undelivered"] += 1
                 self.release_at_server(session, ENDED_BY_VIEWER)
                 self.end(session, Outcome.CANCELLED)
@@ -204,7 +208,7 @@
             )
 
     def report_viewer_gone(self, session: Session) -> None:
-        """Reports the departure to the decider before all other events, or withdraws the whole session."""
+        """Reports the departure before all other events; a session not reported yet is withdrawn instead."""
         if session.new_session_event and self.bridge.left(session.new_session_event):
             self.departing[session.number] = session
             # Runs after all actions have been carried out.
@@ -228,7 +232,7 @@
     def on_server_up(self, connection: ServerConnection, up: Up) -> None:
         attempt = connection.open_attempts.get(up.ref)
         if attempt is None:
-            # A duplicate, an unknown ref, or a set-up whose server was told that it is given up.
+            # A duplicate, an unknown ref, or a set-up that was already given up at its server.
             self.counts["up_unknown"] += 1
             return
         del connection.open_attempts[up.ref]
--- a/lemonhall/front/node/viewers.py
+++ b/lemonhall/front/node/viewers.py
@@ -75,7 +75,7 @@
             self.send(messages.encode_heartbeat_reply(message.ref, owner.is_serving()))
 
     def reject_message(self, error: MessageError) -> None:
-        """Answers with an error under the message's ref if nobody else uses that ref, else closes."""
+        """Answers with an error under the message's ref if that ref is not in use, else closes."""
         owner = self.owner
         owner.counts["bad_message"] += 1
         owner.log_event("rejected an invalid message from a viewer", why=error.reason)
@@ -136,8 +136,10 @@
 
 
 class ViewerConnections:
-    """`on_set_up` receives a set-up (returns False: not accepted), `on_down` its end, `on_disconnected` a
-    close."""
+    """All connections from viewers, and the releases that wait for one.
+
+    `on_set_up` receives a set-up (returns False: not accepted), `on_down` its end, `on_disconnected` a close.
+    """
 
     def __init__(
         self,
@@ -188,7 +190,7 @@
     def evict_connection(self) -> bool:
         """Closes the least useful connection without open set-ups; returns whether there was one.
 
-        Keeps ordinary viewers connected when somebody opens connections by the hundred. A connection on which
+        Keeps ordinary viewers connected when a client opens hundreds of connections. A connection on which
         a set-up is unread is kept: the node has accepted that set-up.
         """
         idle = [connection for connection in self.connections if not connection.open_sessions]
--- a/lemonhall/node/bounds.py
+++ b/lemonhall/node/bounds.py
@@ -24,7 +24,7 @@
 VIEWER_IDLE_TIMEOUT_S = 30.0  # viewers close after 4 s without a session; this covers those that vanished
 
 LINGER_TIMEOUT_S = 1.0  # after our close, input is read and discarded so that our last message arrives
-MAX_EARLY_RELEASES = 1_000  # releases of unknown ids, kept because a hand-over may have crossed them
+MAX_EARLY_RELEASES = 1_000  # releases of unknown refs, kept because a handover may have crossed them
 EARLY_RELEASE_TTL_S = 8.0  # an ended session is released within 8 s
 
 ANSWER_MARGIN_S = 0.03  # before the viewer's deadline: time for the answer to travel
--- a/lemonhall/node/dns.py
+++ b/lemonhall/node/dns.py
@@ -99,7 +99,7 @@
 
 
 def parse_response(data: bytes, query_id: int, name: str) -> tuple[int, tuple[ListedServer, ...]]:
-    """The list's sequence number and the whole list. Raises `DnsError`."""
+    """The list's sequence number and the complete list. Raises `DnsError`."""
     if not _HEADER.size <= len(data) <= MAX_DNS_RESPONSE_BYTES:
         raise DnsError(f"{len(data)} bytes is not a valid size of a response")
     response_id, flags, question_count, answer_count, authority_count, additional_count = _HEADER.unpack_from(
--- a/lemonhall/node/messages.py
+++ b/lemonhall/node/messages.py
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class NewSetUp:
-    """A viewer's set-up of a session, or the hand-over of one that plays already (`playing_at` is set)."""
+    """A viewer's set-up of a session, or the handover of one that plays already (`playing_at` is set)."""
 
     ref: str
     cls: int
@@ -299,8 +299,8 @@
     raise MessageError(f"message type {kind[:16]!r} is unknown")
 
 
-# Messages to peers. Every text in them was validated or is ours; descriptions are escaped anew, which keeps
-# their meaning.
+# Messages to peers. Every text in them is a constant or was validated; descriptions are escaped again, which
+# keeps their meaning.
 
 
 def encode_set_up(set_up: NewSetUp, left_ms: float, rung: int) -> bytes:
