--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -14,7 +14,7 @@
 from lemonhall.interface import Outcome
 from lemonhall.rtsp import rtp
 from tests.front.world import ScriptedBox, Server, World
-from tests.node.world import Order
+from tests.node.world import ReorderingSelector
 
 Build = Callable[..., World]
 
@@ -71,7 +71,7 @@
     both(w, "SETUP", lambda conn, request: held.append((conn, request)))
     client, _, _ = w.play("/browse/one")
     w.until(lambda: held)
-    w.loop.selector = Order(  # type: ignore[assignment]
+    w.loop.selector = ReorderingSelector(  # type: ignore[assignment]
         w.loop.selector, lambda found: sorted(found, key=lambda one: one[0].fd, reverse=backwards)
     )
     server, request = held[0]
