--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -15,7 +15,7 @@
 
 from lemonhall import interface as i
 from lemonhall.loop import Loop, Timer
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 from lemonhall.members import DatagramError, KeyRing, MembershipMachine, OutgoingDatagram, SwimConfig
 from lemonhall.members.front_count import FrontCount
 from lemonhall.members.machine import MembershipView, MemberState
@@ -106,7 +106,7 @@
         self.on_share_changed: Callable[[int], object] = lambda fronts: None  # that shares go by
         self.blocked_ports: set[int] = set()  # for tests: ports that nothing is heard from
         self.on_view_changed: Callable[[MembershipView], object] = lambda view: None
-        loop.watch(self.sock, READ, self.on_ready)
+        loop.watch_socket(self.sock, READ, self.on_ready)
         self.send(self.machine.start(self.now_ms()))
         self.arm()
 
@@ -201,10 +201,10 @@
         """Says and hears nothing, while it is not clear who is this front."""
         if self.timer:
             self.timer.cancel()
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
 
     def resume(self) -> None:
-        self.loop.watch(self.sock, READ, self.on_ready)
+        self.loop.watch_socket(self.sock, READ, self.on_ready)
         self.arm()
 
     def announce_leave(self) -> None:
@@ -220,7 +220,7 @@
         if self.timer:
             self.timer.cancel()
         if self.sock.fileno() >= 0:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
             self.sock.close()
 
     def page(self) -> tuple[int, str, bytes]:
--- a/lemonhall/front/decider/peers.py
+++ b/lemonhall/front/decider/peers.py
@@ -11,7 +11,7 @@
 
 from lemonhall import interface as i
 from lemonhall.loop import Loop
-from lemonhall.loop.core import READ
+from lemonhall.loop.event_loop import READ
 
 HEADER = struct.Struct(">BH")
 MAGIC = 0x4C
@@ -55,7 +55,7 @@
         if sock is None:
             self.sock.bind(listen)
         self.rejected_datagrams = 0  # not a peer message, or not from the address of its sender
-        loop.watch(self.sock, READ, self.on_ready)
+        loop.watch_socket(self.sock, READ, self.on_ready)
 
     def send(self, action: i.SendToPeers) -> None:
         """Sends to one peer or to all. A send error is ignored, since a datagram may be lost anyway."""
@@ -82,5 +82,5 @@
             self.on_event(i.PeerMessage(*decoded))
 
     def close(self) -> None:
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
         self.sock.close()
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -83,7 +83,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        return self.stream.written > 0
+        return self.stream.bytes_written > 0
 
     def send(self, method: str, url: str, *headers: tuple[str, str], body: bytes = b"") -> None:
         self.cseq += 1
@@ -93,7 +93,7 @@
 
     # callbacks of the stream
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.state = State.SETTING_UP
         if self.may_send:
             self.send_set_up()
@@ -121,7 +121,7 @@
         """The bandwidth of the session in bits per second (RFC 2326, 12.6)."""
         return "Bandwidth", str(round(self.bandwidth * 8000))
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if self.state is State.ENDED:
                 return
@@ -134,13 +134,13 @@
             elif isinstance(event, Malformed):
                 self.end(Outcome.RESET if self.state is State.PLAYING else Outcome.ERROR)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if self.state is State.ENDED:
             return
         if self.state is State.TEARING_DOWN:
             self.end(self.teardown_outcome)
         else:
-            self.end(Outcome.RESET if self.stream.written else Outcome.CONNECT_FAILED)
+            self.end(Outcome.RESET if self.stream.bytes_written else Outcome.CONNECT_FAILED)
 
     # RTSP
 
@@ -225,7 +225,7 @@
         reset and the outcome is `CANCELLED`."""
         if self.state is State.PLAYING:
             self.state, self.teardown_outcome = State.TEARING_DOWN, outcome
-            self.stream.resume()
+            self.stream.resume_reading()
             self.send("TEARDOWN", self.url)
             self.timer = self.loop.call_later(TEARDOWN_TIMEOUT_S, self.end, outcome)
         elif self.state is not State.TEARING_DOWN:
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -14,7 +14,7 @@
 from lemonhall.interface import Outcome
 from lemonhall.rtsp import rtp
 from tests.front.world import ScriptedBox, Server, World
-from tests.node.world import Order
+from tests.node.world import ReorderingSelector
 
 Build = Callable[..., World]
 
@@ -71,7 +71,7 @@
     both(w, "SETUP", lambda conn, request: held.append((conn, request)))
     client, _, _ = w.play("/browse/one")
     w.until(lambda: held)
-    w.loop.selector = Order(  # type: ignore[assignment]
+    w.loop.selector = ReorderingSelector(  # type: ignore[assignment]
         w.loop.selector, lambda found: sorted(found, key=lambda one: one[0].fd, reverse=backwards)
     )
     server, request = held[0]
@@ -332,19 +332,19 @@
     slow_conn = w.boxes[0].conns[-1]
     good, _ = w.playing("/browse/good")
     good_conn = w.boxes[0].conns[-1]
-    slow.stream.pause()
+    slow.stream.pause_reading()
     viewer = next(s.viewer for s in w.daemon.worker.by_id.values() if "/slow" in s.path)
     most = 0
     packet = slow_conn.packet(b"z" * 1200)
     heard = len(good.media)
     for n in range(200):
-        if slow_conn.stream.open and slow_conn.stream.backlog < 1 << 20:
+        if slow_conn.stream.open and slow_conn.stream.backlog_bytes < 1 << 20:
             slow_conn.stream.write(packet * 100)
         good_conn.media(b"on")
         w.until(lambda n=n: len(good.media) == heard + n + 1)  # type: ignore[misc]
-        most = max(most, viewer.stream.backlog)
+        most = max(most, viewer.stream.backlog_bytes)
     assert 64_000 <= most <= 64_000 + (1 << 17)  # its bound and what one turn may add
-    assert slow_conn.stream.backlog > 0  # held back all the way to the server
+    assert slow_conn.stream.backlog_bytes > 0  # held back all the way to the server
     w.until(lambda: w.daemon.counts["viewer_stalled"] == 1)
     w.until(lambda: len(w.daemon.set_up_requests.open_requests) == 1)
     assert good.reason == "" and good.byes == 0
