--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -31,32 +31,32 @@
 from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.hooks.advice import merge
 from lemonhall.interface import Outcome
-from lemonhall.loop import Loop
-from lemonhall.loop.stream import Address
-from lemonhall.seam import (
-    Asked,
-    Book,
-    Broken,
-    Cancel,
-    Carried,
-    Cleared,
-    Ended,
-    Failed,
-    Finish,
-    Gone,
-    Lapsed,
+from lemonhall.ipc import (
+    AttemptFinished,
+    AttemptRecorded,
+    AttemptRegistry,
+    CancelAttempt,
+    ChangeRung,
+    DeadlineExpired,
+    EndSession,
+    Execution,
+    FailRequest,
+    MalformedMessage,
     Message,
-    Move,
-    Noted,
-    Over,
-    Playing,
-    Proof,
-    Reader,
-    Refused,
-    Rung,
-    SetUp,
+    MessageDecoder,
+    MoveSession,
+    OngoingSession,
+    PlaybackStarted,
+    RefuseRequest,
+    ServerNote,
+    SessionClosed,
+    SetUpRequested,
+    StartAttempt,
+    ViewerGone,
 )
-from lemonhall.seam.book import Out
+from lemonhall.ipc.attempt_registry import OpenAttempt
+from lemonhall.loop import Loop
+from lemonhall.loop.stream import Address
 from lemonhall.store import Begun, Hold, Token, Verdict
 
 log = structlog.get_logger("lemonhall.front")
@@ -75,11 +75,11 @@
 
 
 class Ask:
-    def __init__(self, line: Line, said: Asked) -> None:
-        self.line, self.said, self.number, self.deadline = line, said, said.ask, said.deadline
+    def __init__(self, line: Line, said: SetUpRequested) -> None:
+        self.line, self.said, self.number, self.deadline = line, said, said.request_id, said.deadline
         self.rung = 0
         self.attempts = 0
-        self.out: Out | None = None  # the attempt that is out, or plays
+        self.out: OpenAttempt | None = None  # the attempt that is out, or plays
         self.answered = False
         self.came = 0.0  # when it was asked for
         self.advice = i.NO_ADVICE  # what the module was told of wishes for it
@@ -118,7 +118,7 @@
         self.loop, self.settings, self.bridge, self.counts = loop, settings, bridge, counts
         self.addresses, self.hooks = addresses, hooks
         self.open_requests: dict[int, Ask] = {}
-        self.attempt_table = Book()
+        self.attempt_table = AttemptRegistry()
         self.holds: dict[tuple[int, int], Hold] = {}  # of attempts that are out, by ask and attempt
         self.failpoint: Callable[[str], object] = lambda name: None
         self.on_set_up_time: Callable[[float], object] = lambda ms: None
@@ -133,14 +133,14 @@
             settings, self.attempts_by_server, self.counts, Random(random.random())
         )
         self.message_handlers: dict[type[Message], Callable[[Line, Any], object]] = {
-            Asked: self.asked,
-            Playing: self.playing,
-            Ended: self.ended,
-            Noted: self.noted,
-            Gone: self.gone,
-            Lapsed: self.lapsed,
-            Over: self.over,
-            Carried: self.carried,
+            SetUpRequested: self.asked,
+            PlaybackStarted: self.playing,
+            AttemptFinished: self.ended,
+            ServerNote: self.noted,
+            ViewerGone: self.gone,
+            DeadlineExpired: self.lapsed,
+            SessionClosed: self.over,
+            OngoingSession: self.carried,
         }
         bridge.action_handlers.update(
             {
@@ -162,27 +162,27 @@
 
     def attempts_by_server(self) -> Counter[int]:
         """Attempts that are out or play, by server."""
-        return Counter(out.server for out in self.attempt_table.out.values())
+        return Counter(out.server for out in self.attempt_table.open_attempts.values())
 
     # what workers say
 
-    def asked(self, line: Line, said: Asked) -> None:
+    def asked(self, line: Line, said: SetUpRequested) -> None:
         """The module is told now, or when a claim's own front has spoken. What is late has had its answer."""
         now = self.loop.now()
-        if said.deadline <= now or not self.attempt_table.enter(line.number, said.ask):
+        if said.deadline <= now or not self.attempt_table.add_request(line.number, said.request_id):
             self.counts["asked_late"] += 1
             return
-        ask = self.open_requests[said.ask] = Ask(line, said)
+        ask = self.open_requests[said.request_id] = Ask(line, said)
         ask.came = now
         self.counts["asked"] += 1
         if self.recorder and not said.moved:
             self.recorder.on_request(said, now * 1000)
         claim = None if said.moved else Token.parse(said.claim)
         if claim is None:
-            self.admit(ask, Verdict.RAN if said.ran else Verdict.GO)
+            self.admit(ask, Verdict.RAN if said.maybe_ran else Verdict.GO)
             return
-        if said.unsent_made and self.store_service:
-            self.store_service.settle_unsent(claim, said.unsent_turn, said.unsent_made)
+        if said.unsent_attempt and self.store_service:
+            self.store_service.settle_unsent(claim, said.unsent_turn, said.unsent_attempt)
         self.claim_resolver.begin(claim, ASK_PART * (said.deadline - now), partial(self.begun, ask))
 
     def begun(self, ask: Ask, begun: Begun) -> None:
@@ -190,7 +190,7 @@
         if self.open_requests.get(ask.number) is not ask:
             return
         ask.hold = begun.hold
-        verdict = Verdict.RAN if ask.said.ran else begun.verdict
+        verdict = Verdict.RAN if ask.said.maybe_ran else begun.verdict
         self.counts[f"claim_{verdict.value}"] += verdict is not Verdict.GO
         self.admit(ask, verdict)
 
@@ -219,7 +219,7 @@
         said, capture = ask.said, self.bridge.capture
         if capture:
             capture.add_note(
-                self.bridge.now_ms(), "viewer", f"session {said.session} {said.path}", ask.number
+                self.bridge.now_ms(), "viewer", f"session {said.session_id} {said.path}", ask.number
             )
         ruling = self.hooks.run("arrival", ask, said.moved)
         ask.advice, ask.reason, ask.cls = ruling.advice, ruling.reason, ruling.cls
@@ -248,8 +248,8 @@
     def take_room(self, ask: Ask, limits: LimitsDriver) -> None:
         """Under the limits of the whole fleet, or it is wished away with a pause."""
         said = ask.said
-        moved = said.session if said.moved else ""
-        ruling = limits.reserve(ask.number, said.tenant, ask.cls, str(said.title), said.top, moved)
+        moved = said.session_id if said.moved else ""
+        ruling = limits.reserve(ask.number, said.tenant, ask.cls, str(said.title), said.top_rung, moved)
         advice = i.Advice(cap=ruling.rung_cap)
         if ruling.refused_by:
             self.counts["over_limit"] += 1
@@ -265,7 +265,7 @@
             viewer=said.viewer,
             title=said.title,
             left_ms=left_ms,
-            top=said.top,
+            top=said.top_rung,
             first_cell=said.first_cell,
             cells=said.cells,
             tenant=said.tenant,
@@ -275,8 +275,8 @@
             maybe_ran=ran,
         )
 
-    def playing(self, line: Line, word: Playing) -> None:
-        ask = self.mine(line, word.ask, word.attempt)
+    def playing(self, line: Line, word: PlaybackStarted) -> None:
+        ask = self.mine(line, word.request_id, word.attempt)
         if ask is None or ask.answered:
             return
         ask.answered, ask.since = True, self.loop.now()
@@ -286,7 +286,7 @@
             self.zones.on_playing(ask.number, word.server)
         if self.store_service:
             said = ask.said
-            self.store_service.save_session(said.session, said.claim, said.path, said.cls, word.server)
+            self.store_service.save_session(said.session_id, said.claim, said.path, said.cls, word.server)
         self.bridge.enqueue(i.Playing(ask.number, word.attempt, word.server, word.took_ms))
         for name, value in zip(self.settings.terms.report_fields, word.report, strict=False):
             if kind := {"x0": i.NoteKind.LINK, "x1": i.NoteKind.UPLINK}.get(name):
@@ -299,9 +299,9 @@
             return None
         return ask
 
-    def noted(self, line: Line, word: Noted) -> None:
-        if self.mine(line, word.ask, word.attempt):
-            self.note(word.ask, word.attempt, word.server, word.note, word.value)
+    def noted(self, line: Line, word: ServerNote) -> None:
+        if self.mine(line, word.request_id, word.attempt):
+            self.note(word.request_id, word.attempt, word.server, word.note_kind, word.value)
 
     def note(self, ask: int, attempt: int, server: int, kind: int, value: float) -> None:
         self.bridge.enqueue(i.Note(ask, attempt, server, kind, value))
@@ -310,9 +310,9 @@
         if kind == i.NoteKind.LINK:
             self.hooks.on_link_use(server, value)
 
-    def gone(self, line: Line, word: Gone) -> None:
+    def gone(self, line: Line, word: ViewerGone) -> None:
         """The module is told now; of the end of an attempt that is out when it comes."""
-        ask = self.open_requests.get(word.ask)
+        ask = self.open_requests.get(word.request_id)
         if ask is None or ask.line is not line:
             return
         self.counts["viewer_gone"] += not ask.answered
@@ -321,95 +321,95 @@
         if ask.out is None:
             self.close_request(ask)
 
-    def ended(self, line: Line, word: Ended) -> None:
-        out = self.attempt_table.ended(line.number, word.ask, word.attempt)
+    def ended(self, line: Line, word: AttemptFinished) -> None:
+        out = self.attempt_table.finish_attempt(line.number, word.request_id, word.attempt)
         if out is None:
             return
         outcome = Outcome(word.outcome)
-        self.settle(out, word.left and outcome not in NEVER_RAN)
-        if self.limits and word.moving and word.ask in self.open_requests:
-            self.limits.park(word.ask, self.open_requests[word.ask].said.session)
+        self.settle(out, word.request_sent and outcome not in NEVER_RAN)
+        if self.limits and word.moving and word.request_id in self.open_requests:
+            self.limits.park(word.request_id, self.open_requests[word.request_id].said.session_id)
         else:
-            self.give_room_back(word.ask)
+            self.give_room_back(word.request_id)
         if self.zones:
             self.zones.on_outcome(word.server, outcome)
-        ask = self.open_requests.get(word.ask)
+        ask = self.open_requests.get(word.request_id)
         if ask is None or ask.out is not out:
             return
         ask.out = None
         self.counts[f"ended_{outcome.name.lower()}"] += 1
-        if outcome not in (Outcome.OK, Outcome.MOOT, Outcome.CANCELLED) and not word.gone:
+        if outcome not in (Outcome.OK, Outcome.MOOT, Outcome.CANCELLED) and not word.viewer_gone:
             self.broke(ask, outcome, word)
         told = i.AttemptEnded(
-            ask.number, word.attempt, word.server, outcome, word.closed, word.took_ms, word.report
+            ask.number, word.attempt, word.server, outcome, word.request_closed, word.took_ms, word.report
         )
         self.bridge.enqueue(told)
-        if word.closed:
+        if word.request_closed:
             self.close_request(ask)
 
-    def settle(self, out: Out, ran: bool) -> None:
-        hold = self.holds.pop((out.ask, out.number), None)
+    def settle(self, out: OpenAttempt, ran: bool) -> None:
+        hold = self.holds.pop((out.request_id, out.number), None)
         if hold and self.store_service:
             self.store_service.settle(hold, ran)
 
-    def broke(self, ask: Ask, outcome: Outcome, word: Ended) -> None:
+    def broke(self, ask: Ask, outcome: Outcome, word: AttemptFinished) -> None:
         """The hooks are heard of a break before the module is told of it."""
         facts = {"outcome": outcome.name.lower(), "played": word.played_ms}
         ruling = self.hooks.run("break", ask, word.moving, **facts)
         if not ask.answered:
             self.advise(ask, ruling.advice)
 
-    def lapsed(self, line: Line, word: Lapsed) -> None:
+    def lapsed(self, line: Line, word: DeadlineExpired) -> None:
         """The worker has answered in our place: the module was silent, or this process did not run."""
-        ask = self.open_requests.get(word.ask)
+        ask = self.open_requests.get(word.request_id)
         if ask is None or ask.line is not line:
             return
         self.counts["overdue"] += 1
-        log.error("no answer by the deadline", session=ask.said.session, ask=ask.number)
+        log.error("no answer by the deadline", session=ask.said.session_id, ask=ask.number)
         if ask.told:
             self.bridge.enqueue_viewer_gone(ask.told)
         self.close_request(ask)
 
-    def over(self, line: Line, word: Over) -> None:
+    def over(self, line: Line, word: SessionClosed) -> None:
         if self.recorder:
             played = word.played_ms if word.played_ms >= 0 else None
-            self.recorder.on_session_over(word.session, played, word.vanished)
+            self.recorder.on_session_over(word.session_id, played, word.vanished)
         if word.played_ms >= 0 and self.store_service:
-            self.store_service.remove_session(word.session)
+            self.store_service.remove_session(word.session_id)
 
-    def carried(self, line: Line, word: Carried) -> None:
+    def carried(self, line: Line, word: OngoingSession) -> None:
         """It plays, under a set-up of a decider that is gone, or of a front that this one relieves."""
-        said = Reader().feed(word.asked)[0]
-        if isinstance(said, Broken) or not isinstance(said, Asked):
+        said = MessageDecoder().feed(word.request)[0]
+        if isinstance(said, MalformedMessage) or not isinstance(said, SetUpRequested):
             self.counts["carried_unreadable"] += 1
             return
-        said.ask = word.ask
-        if not self.attempt_table.enter(line.number, word.ask):
+        said.request_id = word.request_id
+        if not self.attempt_table.add_request(line.number, word.request_id):
             return
-        ask = self.open_requests[word.ask] = Ask(line, said)
-        ask.answered, ask.rung, ask.attempts, ask.since = True, word.rung, 1, word.since
+        ask = self.open_requests[word.request_id] = Ask(line, said)
+        ask.answered, ask.rung, ask.attempts, ask.since = True, word.rung, 1, word.playing_since
         if word.memo:
             ask.cls, ask.advice, ask.reason = remembered(word.memo)
         ask.told = self.new_session(ask, max(1.0, (said.deadline - self.loop.now()) * 1000), False)
-        ask.out = self.attempt_table.set_up(word.ask, 0, word.server, True)
+        ask.out = self.attempt_table.add_attempt(word.request_id, 0, word.server, True)
         if self.store_service:
-            self.store_service.save_session(said.session, said.claim, said.path, said.cls, word.server)
-            if word.made and (claim := Token.parse(said.claim)):
-                self.holds[word.ask, 0] = Hold(claim, word.turn, 0)
+            self.store_service.save_session(said.session_id, said.claim, said.path, said.cls, word.server)
+            if word.claim_attempts and (claim := Token.parse(said.claim)):
+                self.holds[word.request_id, 0] = Hold(claim, word.claim_turn, 0)
         self.counts["carried"] += 1
         if self.zones:
-            self.zones.adopt_session(word.ask, ask.cls, word.rung, word.server)
+            self.zones.adopt_session(word.request_id, ask.cls, word.rung, word.server)
         if self.limits:
-            self.limits.adopt_session(word.ask, said.tenant, ask.cls, str(said.title), word.rung)
+            self.limits.adopt_session(word.request_id, said.tenant, ask.cls, str(said.title), word.rung)
         self.bridge.enqueue(i.HandedOver(ask.told, word.server))
-        self.bridge.enqueue(i.Note(word.ask, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
+        self.bridge.enqueue(i.Note(word.request_id, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
 
     def on_worker_lost(self, line: Line) -> None:
         """A worker's link has ended: every end that it owes is told here, once."""
-        asks, ends = self.attempt_table.lost(line.number)
+        asks, ends = self.attempt_table.remove_connection(line.number)
         for out, proof in ends:
-            self.settle(out, proof is Proof.MAYBE)
-        told = {out.ask: out for out, _ in ends}
+            self.settle(out, proof is Execution.MAY_HAVE_RUN)
+        told = {out.request_id: out for out, _ in ends}
         for number in asks:
             ask = self.open_requests.pop(number)
             if self.held_verdicts.pop(number, None) and self.recovery:
@@ -420,10 +420,10 @@
             if ask.hold and self.store_service:
                 self.store_service.ledger.over(ask.hold)
             if ask.answered and self.store_service:
-                self.store_service.remove_session(ask.said.session)
+                self.store_service.remove_session(ask.said.session_id)
             if self.recorder:
                 played = (self.loop.now() - ask.since) * 1000 if ask.answered else None
-                self.recorder.on_session_over(ask.said.session, played, not ask.answered)
+                self.recorder.on_session_over(ask.said.session_id, played, not ask.answered)
             if ask.told:
                 self.bridge.enqueue_viewer_gone(ask.told)
             if ask.out and (last := told.get(number)):
@@ -446,7 +446,7 @@
     def close_request(self, ask: Ask) -> None:
         if self.store_service and ask.hold:
             self.store_service.ledger.over(ask.hold)
-        self.attempt_table.drop(ask.number)
+        self.attempt_table.remove_request(ask.number)
         self.open_requests.pop(ask.number, None)
         if self.held_verdicts.pop(ask.number, None) and self.recovery:
             self.recovery.drop_request(ask.number)
@@ -458,7 +458,7 @@
         """Once nothing of it is asked for, out, or plays: what a limit counts stands at a server."""
         if self.limits and number not in self.open_requests:
             attempts = range(self.settings.terms.max_attempts)
-            if not any((number, n) in self.attempt_table.out for n in attempts):
+            if not any((number, n) in self.attempt_table.open_attempts for n in attempts):
                 self.limits.release(number)
 
     def end_session(self, number: int, why: str) -> None:
@@ -467,9 +467,9 @@
         if ask:
             self.counts["ended_by_limit"] += 1
             if ask.answered:
-                ask.line.send(Finish(number, why))
+                ask.line.send(EndSession(number, why))
             elif ask.out:
-                ask.line.send(Cancel(number, ask.out.number))
+                ask.line.send(CancelAttempt(number, ask.out.number))
 
     def advise(self, ask: Ask, advice: i.Advice) -> None:
         """Tells the module of other wishes for a session, if they are any."""
@@ -511,7 +511,7 @@
             moot = record is None  # passed on, or taken by a later ask, meanwhile
         if not moot:
             assert address is not None
-            message = SetUp(
+            message = StartAttempt(
                 ask.number,
                 number,
                 action.server,
@@ -528,7 +528,7 @@
                 self.counts["attempts"] += 1
                 if self.zones:
                     self.zones.on_set_up(ask.number, action.server)
-                ask.out = self.attempt_table.set_up(ask.number, number, action.server, record is None)
+                ask.out = self.attempt_table.add_attempt(ask.number, number, action.server, record is None)
                 if ask.hold:
                     self.holds[ask.number, number] = ask.hold
                     self.failpoint("given")
@@ -541,13 +541,13 @@
 
     def cleared(self, ask: int, number: int, why: str) -> None:
         """The ledger has it, or says why not: only now may the request leave."""
-        out = self.attempt_table.out.get((ask, number))
+        out = self.attempt_table.open_attempts.get((ask, number))
         found = self.open_requests.get(ask)
         if out is None or found is None or found.out is not out:
             return
         self.failpoint("written")
-        if why or self.attempt_table.clear(ask, number):
-            found.line.send(Cleared(ask, number, why))
+        if why or self.attempt_table.allow_send(ask, number):
+            found.line.send(AttemptRecorded(ask, number, why))
             self.loop.call_later(0.0, self.failpoint, "cleared")  # once it has left
 
     def rate(self, ask: Ask, rung: int) -> float:
@@ -562,7 +562,7 @@
         before, ask.rung = ask.rung, action.rung
         if ask.out:
             self.counts["rung_changes"] += 1
-            ask.line.send(Rung(ask.number, action.rung, self.rate(ask, action.rung)))
+            ask.line.send(ChangeRung(ask.number, action.rung, self.rate(ask, action.rung)))
             self.changed(ask, before)
 
     def changed(self, ask: Ask, before: int) -> None:
@@ -575,11 +575,11 @@
     def refuse(self, action: i.Refuse) -> None:
         if ask := self.final(action.id, "refused"):
             reason = ask.reason if ask.advice.refuse and not ask.attempts else ""
-            ask.line.send(Refused(action.id, action.pause_ms, reason))
+            ask.line.send(RefuseRequest(action.id, action.pause_ms, reason))
 
     def fail(self, action: i.Fail) -> None:
         if ask := self.final(action.id, "failed"):
-            ask.line.send(Failed(action.id, 502))
+            ask.line.send(FailRequest(action.id, 502))
 
     def final(self, number: int, name: str) -> Ask | None:
         """The module's last word; the end of an attempt that is still out is the ledger's alone."""
@@ -599,9 +599,9 @@
             return
         self.counts["moved"] += 1
         ask.moving = True
-        ask.line.send(Move(action.id))
+        ask.line.send(MoveSession(action.id))
 
     def cancel(self, action: i.Cancel) -> None:
         ask = self.open_requests.get(action.id)
         if ask and not ask.answered and ask.out and ask.out.number == action.attempt:
-            ask.line.send(Cancel(action.id, action.attempt))
+            ask.line.send(CancelAttempt(action.id, action.attempt))
--- a/lemonhall/front/persistence/session_recorder.py
+++ b/lemonhall/front/persistence/session_recorder.py
@@ -13,7 +13,7 @@
 import structlog
 
 from lemonhall.config.settings import FrontSettings
-from lemonhall.seam import Asked
+from lemonhall.ipc import SetUpRequested
 
 log = structlog.get_logger("lemonhall.front")
 ROWS_PER_FILE = 2000
@@ -34,13 +34,13 @@
         self.rows: list[dict[str, Any]] = []
         self.files_written = 0
 
-    def on_request(self, message: Asked, now_ms: float) -> None:
+    def on_request(self, message: SetUpRequested, now_ms: float) -> None:
         """Opens the row at the first request of a session. Not called for moves, which no viewer
         requested."""
         terms = self.settings.terms
-        if message.session in self.open_rows:
+        if message.session_id in self.open_rows:
             return
-        self.open_rows[message.session] = {
+        self.open_rows[message.session_id] = {
             "person": message.viewer >> 1,
             "at_ms": now_ms - self.start_ms,
             "class": terms.class_names[message.cls],
@@ -48,7 +48,7 @@
             "title": message.path.partition("?")[0],
             "hall": terms.halls[self.settings.hall],
             "length_ms": None,
-            "top": message.top,
+            "top": message.top_rung,
             "vanishes": False,
         }
 
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/subsystems.py
@@ -47,14 +47,14 @@
     membership: Membership | None
     store_service: StoreService | None
     capture: CaptureWriter | None
-    taken: Any
+    inherited: Any
 
     def now_ms(self) -> float: ...
     def memory(self) -> i.LearnedState | None: ...
-    def seen(self, view: MembershipView) -> None: ...
+    def on_membership_view(self, view: MembershipView) -> None: ...
 
 
-class Beside:
+class Subsystems:
     def __init__(self, front: Front) -> None:
         self.front = front
 
@@ -83,7 +83,7 @@
             self.return_said,
         )
         if self.front.membership:
-            self.front.membership.on_view_changed = self.front.seen
+            self.front.membership.on_view_changed = self.front.on_membership_view
         self.front.list_client.on_list_alive = lambda as_of: desk.record_list_alive(
             as_of, len(self.front.list_client.server_list.boxes)
         )
@@ -176,9 +176,9 @@
         life, fresh = int(self.front.wall() * 1000), s.workers == 0
         machine = FleetLimits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
         if (
-            self.front.taken
-            and self.front.taken.message
-            and (state := self.front.taken.message.get("limits"))
+            self.front.inherited
+            and self.front.inherited.message
+            and (state := self.front.inherited.message.get("limits"))
         ):
             machine.restore_state(now, b64decode(state))
         desk = self.front.set_up_requests.limits = LimitsDriver(
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -13,20 +13,20 @@
 from lemonhall.config.settings import read_settings
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Loop
-from tests.front.world import TERMS, World
+from tests.front.harness import TERMS, FrontHarness
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 HALLS = TERMS.replace('halls "hall-a"', 'halls "hall-a" "hall-b"')
 
 
 @pytest.fixture
-def hooked(world: Build, tmp_path: Path) -> Build:
+def hooked(make_front: Build, tmp_path: Path) -> Build:
     """Builds a world whose front runs the scripts `texts` from a folder, which `write_scripts` rewrites."""
 
-    def build(*texts: str, node: str = "", terms: str = HALLS, **options: Any) -> World:
+    def build(*texts: str, node: str = "", terms: str = HALLS, **options: Any) -> FrontHarness:
         write_scripts(tmp_path, *texts)
         terms = terms + f'hooks {node} {{ folder "hooks.d"; }}\n'
-        return world(terms=terms, **options)
+        return make_front(terms=terms, **options)
 
     return build
 
@@ -40,120 +40,125 @@
         (hooks / f"s{n}.hook").write_text(text)
 
 
-def reload(w: World) -> bool:
+def reload(w: FrontHarness) -> bool:
     """Reloads the scripts and returns whether they were accepted."""
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
     w.daemon.hooks.reload()
-    w.until(lambda: ended, 30)
+    w.run_until(lambda: ended, 30)
     return ended[0]
 
 
-def split_into_zones(w: World) -> None:
+def split_into_zones(w: FrontHarness) -> None:
     """Lists the first half of the servers in hall-a, the others in hall-b."""
-    lines = [w.box_line(b) for b in w.boxes]
+    lines = [w.server_entry(b) for b in w.scripted_servers]
     for n, line in enumerate(lines):
         line.zone = int(n >= len(lines) / 2)
-    w.tell_list(2, True, lines)
+    w.apply_server_list(2, True, lines)
 
 
 def test_servers_of_a_preferred_zone_are_chosen(hooked: Build) -> None:
-    w = hooked('on arrival { prefer hall "hall-b" }', boxes=4)
+    w = hooked('on arrival { prefer hall "hall-b" }', servers=4)
     split_into_zones(w)
     for _ in range(8):
-        w.playing("/browse/a")
-    assert {p.server for p in w.module.told(i.Playing)} <= {3, 4}
+        w.play_session("/browse/a")
+    assert {p.server for p in w.module.events_of(i.Playing)} <= {3, 4}
 
 
 def test_draining_servers_of_a_preferred_zone_are_passed_over(hooked: Build) -> None:
     """The session is placed in the other zone instead of being refused."""
-    w = hooked('on arrival { prefer hall "hall-b" }', boxes=4)
-    lines = [w.box_line(b) for b in w.boxes[:2]]
-    lines += [w.box_line(b, State.DRAINING, zone=1) for b in w.boxes[2:]]
-    w.tell_list(2, True, [*lines])
-    w.playing("/browse/a")
-    assert w.boxes[2].count("SETUP") + w.boxes[3].count("SETUP") == 0
+    w = hooked('on arrival { prefer hall "hall-b" }', servers=4)
+    lines = [w.server_entry(b) for b in w.scripted_servers[:2]]
+    lines += [w.server_entry(b, State.DRAINING, zone=1) for b in w.scripted_servers[2:]]
+    w.apply_server_list(2, True, [*lines])
+    w.play_session("/browse/a")
+    assert w.scripted_servers[2].count("SETUP") + w.scripted_servers[3].count("SETUP") == 0
 
 
 def test_refusal_by_a_hook_is_immediate_and_carries_its_reason(hooked: Build) -> None:
     w = hooked('on arrival when class == "browse-clip" { refuse "closed for the night" }')
-    client, _, cseq = w.play("/browse/a")
-    w.until(lambda: client.answers_to(cseq))
+    client, _, cseq = w.send_play("/browse/a")
+    w.run_until(lambda: client.answers_to(cseq))
     answer = client.answers[-1]
     assert (answer.status, answer.reason) == (503, "closed for the night")
-    assert answer.headers.get("Retry-After") and w.set_ups() == 0
-    w.playing("/claims/a", client=w.client())
+    assert answer.headers.get("Retry-After") and w.set_up_count() == 0
+    w.play_session("/claims/a", client=w.connect_client())
 
 
 def test_rung_below_the_floor_of_a_paid_class_is_overruled(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0\n ask rung 0 }\non change { cap rung 0 }")
-    w.playing("/claims/a")
-    told = w.module.told(i.NewSession)[-1]
+    w.play_session("/claims/a")
+    told = w.module.events_of(i.NewSession)[-1]
     assert told.advice.cap == 1 and w.daemon.hooks.engine.overruled
     rungs = [a.rung for a in w.module.actions if isinstance(a, i.SetRung)]
     assert rungs and min(rungs) >= 1
-    bits = [int(r.headers.get("Bandwidth")) for b in w.boxes for r in b.requests if "Bandwidth" in r.headers]
+    bits = [
+        int(r.headers.get("Bandwidth"))
+        for b in w.scripted_servers
+        for r in b.requests
+        if "Bandwidth" in r.headers
+    ]
     assert bits and min(bits) >= 20 * 8000
 
 
 def test_rung_cap_holds_for_the_whole_session(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 1 }")
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     assert max(a.rung for a in w.module.actions if isinstance(a, i.SetRung)) == 1
 
 
 def test_session_counted_as_another_class_keeps_its_deadline(hooked: Build) -> None:
     script = 'on arrival when class == "browse-clip" { count as "claim-view" }'
     w = hooked(script)
-    w.playing("/browse/a")
-    told = w.module.told(i.NewSession)[-1]
+    w.play_session("/browse/a")
+    told = w.module.events_of(i.NewSession)[-1]
     assert told.cls == 0 and 1000 < told.left_ms <= 1400
 
 
 def test_break_hook_runs_before_the_module_retries(hooked: Build) -> None:
-    w = hooked('on break { avoid hall "hall-a"\n log "outcome" = outcome }', boxes=2)
+    w = hooked('on break { avoid hall "hall-a"\n log "outcome" = outcome }', servers=2)
     split_into_zones(w)
-    for box in w.boxes:
+    for box in w.scripted_servers:
         box.script["SETUP"] = lambda conn, request: conn.reply(request, 500)
-    client, _, cseq = w.play("/browse/a")
-    w.until(lambda: client.answers_to(cseq))
+    client, _, cseq = w.send_play("/browse/a")
+    w.run_until(lambda: client.answers_to(cseq))
     kinds = [type(e) for e in w.module.events]
     assert kinds.index(i.AdviceChanged) < kinds.index(i.AttemptEnded)
-    assert w.module.told(i.AdviceChanged)[0].advice.avoid == (("zone", 0),)
+    assert w.module.events_of(i.AdviceChanged)[0].advice.avoid == (("zone", 0),)
 
 
 def test_hook_cannot_cause_a_retry_of_a_paid_session(hooked: Build) -> None:
     w = hooked(
         'on break { prefer hall "hall-b"\n avoid hall "hall-a" }\non arrival { prefer hall "hall-a" }',
-        boxes=2,
+        servers=2,
     )
     split_into_zones(w)
-    for box in w.boxes:
+    for box in w.scripted_servers:
         box.script["SETUP"] = lambda conn, request: conn.stream.abort()
-    client, _, cseq = w.play("/claims/a")
-    w.until(lambda: client.answers_to(cseq))
-    assert client.answers_to(cseq) == [502] and w.set_ups() == 1
+    client, _, cseq = w.send_play("/claims/a")
+    w.run_until(lambda: client.answers_to(cseq))
+    assert client.answers_to(cseq) == [502] and w.set_up_count() == 1
 
 
 def test_cap_set_on_a_rung_change_applies_to_the_next_change(hooked: Build) -> None:
     w = hooked("on change when rung == 2 { cap rung 1 }")
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     request_id = next(iter(w.daemon.set_up_requests.open_requests))
-    w.module.extra.append(i.SetRung(request_id, 2))
+    w.module.injected.append(i.SetRung(request_id, 2))
     w.daemon.bridge.enqueue(i.TimerDue(99))
-    w.until(lambda: w.module.told(i.AdviceChanged))
-    w.until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
-    assert w.module.told(i.AdviceChanged)[0].advice.cap == 1
+    w.run_until(lambda: w.module.events_of(i.AdviceChanged))
+    w.run_until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
+    assert w.module.events_of(i.AdviceChanged)[0].advice.cap == 1
 
 
 def test_refusal_hook_runs_and_refusals_are_counted(hooked: Build) -> None:
     text = 'on refusal { metric "heard" }\non arrival when refusals(10s) > 1 { metric "busy" }'
-    w = hooked(text, boxes=0)
+    w = hooked(text, servers=0)
     for _ in range(4):
-        client, _, cseq = w.play("/browse/a")
-        w.until(lambda c=client, n=cseq: c.answers_to(n))
+        client, _, cseq = w.send_play("/browse/a")
+        w.run_until(lambda c=client, n=cseq: c.answers_to(n))
     assert w.daemon.hooks.engine.metrics == {"heard": 4, "busy": 2}
-    assert b'lemonhall_hook_total{name="heard"} 4.0' in w.daemon.shown.metrics_page()[2]
+    assert b'lemonhall_hook_total{name="heard"} 4.0' in w.daemon.status_pages.metrics_page()[2]
 
 
 def test_scripts_are_replaced_during_a_set_up(hooked: Build, tmp_path: Path) -> None:
@@ -161,31 +166,31 @@
     terms = HALLS.replace("deadline=(ms)1200", "deadline=(s)30")
     w = hooked('on arrival { log "v" = 1 }\non break { metric "old" }', terms=terms)
     held: list[Any] = []
-    for box in w.boxes:
+    for box in w.scripted_servers:
         box.script["SETUP"] = lambda conn, request: held.append((conn, request))
-    client, _, cseq = w.play("/claims/a")
-    w.until(lambda: held)
+    client, _, cseq = w.send_play("/claims/a")
+    w.run_until(lambda: held)
     write_scripts(tmp_path, 'on break { metric "new" }')
     assert reload(w)
     for conn, request in held:
         if conn.stream.open:
             conn.reply(request, 500)
-    w.until(lambda: client.answers_to(cseq))
+    w.run_until(lambda: client.answers_to(cseq))
     assert set(w.daemon.hooks.engine.metrics) == {"new"}
 
 
 def test_invalid_set_of_scripts_is_rejected_as_a_whole(hooked: Build, tmp_path: Path) -> None:
     w = hooked("on arrival { cap rung 1 }")
-    client, _ = w.playing("/browse/a")
+    client, _ = w.play_session("/browse/a")
     write_scripts(tmp_path, "on arrival { cap rung 2 }", "on arival { }")
     assert not reload(w)
-    w.playing("/browse/b")
-    assert w.module.told(i.NewSession)[-1].advice.cap == 1
+    w.play_session("/browse/b")
+    assert w.module.events_of(i.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.rejected_loads == 1 and client.stream.open
     write_scripts(tmp_path, "on arrival { cap rung 2 }")
     assert reload(w)
-    w.playing("/browse/c")
-    assert w.module.told(i.NewSession)[-1].advice.cap == 2
+    w.play_session("/browse/c")
+    assert w.module.events_of(i.NewSession)[-1].advice.cap == 2
 
 
 def test_reload_requested_during_a_reload_loads_the_last_scripts(hooked: Build, tmp_path: Path) -> None:
@@ -195,9 +200,9 @@
     for rung in (0, 2):
         write_scripts(tmp_path, f"on arrival {{ cap rung {rung} }}")
         w.daemon.hooks.reload()
-    w.until(lambda: len(ended) == 2, 30)
-    w.playing("/browse/a")
-    assert w.module.told(i.NewSession)[-1].advice.cap == 2
+    w.run_until(lambda: len(ended) == 2, 30)
+    w.play_session("/browse/a")
+    assert w.module.events_of(i.NewSession)[-1].advice.cap == 2
 
 
 def test_killed_compiler_process_keeps_the_scripts(hooked: Build) -> None:
@@ -205,17 +210,17 @@
     ended: list[bool] = []
     w.daemon.hooks.on_load = ended.append
     w.daemon.hooks.reload()
-    child = w.daemon.builder.child
+    child = w.daemon.reader_client.child
     assert child
     child.kill()
-    w.until(lambda: ended, 30)
+    w.run_until(lambda: ended, 30)
     assert ended == [False]
     assert reload(w)  # the next reload works
 
 
 def test_front_starts_without_invalid_scripts(hooked: Build) -> None:
     w = hooked("on arival { }")
-    w.playing("/browse/a")
+    w.play_session("/browse/a")
     assert w.daemon.hooks.rejected_loads == 1 and not w.daemon.hooks.engine.scripts
 
 
@@ -224,15 +229,15 @@
     loops = f'for a in {nine} {{ for b in {nine} {{ for c in {nine} {{ metric "x" }} }} }}'
     w = hooked(f"on arrival {{ {loops} }}", "on arrival { cap rung 1 }")
     for _ in range(5):
-        w.playing("/browse/a")
-        assert w.module.told(i.NewSession)[-1].advice.cap == 1
+        w.play_session("/browse/a")
+        assert w.module.events_of(i.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.engine.scripts[0].out
     assert w.daemon.hooks.engine.scripts[0].calls == 3
 
 
 def test_hooks_page_shows_scripts_and_overruled_advice(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0 }")
-    w.playing("/claims/a")
+    w.play_session("/claims/a")
     status, kind, body = w.daemon.hooks.page()
     assert (status, kind) == (200, "application/json")
     assert b'"script": "s0.hook"' in body and b"the floor of the class is 1" in body
@@ -241,36 +246,36 @@
 # draining, memory limit and crash report
 
 
-def test_front_over_its_memory_limit_refuses_new_sessions_and_keeps_playing(world: Build) -> None:
-    w = world(limits="memory=(MB)1")
-    client = w.client()
+def test_front_over_its_memory_limit_refuses_new_sessions_and_keeps_playing(make_front: Build) -> None:
+    w = make_front(limits="memory=(MB)1")
+    client = w.connect_client()
     transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
-    w.until(lambda: w.daemon.worker.over_memory)
-    w.until(lambda: client.reason)  # a new connection is refused on accept
+    w.run_until(lambda: w.daemon.worker.over_memory)
+    w.run_until(lambda: client.reason)  # a new connection is refused on accept
     assert [a.status for a in client.answers] == [503]
-    assert w.daemon.shown.ready_page()[0] == 503
+    assert w.daemon.status_pages.ready_page()[0] == 503
     w.daemon.worker.over_memory = False
-    player, _ = w.playing("/browse/a")
+    player, _ = w.play_session("/browse/a")
     w.daemon.worker.over_memory = True
     cseq = player.send("SETUP", "/browse/b/trackID=0", transport)
-    w.until(lambda: player.answers_to(cseq))
+    w.run_until(lambda: player.answers_to(cseq))
     assert player.answers_to(cseq) == [503]
     before = len(player.media)
-    w.playing_at().conns[-1].media()
-    w.until(lambda: len(player.media) > before)
+    w.playing_server().connections[-1].media()
+    w.run_until(lambda: len(player.media) > before)
 
 
-def test_drain_waits_for_the_end_of_playing_sessions(world: Build) -> None:
-    w = world()
-    player, session = w.playing("/browse/a")
+def test_drain_waits_for_the_end_of_playing_sessions(make_front: Build) -> None:
+    w = make_front()
+    player, session = w.play_session("/browse/a")
     w.daemon.drain()
-    assert w.daemon.shown.ready_page() == (503, "text/plain", b"draining\n")
+    assert w.daemon.status_pages.ready_page() == (503, "text/plain", b"draining\n")
     cseq = player.send("SETUP", "/browse/b/trackID=0", ("Transport", "RTP/AVP/TCP;unicast;interleaved=2-3"))
-    w.until(lambda: player.answers_to(cseq))
+    w.run_until(lambda: player.answers_to(cseq))
     assert player.answers_to(cseq) == [503]
     assert not w.daemon.stopping
     player.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: w.daemon.stopping)
+    w.run_until(lambda: w.daemon.stopping)
 
 
 def test_crash_writes_a_report(tmp_path: Path) -> None:
@@ -278,5 +283,5 @@
     report = tmp_path / "crash.json"
     path.write_text(HALLS + f'front "f" hall="hall-a" listen="127.0.0.1:0" crash-report="{report}"\n')
     daemon = Daemon(read_settings(path), loop=Loop())
-    written = daemon.crashed(ValueError("boom"))
+    written = daemon.report_crash(ValueError("boom"))
     assert written["error"] == "ValueError('boom')" and '"front": "f"' in report.read_text()
