--- a/lemonhall/cli/serve.py
+++ b/lemonhall/cli/serve.py
@@ -21,7 +21,7 @@
 from lemonhall import decide
 from lemonhall.config.schema import SETTINGS
 from lemonhall.config.settings import FrontSettings, make_settings, read_tree
-from lemonhall.front.deciding import asks
+from lemonhall.front.decider import set_up_requests
 from lemonhall.front.handover import front_handover
 from lemonhall.front.handover.front_handover import ReplaceableDaemon
 from lemonhall.front.process.channel import Channel
@@ -75,11 +75,11 @@
         relieve(daemon, settings)
     else:
         opened(daemon, settings)
-    daemon.loop.on_signal(signal.SIGINT, daemon.stop)
+    daemon.loop.add_signal_handler(signal.SIGINT, daemon.stop)
     say({"serving": daemon.host})
     run(daemon)
-    if limits := daemon.asks.limits:
-        say(limits.machine.show(limits.now()))
+    if limits := daemon.set_up_requests.limits:
+        say(limits.machine.status(limits.now()))
 
 
 def log_format() -> str:
@@ -90,9 +90,9 @@
     """This process is the parent."""
     parent = Parent(settings, made, log_format(), module, Loop())
     point = front_handover.exit_at_failpoint(
-        "" if die_at in asks.POINTS else die_at, parent_handover.FAILPOINTS
+        "" if die_at in set_up_requests.FAILPOINTS else die_at, parent_handover.FAILPOINTS
     )
-    parent.decider_failpoint = die_at if die_at in asks.POINTS else ""
+    parent.decider_failpoint = die_at if die_at in set_up_requests.FAILPOINTS else ""
     wrong: list[str] = []
 
     def opened(anew: bool) -> None:
@@ -153,7 +153,7 @@
     wall = Wall(made.name)
     daemon = Daemon(made, load_module(module) if module else decide.Front, wall=wall)
     daemon.remember_settings(str(settings), pickle.dumps(typed))
-    daemon.asks.point = front_handover.exit_at_failpoint(die_at, asks.POINTS)
+    daemon.set_up_requests.failpoint = front_handover.exit_at_failpoint(die_at, set_up_requests.FAILPOINTS)
 
     def heard(message: dict[str, Any], _: list[int]) -> None:
         if "alive" in message:
@@ -191,11 +191,11 @@
         signal.SIGUSR1: daemon.drain,
         signal.SIGHUP: daemon.reload,
     }.items():
-        daemon.loop.on_signal(number, act)
+        daemon.loop.add_signal_handler(number, act)
     daemon.hooks.on_load = lambda fine: say({"hooks": fine})
     if folder := os.environ.get(DEAF):
-        if daemon.asks.returning:
-            daemon.asks.returning.on_full = lambda after_s: say({"full": after_s})
+        if daemon.set_up_requests.recovery:
+            daemon.set_up_requests.recovery.on_full = lambda after_s: say({"full": after_s})
         hear_less(daemon, Path(folder) / f"{daemon.settings.name}.deaf")
         if isinstance(daemon.wall, Wall):
             daemon.wall.follow(daemon.loop)
@@ -231,7 +231,9 @@
 def hear_less(daemon: Daemon, path: Path) -> None:
     """For days: while the file is there, nothing is heard from the members' ports that it names."""
     if daemon.membership:
-        daemon.membership.deaf_to = {int(w) for w in path.read_text().split()} if path.exists() else set()
+        daemon.membership.blocked_ports = (
+            {int(w) for w in path.read_text().split()} if path.exists() else set()
+        )
     daemon.loop.call_later(DEAF_EVERY_S, hear_less, daemon, path)
 
 
--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -77,11 +77,11 @@
 
 def pack_stream(stream: Stream) -> Packed:
     return {
-        "out": to_base64(b"".join(bytes(part) for part in stream.out)),
-        "written": stream.written,
-        "read": stream.read,
-        "paused": stream.paused,
-        "was_full": stream.was_full,
+        "out": to_base64(b"".join(bytes(part) for part in stream.send_queue)),
+        "written": stream.bytes_written,
+        "read": stream.bytes_read,
+        "paused": stream.reading_paused,
+        "was_full": stream.above_high_watermark,
         "stalled_since": stream.stalled_since,
     }
 
@@ -93,9 +93,9 @@
         "control": track.control,
         "clock": rtp.clock_rate,
         "ssrc": rtp.ssrc,
-        "last": rtp.last,
+        "last": rtp.last_sent,
         "offsets": rtp.offsets,
-        "joining": rtp.joining,
+        "joining": rtp.resync,
     }
 
 
@@ -108,11 +108,11 @@
         "headers": attempt.headers,
         "bandwidth": attempt.bandwidth,
         "start_s": attempt.start_s,
-        "began": attempt.began,
+        "began": attempt.started_at,
         "kept": to_base64(bytes(attempt.parser.kept)),
         "cseq": attempt.cseq,
         "session": attempt.session,
-        "waiting": attempt.waiting,
+        "waiting": attempt.pending_methods,
         "report": attempt.report,
         "stream": pack_stream(attempt.stream),
     }
@@ -120,10 +120,10 @@
 
 def pack_request(daemon: Daemon, request: Ask) -> Packed:
     assert request.attempt
-    open_request = daemon.asks.open.get(request.number)
+    open_request = daemon.set_up_requests.open_requests.get(request.number)
     return {
         "said": to_base64(encode(request.said)),
-        "memo": to_base64(daemon.asks.memo(open_request) if open_request else request.memo),
+        "memo": to_base64(daemon.set_up_requests.pack_memo(open_request) if open_request else request.memo),
         "rung": request.rung,
         "claimed": [request.carry.claim_turn, request.carry.claim_attempts],
         "attempt": pack_attempt(request.attempt),
@@ -167,12 +167,12 @@
 
 def unpack_stream(daemon: Daemon, packed: Packed, fd: int, handler: Handler, high: int) -> Stream:
     """Restores a stream in its earlier state, but frozen."""
-    stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, frozen=True)
+    stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, io_suspended=True)
     if unsent := base64.b64decode(packed["out"]):
-        stream.out = deque([memoryview(unsent)])
-        stream.backlog = len(unsent)
-    stream.written, stream.read = packed["written"], packed["read"]
-    stream.paused, stream.was_full = packed["paused"], packed["was_full"]
+        stream.send_queue = deque([memoryview(unsent)])
+        stream.backlog_bytes = len(unsent)
+    stream.bytes_written, stream.bytes_read = packed["written"], packed["read"]
+    stream.reading_paused, stream.above_high_watermark = packed["paused"], packed["was_full"]
     stream.stalled_since = packed["stalled_since"]
     return stream
 
@@ -186,8 +186,8 @@
 def unpack_track(packed: Packed) -> ViewerTrack:
     first, second = packed["channels"]
     track = ViewerTrack((first, second), packed["control"], packed["clock"])
-    track.rtp.ssrc, track.rtp.joining = packed["ssrc"], packed["joining"]
-    track.rtp.last = None if packed["last"] is None else tuple(packed["last"])
+    track.rtp.ssrc, track.rtp.resync = packed["ssrc"], packed["joining"]
+    track.rtp.last_sent = None if packed["last"] is None else tuple(packed["last"])
     track.rtp.offsets = None if packed["offsets"] is None else tuple(packed["offsets"])
     return track
 
@@ -200,12 +200,12 @@
     attempt.headers = [(name, value) for name, value in packed["headers"]]
     attempt.bandwidth, attempt.start_s = packed["bandwidth"], packed["start_s"]
     attempt.report_fields = daemon.settings.terms.report_fields
-    attempt.state, attempt.left_as = AttemptState.PLAYING, Outcome.OK
-    attempt.began, attempt.parser = packed["began"], restore_parser(packed["kept"])
-    attempt.cseq, attempt.set_up = packed["cseq"], len(attempt.tracks)
-    attempt.session, attempt.waiting = packed["session"], dict(packed["waiting"])
+    attempt.state, attempt.teardown_outcome = AttemptState.PLAYING, Outcome.OK
+    attempt.started_at, attempt.parser = packed["began"], restore_parser(packed["kept"])
+    attempt.cseq, attempt.tracks_set_up = packed["cseq"], len(attempt.tracks)
+    attempt.session, attempt.pending_methods = packed["session"], dict(packed["waiting"])
     attempt.report = tuple(packed["report"])
-    attempt.play_ok = attempt.media_seen = attempt.clear = True
+    attempt.play_ok = attempt.media_seen = attempt.may_send = True
     attempt.timer = None
     attempt.stream = unpack_stream(daemon, packed["stream"], fd, attempt, 1 << 18)
     return attempt
@@ -279,10 +279,10 @@
             worker.asks[request.number] = request
             worker.tell(request)
     for stream in connection_streams(viewer):
-        stream.thaw()
+        stream.resume_io()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
     viewer.watch_head()
-    if viewer.stream.was_full:
+    if viewer.stream.above_high_watermark:
         daemon.loop.call_later(viewer.limits.stalled_ms / 1000, viewer.check_stalled)
 
 
@@ -292,7 +292,7 @@
     if viewer.head_timer:
         viewer.head_timer.cancel()
     for stream in connection_streams(viewer):
-        stream.let_go()
+        stream.detach()
 
 
 # at the source
@@ -305,7 +305,7 @@
         viewer.head_timer.cancel()
         viewer.head_timer = None
     for stream in connection_streams(viewer):
-        stream.freeze()
+        stream.suspend_io()
     for session in viewer.sessions.values():
         if session.ask:
             daemon.worker.asks.pop(session.ask.number, None)
@@ -317,7 +317,7 @@
         if session.ask and session.state is State.PLAYING:
             daemon.worker.asks[session.ask.number] = session.ask
     for stream in connection_streams(viewer):
-        stream.thaw()
+        stream.resume_io()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
     viewer.watch_head()
 
@@ -333,7 +333,7 @@
         if request is None or request.attempt is None:
             continue
         attempt = request.attempt
-        daemon.asks.holds.pop((request.number, attempt.number), None)
+        daemon.set_up_requests.holds.pop((request.number, attempt.number), None)
         if request.carry.close(worker.link):
             worker.say(ViewerGone(request.number, True))
             cancelled = (request.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
--- a/lemonhall/front/handover/endpoint.py
+++ b/lemonhall/front/handover/endpoint.py
@@ -108,7 +108,7 @@
 
     def close_listener(self) -> None:
         if self.listener:
-            self.loop.watch(self.listener, 0, self.on_connection)
+            self.loop.watch_socket(self.listener, 0, self.on_connection)
             self.listener.close()
             self.listener = None
 
--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -19,7 +19,7 @@
 from lemonhall.front.handover import connection_state
 from lemonhall.front.handover.endpoint import HandoverEndpoint, handover_properties
 from lemonhall.front.handover.state_machine import Action, Effect, HandoverTarget
-from lemonhall.front.keeping.keeper import to_learned, to_memory
+from lemonhall.front.persistence.store_service import to_learned, to_memory
 from lemonhall.front.process.channel import Channel, OwnershipToken
 from lemonhall.front.process.daemon import Daemon, InheritedSockets
 from lemonhall.front.viewers.viewer import ViewerConnection
@@ -116,7 +116,7 @@
         named = [(name, sock) for name, sock in sockets.items() if sock is not None]
         self.token = OwnershipToken()
         fds = [self.token.fd, *(sock.fileno() for _, sock in named)]
-        lock = daemon.keeper.store.lock if daemon.keeper else None
+        lock = daemon.store_service.store.lock if daemon.store_service else None
         fds += [lock] if lock is not None else []
         memory = daemon.memory()
         message = {
@@ -124,14 +124,16 @@
             "sockets": [name for name, _ in named],
             "lock": lock is not None,
             "memory": connection_state.to_base64(to_learned(memory).SerializeToString()) if memory else "",
-            "list": connection_state.to_base64(daemon.list.list.snapshot().SerializeToString())
-            if daemon.list.list.version
+            "list": connection_state.to_base64(daemon.list_client.server_list.snapshot().SerializeToString())
+            if daemon.list_client.server_list.version
             else "",
-            "born_ms": daemon.list.list.born_ms,
+            "born_ms": daemon.list_client.server_list.front_started_ms,
             "clock": [daemon.start_wall_ms, daemon.start],
-            "fleet": list(daemon.membership.share.told) if daemon.membership else None,
-            "limits": connection_state.to_base64(daemon.asks.limits.machine.escrow.state())
-            if daemon.asks.limits
+            "fleet": list(daemon.membership.share.reported) if daemon.membership else None,
+            "limits": connection_state.to_base64(
+                daemon.set_up_requests.limits.machine.escrow.handover_state()
+            )
+            if daemon.set_up_requests.limits
             else "",
         }
         assert self.channel
@@ -274,13 +276,13 @@
         if message["lock"]:
             self.inherited.lock = fds.pop(0)
         self.inherited.message = message
-        if self.daemon.settings.store and self.daemon.keeper is None:
+        if self.daemon.settings.store and self.daemon.store_service is None:
             self.daemon.open_store(self.daemon.settings.store, self.inherited.lock)
 
     def on_channel_closed(self) -> None:
         self.perform_all(self.target.on_channel_closed())
-        if self.daemon.asks.limits:
-            self.daemon.asks.limits.machine.carried_all()
+        if self.daemon.set_up_requests.limits:
+            self.daemon.set_up_requests.limits.machine.finish_handover()
         if self.target.serving:
             log.info("old front has ended", viewers=self.viewers_taken)
 
@@ -319,15 +321,15 @@
         """Restores clock, server list and learned state of the old front before this front opens."""
         daemon = self.daemon
         daemon.start_wall_ms, daemon.start = message["clock"]
-        daemon.list.list.born_ms = message["born_ms"]
+        daemon.list_client.server_list.front_started_ms = message["born_ms"]
         daemon.inherited = self.inherited
         if message["list"]:
             update = Update.FromString(base64.b64decode(message["list"]))
-            if event := daemon.list.list.apply(update):
-                daemon.bridge.tell(event)
+            if event := daemon.list_client.server_list.apply(update):
+                daemon.bridge.enqueue(event)
         if message["memory"]:
             learned = Learned.FromString(base64.b64decode(message["memory"]))
-            daemon.bridge.tell(to_memory(learned))
+            daemon.bridge.enqueue(to_memory(learned))
 
 
 def exit_at_failpoint(name: str, failpoints: Sequence[str] = FAILPOINTS) -> Callable[[str], object]:
--- a/lemonhall/front/process/channel.py
+++ b/lemonhall/front/process/channel.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lemonhall.loop import Loop
-from lemonhall.loop.core import READ, WRITE
+from lemonhall.loop.event_loop import READ, WRITE
 
 LENGTH = struct.Struct(">I")
 MAX_FDS = 200  # in one message; the kernel accepts 253 (SCM_MAX_FD)
@@ -38,7 +38,7 @@
 
     def update_watch(self) -> None:
         if self.open:
-            self.loop.watch(self.sock, READ | (WRITE if self.unsent else 0), self.on_ready)
+            self.loop.watch_socket(self.sock, READ | (WRITE if self.unsent else 0), self.on_ready)
 
     def send(self, message: dict[str, Any], fds: Sequence[int] = ()) -> None:
         """Sends duplicates of the descriptors; the originals stay open. Raises `ValueError` for too many."""
@@ -118,7 +118,7 @@
         if not self.open:
             return
         self.open = False
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
         self.sock.close()
         for fd in [*self.received_fds, *(fd for _, fds in self.unsent for fd in fds)]:
             os.close(fd)
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -23,29 +23,29 @@
 from lemonhall import decide
 from lemonhall import interface as i
 from lemonhall.config.settings import FrontSettings, StoreSettings, fixed_changes
-from lemonhall.front.deciding.asks import Asks
-from lemonhall.front.deciding.bridge import Bridge, Decider
-from lemonhall.front.deciding.claims import Claims
-from lemonhall.front.deciding.hooks import Hooks
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.membership import Membership, read_keys
-from lemonhall.front.deciding.peers import Peers
-from lemonhall.front.keeping.capturing import Capturer, header_of
-from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.front.keeping.record import Recorder
+from lemonhall.front.decider.bridge import Bridge, Decider
+from lemonhall.front.decider.claim_resolver import ClaimResolver
+from lemonhall.front.decider.hooks import HookRunner
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.membership import Membership, read_keys
+from lemonhall.front.decider.peers import PeerSocket
+from lemonhall.front.decider.set_up_requests import SetUpRequests
+from lemonhall.front.persistence.capture_writer import CaptureWriter, capture_header
+from lemonhall.front.persistence.session_recorder import SessionRecorder
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.process.local_queue import LocalQueue
 from lemonhall.front.process.reader_client import ReaderClient
 from lemonhall.front.process.status_pages import StatusPages
 from lemonhall.front.process.subsystems import Subsystems
-from lemonhall.front.servers.catalogue import Call
+from lemonhall.front.servers.descriptions import DescribeCall
 from lemonhall.front.viewers.worker import STOP_S, Worker
 from lemonhall.interface import Outcome
 from lemonhall.ipc import VERSION, Message, RedirectViewers, RetireWorker, StoreStatus, Welcome
 from lemonhall.loop import Loop, listen
-from lemonhall.loop.core import READ
-from lemonhall.loop.stream import accept_on
-from lemonhall.members import Config
-from lemonhall.members.machine import View
+from lemonhall.loop.event_loop import READ
+from lemonhall.loop.stream import start_accepting
+from lemonhall.members import SwimConfig
+from lemonhall.members.machine import MembershipView
 from lemonhall.problem import BadInput
 
 log = structlog.get_logger("lemonhall.front")
@@ -111,7 +111,7 @@
         self.start_wall_ms, self.start = wall() * 1000, self.loop.now()
         random = Random(settings.seed)
         self.bridge = Bridge(make(settings.to_module(), settings.seed), self.now_ms)
-        self.list = ListClient(
+        self.list_client = ListClient(
             self.loop,
             settings.list_url,
             settings.list_cache,
@@ -120,21 +120,21 @@
             self.start_wall_ms,
         )
         self.reader_client = ReaderClient(self.loop)
-        self.hooks = Hooks(
+        self.hooks = HookRunner(
             self.reader_client,
             settings,
-            self.list.list.servers,
+            self.list_client.server_list.servers,
             lambda: self.gauges()[1],
             self.now_ms,
             lambda: self.wall() * 1000,
         )
         self.counts = Counter[str]()
-        self.asks = Asks(
+        self.set_up_requests = SetUpRequests(
             self.loop,
             settings,
             self.bridge,
             Random(random.random()),
-            self.list.list.addresses.get,
+            self.list_client.server_list.addresses.get,
             self.hooks,
             self.counts,
         )
@@ -143,44 +143,46 @@
             self.loop,
             settings,
             0,
-            self.list.list,
+            self.list_client.server_list,
             Random(random.random()),
             self.now_ms,
             wall,
             self.counts,
         )
         self.decider_queue, self.worker_queue = LocalQueue(self.loop, 1), LocalQueue(self.loop, 1)
-        self.decider_queue.on_message = lambda message: self.asks.heard(self.worker_queue, message)
+        self.decider_queue.on_message = lambda message: self.set_up_requests.on_worker_message(
+            self.worker_queue, message
+        )
         self.worker_queue.on_message = self.worker.heard
-        pools, listed = self.asks.pools, self.list.list
-        pools.version, pools.servers = lambda: listed.version, listed.by_address
+        pools, listed = self.set_up_requests.pool_preferences, self.list_client.server_list
+        pools.list_version, pools.server_ids = lambda: listed.version, listed.ids_by_address
         self.path, self.settings_tree = "", b""
         # Called with settings that were accepted in a reload.
         self.on_settings_changed: Callable[[bytes], object] = lambda tree: None
         self.stopping = self.draining = False
-        self.peers: Peers | None = None
+        self.peers: PeerSocket | None = None
         self.membership: Membership | None = None
-        self.keeper: Keeper | None = None
+        self.store_service: StoreService | None = None
         self.handover: Closable | None = None
         self.inherited: InheritedSockets | None = None  # from the front that this one replaces, or the parent
         self.failpoint: Callable[[str], object] = lambda name: None
         self.listeners: list[socket.socket] = []
         self.host = ""
-        self.capture: Capturer | None = None
+        self.capture: CaptureWriter | None = None
         self.status_pages = StatusPages(self)
         self.subsystems = Subsystems(self)
-        self.asks.on_took = self.status_pages.observe_set_up
-        self.bridge.carry_out.update(
+        self.set_up_requests.on_set_up_time = self.status_pages.observe_set_up
+        self.bridge.action_handlers.update(
             {
                 i.SetTimer: self.set_timer,
                 i.Probe: self.probe,
-                i.TellPeers: self.tell_peers,
-                i.Subscribe: self.list.subscribe,
-                i.Reload: self.list.reload,
-                i.Remark: lambda action: log.info("remark", text=action.text),
+                i.SendToPeers: self.tell_peers,
+                i.Subscribe: self.list_client.subscribe,
+                i.Reload: self.list_client.reload,
+                i.LogMessage: lambda action: log.info("remark", text=action.text),
             }
         )
-        self.loop.after_pass.append(self.bridge.flush)
+        self.loop.end_of_pass_callbacks.append(self.bridge.flush)
         self.loop.on_error = self.on_error
 
     # reload of settings
@@ -210,8 +212,8 @@
             return
         self.settings_tree = tree
         self.on_settings_changed(tree)
-        self.settings = self.asks.settings = settings
-        self.asks.pools.settle(settings)
+        self.settings = self.set_up_requests.settings = settings
+        self.set_up_requests.pool_preferences.reset(settings)
         self.worker.settle(settings, 1)
         if self.workers:
             self.workers.apply_settings(settings)
@@ -221,12 +223,12 @@
         log.info("settings loaded", changes=len(changes))
         if self.capture:
             for change in changes:
-                self.capture.word(self.now_ms(), "settings", change.what)
-        if self.asks.limits:
-            self.asks.limits.settle(self.subsystems.limits_plan())
+                self.capture.add_note(self.now_ms(), "settings", change.what)
+        if self.set_up_requests.limits:
+            self.set_up_requests.limits.apply_plan(self.subsystems.limits_plan())
         elif settings.terms.fleet_limits:
             self.subsystems.open_limits()
-        self.hooks.resettle(settings)
+        self.hooks.apply_settings(settings)
 
     def reject_settings(self, problems: list[str]) -> None:
         self.counts["settings_refused"] += 1
@@ -248,8 +250,10 @@
         """Listens and starts. Returns the viewers' address. Raises `OSError` if an address is in use."""
         settings, inherited = self.settings, self.inherited or InheritedSockets()
         if settings.capture.on:
-            self.capture = self.bridge.capture = Capturer(settings.capture, header_of(settings), self.wall)
-        if settings.store and self.keeper is None:
+            self.capture = self.bridge.capture = CaptureWriter(
+                settings.capture, capture_header(settings), self.wall
+            )
+        if settings.store and self.store_service is None:
             self.open_store(settings.store)
         if settings.members:
             self.membership = Membership(
@@ -259,9 +263,11 @@
                 settings.members.listen,
                 settings.members.seeds,
                 read_keys(settings.members.keys),
-                self.bridge.tell,
+                self.bridge.enqueue,
                 SystemRandom(),
-                Config(period_ms=settings.members.period_ms, answer_ms=0.3 * settings.members.period_ms),
+                SwimConfig(
+                    period_ms=settings.members.period_ms, ack_timeout_ms=0.3 * settings.members.period_ms
+                ),
                 inherited.members,
                 tuple(inherited.message["fleet"])
                 if inherited.message and inherited.message["fleet"]
@@ -272,42 +278,44 @@
         self.subsystems.open_recovery(fresh)
         self.hooks.start()
         if inherited.viewers is None:
-            viewers = listen(self.loop, settings.listen, self.worker.accept, share=settings.share_port)
+            viewers = listen(self.loop, settings.listen, self.worker.accept, reuse_port=settings.share_port)
         else:
             viewers = inherited.viewers
             if self.workers is None:
-                accept_on(self.loop, viewers, self.worker.accept)
+                start_accepting(self.loop, viewers, self.worker.accept)
         self.listeners.append(viewers)
         address = viewers.getsockname()
         self.host = self.worker.host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
         if settings.status:
             self.open_status(self.status_pages.connection_handler(), inherited.status)
         if settings.peers_listen:
-            self.peers = Peers(
+            self.peers = PeerSocket(
                 self.loop,
                 settings.peers_listen,
                 settings.index,
                 settings.peers,
-                self.bridge.tell,
+                self.bridge.enqueue,
                 inherited.peers,
             )
-        self.asks.claims = Claims(self.loop, self.keeper, self.membership)
+        self.set_up_requests.claim_resolver = ClaimResolver(self.loop, self.store_service, self.membership)
         if self.membership:
-            self.membership.on_claim = self.asks.claims.heard
+            self.membership.on_claim_message = self.set_up_requests.claim_resolver.on_message
         if settings.terms.spills:
             self.subsystems.open_zones()
         if settings.terms.fleet_limits:
             self.subsystems.open_limits()
         if settings.record:
-            self.asks.recorder = Recorder(Path(settings.record), settings, self.loop.now() * 1000)
-        if self.keeper:
-            self.restore_kept_state(self.keeper, fresh)
+            self.set_up_requests.recorder = SessionRecorder(
+                Path(settings.record), settings, self.loop.now() * 1000
+            )
+        if self.store_service:
+            self.restore_kept_state(self.store_service, fresh)
         self.open_handover()
         if self.workers:
             self.workers.start_accepting()
         else:
             self.worker.linked(self.decider_queue, self.welcome())
-        self.bridge.call()
+        self.bridge.call_module()
         if settings.limits.memory:
             self.worker.watch_memory()
         self.check_overdue_requests()
@@ -325,17 +333,17 @@
 
     def on_list_event(self, event: i.Event) -> None:
         """Passes an event of the list client to the module, and server lists to the zones' state machine."""
-        self.bridge.tell(event)
-        if self.asks.halls and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
+        self.bridge.enqueue(event)
+        if self.set_up_requests.zones and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
             fresh = event.kind != i.ListKind.CACHED
-            self.asks.halls.listed(self.list.list.servers(), fresh)
+            self.set_up_requests.zones.on_server_list(self.list_client.server_list.servers(), fresh)
 
     def open_handover(self) -> None:
         """Overridden where the front can be handed over to a successor."""
 
     def welcome(self, version: int = VERSION, takes_viewers: bool = True) -> Welcome:
         """The first message to a worker."""
-        ledger = self.keeper.ledger if self.keeper else None
+        ledger = self.store_service.ledger if self.store_service else None
         store, pruned_s = (ledger.store, ledger.pruned_s) if ledger else (0, 0)
         return Welcome(version, self.settings.index, store, pruned_s, takes_viewers)
 
@@ -346,12 +354,12 @@
             self.worker_queue.send(message)
 
     def check_overdue_requests(self) -> None:
-        self.asks.look_back()
+        self.set_up_requests.expire_overdue_requests()
         self.loop.call_later(OVERDUE_CHECK_INTERVAL_S, self.check_overdue_requests)
 
     def on_store_status(self, failing: bool) -> None:
-        assert self.keeper
-        self.broadcast(StoreStatus(self.keeper.ledger.pruned_s, failing))
+        assert self.store_service
+        self.broadcast(StoreStatus(self.store_service.ledger.pruned_s, failing))
 
     def gauges(self) -> tuple[int, int]:
         """Numbers of viewers and sessions, over all workers."""
@@ -361,64 +369,64 @@
         self, accept: Callable[[socket.socket, Any], object], inherited: socket.socket | None
     ) -> None:
         if inherited:
-            accept_on(self.loop, inherited, accept)
+            start_accepting(self.loop, inherited, accept)
             self.listeners.append(inherited)
         else:
             assert self.settings.status
             self.listeners.append(listen(self.loop, self.settings.status, accept))
         self.status_handler = accept
 
-    def on_membership_view(self, view: View) -> None:
+    def on_membership_view(self, view: MembershipView) -> None:
         """Passes a new view of the fleet's members on."""
-        if self.asks.limits and self.membership:
-            self.asks.limits.view(view, self.membership.machine.conflict)
-        if self.asks.halls:
-            self.asks.halls.view(view)
-        if self.asks.returning:
-            self.asks.returning.view(view)
+        if self.set_up_requests.limits and self.membership:
+            self.set_up_requests.limits.update_members(view, self.membership.machine.duplicate_number)
+        if self.set_up_requests.zones:
+            self.set_up_requests.zones.update_members(view)
+        if self.set_up_requests.recovery:
+            self.set_up_requests.recovery.update_members(view)
         if self.capture:
             members = " ".join(map(str, view.members))
             text = f"there are {members}" + (", this one may be cut off" if view.cut_off else "")
-            self.capture.word(self.now_ms(), "members", text)
+            self.capture.add_note(self.now_ms(), "members", text)
 
     # handover
 
     def pause_front(self) -> None:
         """Accepts no connection and sends nothing to other fronts while the front's owner is not known."""
         for sock in self.listeners:
-            self.loop.watch(sock, 0, self.worker.accept)
+            self.loop.watch_socket(sock, 0, self.worker.accept)
         if self.membership:
             self.membership.pause()
         self.subsystems.stop()
         if self.peers:
-            self.loop.watch(self.peers.sock, 0, self.peers.on_ready)
+            self.loop.watch_socket(self.peers.sock, 0, self.peers.on_ready)
 
     def resume_front(self) -> None:
-        accept_on(self.loop, self.listeners[0], self.worker.accept)
+        start_accepting(self.loop, self.listeners[0], self.worker.accept)
         if len(self.listeners) > 1:
-            accept_on(self.loop, self.listeners[1], self.status_handler)
+            start_accepting(self.loop, self.listeners[1], self.status_handler)
         if self.membership:
             self.membership.resume()
-        if self.asks.halls:
-            self.asks.halls.start()
-        if self.asks.limits:
-            self.asks.limits.start()
-        if self.asks.returning:
-            self.asks.returning.start()
+        if self.set_up_requests.zones:
+            self.set_up_requests.zones.start()
+        if self.set_up_requests.limits:
+            self.set_up_requests.limits.start()
+        if self.set_up_requests.recovery:
+            self.set_up_requests.recovery.start()
         if self.peers:
-            self.loop.watch(self.peers.sock, READ, self.peers.on_ready)
+            self.loop.watch_socket(self.peers.sock, READ, self.peers.on_ready)
 
     def exit_after_handover(self) -> None:
         """Everything has been handed over: exits without notice to viewers, servers or other fronts."""
         self.stopping = True
         self.subsystems.stop()
-        self.list.wanted = False
-        if self.list.stream:
-            self.list.stream.abort()
-        self.list.stop()
+        self.list_client.wanted = False
+        if self.list_client.stream:
+            self.list_client.stream.abort()
+        self.list_client.stop()
         self.reader_client.stop()
-        if self.asks.recorder:
-            self.asks.recorder.stop()
+        if self.set_up_requests.recorder:
+            self.set_up_requests.recorder.stop()
         if self.membership:
             self.membership.close()
         if self.peers:
@@ -427,38 +435,40 @@
             sock.close()
         if self.capture:
             self.capture.close()
-        if self.keeper:
-            self.keeper.close(relieved=True)
+        if self.store_service:
+            self.store_service.close(handed_over=True)
         if self.handover:
             self.handover.close()
         self.loop.stop()
 
     def open_store(self, settings: StoreSettings, lock: int | None = None) -> None:
         random = Random(SystemRandom().getrandbits(64))  # tokens must be unique, whatever the seed
-        self.keeper = Keeper(self.loop, settings, self.settings.index, random, self.memory, self.wall, lock)
-        self.list.keeper = self.asks.keeper = self.keeper
-        self.keeper.on_turn = self.on_store_status
+        self.store_service = StoreService(
+            self.loop, settings, self.settings.index, random, self.memory, self.wall, lock
+        )
+        self.list_client.store_service = self.set_up_requests.store_service = self.store_service
+        self.store_service.on_failing_changed = self.on_store_status
 
-    def memory(self) -> i.Memory | None:
+    def memory(self) -> i.LearnedState | None:
         """What the module has learned; None if another module does not provide it."""
-        get_memory: Callable[[], i.Memory] | None = getattr(self.bridge.decider, "memory", None)
+        get_memory: Callable[[], i.LearnedState] | None = getattr(self.bridge.decider, "memory", None)
         return get_memory() if get_memory and self.bridge.calls else None
 
-    def restore_kept_state(self, keeper: Keeper, fresh: bool) -> None:
+    def restore_kept_state(self, store_service: StoreService, fresh: bool) -> None:
         """Restores what an earlier process stored, unless a running front handed its state over.
 
         Sessions that were playing then have ended with their process.
         """
         if not fresh:
-            keeper.start()
+            store_service.start()
             return
-        if memory := keeper.load_memory():
-            self.bridge.tell(memory)
-        lost = keeper.lost()
+        if memory := store_service.load_memory():
+            self.bridge.enqueue(memory)
+        lost = store_service.forget_lost_sessions()
         if memory or lost:
-            age_s = round((self.now_ms() - memory.at) / 1000, 1) if memory else None
+            age_s = round((self.now_ms() - memory.recorded_at) / 1000, 1) if memory else None
             log.info("stored state restored", sessions_lost=lost, learned_state_age_s=age_s)
-        keeper.start()
+        store_service.start()
 
     def drain(self) -> None:
         """Accepts nothing new and lets sessions play on, as long as the settings allow. Then stops."""
@@ -467,13 +477,13 @@
         self.draining = self.worker.draining = True
         log.info("draining", sessions=self.gauges()[1])
         if self.membership:
-            self.membership.say_leaving()
+            self.membership.announce_leave()
         if self.settings.drain_to:
             self.broadcast(RedirectViewers(self.settings.drain_to))
         if self.workers:
             self.workers.broadcast(RetireWorker(False))
         for sock in self.listeners[:1]:
-            self.loop.watch(sock, 0, self.worker.accept)
+            self.loop.watch_socket(sock, 0, self.worker.accept)
             sock.close()
         self.loop.call_later(self.settings.limits.drain_ms / 1000, self.stop)
         self.check_drained()
@@ -491,11 +501,11 @@
             "front": self.settings.name,
             "error": repr(error),
             "trace": traceback.format_exception(error),
-            "passes": self.loop.passes,
+            "passes": self.loop.pass_count,
             "longest_pass_s": self.loop.longest_pass_s,
             "viewers": self.gauges()[0],
             "sessions": self.gauges()[1],
-            "asks": len(self.asks.open),
+            "asks": len(self.set_up_requests.open_requests),
             "counts": dict(self.counts),
             "hooks": self.hooks.engine.report(),
         }
@@ -510,10 +520,10 @@
         """Another decider is about to take over with the same workers: exits without notice to anyone."""
         self.stopping = True
         self.subsystems.stop()
-        self.list.wanted = False
+        self.list_client.wanted = False
         self.reader_client.stop()
-        if self.asks.recorder:
-            self.asks.recorder.stop()
+        if self.set_up_requests.recorder:
+            self.set_up_requests.recorder.stop()
         if self.membership:
             self.membership.close()
             self.membership = None
@@ -527,10 +537,10 @@
         if self.stopping:
             return
         self.stopping = True
-        log.info("stopping", open_requests=len(self.asks.open), viewers=self.gauges()[0])
+        log.info("stopping", open_requests=len(self.set_up_requests.open_requests), viewers=self.gauges()[0])
         for sock in self.listeners:
             if sock.fileno() >= 0:
-                self.loop.watch(sock, 0, self.worker.accept)
+                self.loop.watch_socket(sock, 0, self.worker.accept)
                 sock.close()
         self.reader_client.stop()
         self.loop.call_later(STOP_S, self.shut_down)
@@ -542,12 +552,16 @@
 
     def finish_stop(self) -> None:
         """Repeats until no request is open and no attempt is in progress, then closes the other parts."""
-        if self.workers.worker_count() if self.workers else self.worker.asks or self.asks.open:
+        if (
+            self.workers.worker_count()
+            if self.workers
+            else self.worker.asks or self.set_up_requests.open_requests
+        ):
             self.loop.call_later(0.02, self.finish_stop)
             return
-        self.list.stop()
-        if self.asks.recorder:
-            self.asks.recorder.stop()
+        self.list_client.stop()
+        if self.set_up_requests.recorder:
+            self.set_up_requests.recorder.stop()
         if self.handover:
             self.handover.close()
         if self.membership:
@@ -565,30 +579,30 @@
             self.workers.close()
         if self.capture:
             self.capture.close()
-        if self.keeper:
-            self.keeper.close()
+        if self.store_service:
+            self.store_service.close()
         self.loop.stop()
 
     # actions
 
     def set_timer(self, action: i.SetTimer) -> None:
-        self.loop.call_later(action.after_ms / 1000, self.bridge.tell, i.TimerDue(action.token))
+        self.loop.call_later(action.after_ms / 1000, self.bridge.enqueue, i.TimerDue(action.token))
 
-    def tell_peers(self, action: i.TellPeers) -> None:
+    def tell_peers(self, action: i.SendToPeers) -> None:
         if self.peers:
             self.peers.send(action)
 
     def probe(self, action: i.Probe) -> None:
         """Sends DESCRIBE for an empty path: its answer shows that requests are read; OPTIONS would not."""
-        address = self.list.list.addresses.get(action.server)
+        address = self.list_client.server_list.addresses.get(action.server)
         started_at = self.loop.now()
 
         def on_done(status_code: int, _: bytes) -> None:
             outcome = {502: Outcome.CONNECT_FAILED, 504: Outcome.TIMEOUT}.get(status_code, Outcome.OK)
             took_ms = (self.loop.now() - started_at) * 1000
-            self.bridge.tell(i.ProbeEnded(action.server, outcome, took_ms))
+            self.bridge.enqueue(i.ProbeEnded(action.server, outcome, took_ms))
 
         if address is None:
             self.loop.call_soon(on_done, 502, b"")
         else:
-            Call(self.loop, address, "/", on_done)
+            DescribeCall(self.loop, address, "/", on_done)
--- a/lemonhall/front/process/reader_client.py
+++ b/lemonhall/front/process/reader_client.py
@@ -58,15 +58,15 @@
         def ended(status: int) -> None:
             child.returncode = status
 
-        self.loop.on_child(child.pid, ended)
-        self.stream = Stream(self.loop, ours, self, high=1 << 28)
+        self.loop.add_child_handler(child.pid, ended)
+        self.stream = Stream(self.loop, ours, self, high_watermark=1 << 28)
 
     def set_timeout(self, within_s: float) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = self.loop.call_later(within_s, self.kill_process)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.buffer += view
         if len(self.buffer) < LENGTH.size:
             return
@@ -75,7 +75,7 @@
             self.set_timeout(IDLE_TIMEOUT_S)
             self.on_job_done(pickle.loads(memoryview(self.buffer)[LENGTH.size :]))
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         """The process has ended: over its time or memory limit, or idle."""
         if self.timer:
             self.timer.cancel()
--- a/lemonhall/front/process/status_pages.py
+++ b/lemonhall/front/process/status_pages.py
@@ -12,17 +12,17 @@
 import prometheus_client as prom
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 
-from lemonhall.front.deciding.asks import Asks
-from lemonhall.front.deciding.hooks import Hooks
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.membership import Membership
-from lemonhall.front.keeping.capturing import Capturer
-from lemonhall.front.keeping.keeper import Keeper
+from lemonhall.front.decider.hooks import HookRunner
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.membership import Membership
+from lemonhall.front.decider.set_up_requests import SetUpRequests
+from lemonhall.front.persistence.capture_writer import CaptureWriter
+from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.process import status_server
 from lemonhall.front.viewers.worker import Worker
-from lemonhall.halls import Order
 from lemonhall.loop import Loop
 from lemonhall.recovery import Phase
+from lemonhall.zones import OperatorOverride
 
 # Upper bounds of the histogram's buckets.
 SET_UP_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)
@@ -32,16 +32,16 @@
     """The part of the daemon that the status pages need."""
 
     loop: Loop
-    asks: Asks
-    list: ListClient
+    set_up_requests: SetUpRequests
+    list_client: ListClient
     worker: Worker
-    hooks: Hooks
+    hooks: HookRunner
     counts: Counter[str]
     stopping: bool
     draining: bool
     membership: Membership | None
-    keeper: Keeper | None
-    capture: Capturer | None
+    store_service: StoreService | None
+    capture: CaptureWriter | None
 
     def gauges(self) -> tuple[int, int]: ...
 
@@ -76,8 +76,8 @@
             "/limits": self.limits_page,
         }
         commands: dict[str, status_server.Command] = {
-            "/halls/hold": lambda hall: self.order_hall(hall, Order.HOLD),
-            "/halls/release": lambda hall: self.order_hall(hall, Order.NONE),
+            "/halls/hold": lambda hall: self.order_hall(hall, OperatorOverride.HOLD),
+            "/halls/release": lambda hall: self.order_hall(hall, OperatorOverride.NONE),
             "/limits/forget": self.forget_front,
         }
         return status_server.serve(self.front.loop, pages, commands)
@@ -89,20 +89,20 @@
             return 503, "text/plain", b"stopping\n" if self.front.stopping else b"draining\n"
         if self.front.worker.over_memory:
             return 503, "text/plain", b"over its memory\n"
-        if not self.front.list.list.boxes:
+        if not self.front.list_client.server_list.boxes:
             return 503, "text/plain", b"no box list yet\n"
         return 200, "text/plain", b"ready\n"
 
     def health_page(self) -> tuple[int, str, bytes]:
         """200 while the event loop runs, with the phase of recovery."""
-        driver = self.front.asks.returning
+        driver = self.front.set_up_requests.recovery
         return driver.page() if driver else (200, "text/plain", b"ok\n")
 
     def members_page(self) -> tuple[int, str, bytes]:
         if self.front.membership is None:
             return 404, "text/plain", b"no members in the settings\n"
         status, content_type, body = self.front.membership.page()
-        driver = self.front.asks.returning
+        driver = self.front.set_up_requests.recovery
         content = {**json.loads(body), "return": driver.show() if driver else None}
         return status, content_type, json.dumps(content).encode() + b"\n"
 
@@ -116,24 +116,24 @@
         return 200, "text/plain; version=0.0.4", prom.generate_latest(self.registry)
 
     def halls_page(self) -> tuple[int, str, bytes]:
-        if self.front.asks.halls is None:
+        if self.front.set_up_requests.zones is None:
             return 404, "text/plain", b"no spill in the settings\n"
-        return self.front.asks.halls.page()
+        return self.front.set_up_requests.zones.page()
 
-    def order_hall(self, hall: str, what: Order) -> tuple[int, str, bytes]:
-        if self.front.asks.halls is None:
+    def order_hall(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
+        if self.front.set_up_requests.zones is None:
             return 404, "text/plain", b"no spill in the settings\n"
-        return self.front.asks.halls.order(unquote(hall.removeprefix("hall=")), what)
+        return self.front.set_up_requests.zones.order(unquote(hall.removeprefix("hall=")), what)
 
     def limits_page(self) -> tuple[int, str, bytes]:
-        if self.front.asks.limits is None:
+        if self.front.set_up_requests.limits is None:
             return 404, "text/plain", b"no limit in the settings\n"
-        return self.front.asks.limits.page()
+        return self.front.set_up_requests.limits.page()
 
     def forget_front(self, query: str) -> tuple[int, str, bytes]:
-        if self.front.asks.limits is None:
+        if self.front.set_up_requests.limits is None:
             return 404, "text/plain", b"no limit in the settings\n"
-        return self.front.asks.limits.forget(query.removeprefix("front="))
+        return self.front.set_up_requests.limits.forget(query.removeprefix("front="))
 
     # counters
 
@@ -142,8 +142,8 @@
             "lemonhall_phase", "How far the front has come back: 1 at its phase", labels=["phase"]
         )
         full = GaugeMetricFamily("lemonhall_full_service_seconds", "From its start until its phase was full")
-        if self.front.asks.returning:
-            content = self.front.asks.returning.show()
+        if self.front.set_up_requests.recovery:
+            content = self.front.set_up_requests.recovery.show()
             for entry in Phase:
                 phase.add_metric([entry.name.lower()], float(entry.name.lower() == content["phase"]))
             if content["full_service_s"] is not None:
@@ -153,8 +153,8 @@
     def limit_metrics(self) -> list[Any]:
         limits = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
         refused = CounterMetricFamily("lemonhall_limit_refused", "Told that it is full", labels=["limit"])
-        if driver := self.front.asks.limits:
-            for limit in driver.machine.show(driver.now())["limits"]:
+        if driver := self.front.set_up_requests.limits:
+            for limit in driver.machine.status(driver.now())["limits"]:
                 refused.add_metric([limit["limit"]], limit["refused"])
                 for what in ("goes_by", "used", "held", "borrowed", "lent", "needed", "others", "off_most"):
                     if what in limit:
@@ -170,10 +170,10 @@
         viewers, sessions = self.front.gauges()
         current.add_metric(["viewers"], viewers)
         current.add_metric(["sessions"], sessions)
-        current.add_metric(["asks"], len(self.front.asks.open))
-        current.add_metric(["boxes"], len(self.front.list.list.boxes))
-        current.add_metric(["list_version"], self.front.list.list.version)
-        events.add_metric(["older_lists"], self.front.list.list.older)
+        current.add_metric(["asks"], len(self.front.set_up_requests.open_requests))
+        current.add_metric(["boxes"], len(self.front.list_client.server_list.boxes))
+        current.add_metric(["list_version"], self.front.list_client.server_list.version)
+        events.add_metric(["older_lists"], self.front.list_client.server_list.older_updates)
         current.add_metric(["longest_pass_seconds"], self.front.loop.longest_pass_s)
         hook_metrics = CounterMetricFamily("lemonhall_hook", "Counted by hook scripts", labels=["name"])
         for name, value in sorted(self.front.hooks.engine.metrics.items()):
@@ -185,10 +185,12 @@
             scripts.add_metric([entry["script"], "cuts"], sum(entry["cuts"].values()))
         overruled = CounterMetricFamily("lemonhall_hooks_overruled", "Words that did not stand")
         overruled.add_metric([], sum(self.front.hooks.engine.overruled.values()))
-        if self.front.keeper:
-            for name, value in sorted((self.front.keeper.counts + self.front.asks.claims.counts).items()):
+        if self.front.store_service:
+            for name, value in sorted(
+                (self.front.store_service.counts + self.front.set_up_requests.claim_resolver.counts).items()
+            ):
                 events.add_metric([f"store_{name}"], value)
-            current.add_metric(["store_groups"], self.front.keeper.writer.groups)
+            current.add_metric(["store_groups"], self.front.store_service.writer.groups)
         return [
             events,
             current,
--- a/lemonhall/front/process/subsystems.py
+++ b/lemonhall/front/process/subsystems.py
@@ -12,22 +12,21 @@
 
 from lemonhall import interface as i
 from lemonhall.config.settings import FrontSettings
-from lemonhall.front.deciding.asks import Asks
-from lemonhall.front.deciding.bridge import Bridge
-from lemonhall.front.deciding.halls import HallsDesk
-from lemonhall.front.deciding.limits import LimitsDesk, clock_ms
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.membership import Membership
-from lemonhall.front.deciding.returning import ReturnDesk, known, list_of, memory_of
-from lemonhall.front.keeping.capturing import Capturer
-from lemonhall.front.keeping.keeper import Keeper
-from lemonhall.halls import Halls, Plan
-from lemonhall.limits import Limits
-from lemonhall.limits import Plan as LimitsPlan
-from lemonhall.limits.plan import PERIOD_MOST_MS
+from lemonhall.front.decider.bridge import Bridge
+from lemonhall.front.decider.limits import LimitsDriver, clock_ms
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.membership import Membership
+from lemonhall.front.decider.recovery import RecoveryDriver, list_pages, memory_from_page, update_from_page
+from lemonhall.front.decider.set_up_requests import SetUpRequests
+from lemonhall.front.decider.zones import ZonesDriver
+from lemonhall.front.persistence.capture_writer import CaptureWriter
+from lemonhall.front.persistence.store_service import StoreService
+from lemonhall.limits import FleetLimits, LimitSettings
+from lemonhall.limits.settings import MAX_PERIOD_MS
 from lemonhall.loop import Loop
-from lemonhall.members.machine import View
-from lemonhall.recovery import Recovery, Waits
+from lemonhall.members.machine import MembershipView
+from lemonhall.recovery import PhaseTimeouts, Recovery
+from lemonhall.zones import ZoneFailover, ZoneSettings
 
 log = structlog.get_logger("lemonhall.front")
 # Wait of a starting front before it requests the server list, so that it knows of peers in recovery.
@@ -41,18 +40,18 @@
     settings: FrontSettings
     loop: Loop
     wall: Callable[[], float]
-    asks: Asks
+    set_up_requests: SetUpRequests
     bridge: Bridge
-    list: ListClient
+    list_client: ListClient
     counts: Counter[str]
     membership: Membership | None
-    keeper: Keeper | None
-    capture: Capturer | None
+    store_service: StoreService | None
+    capture: CaptureWriter | None
     inherited: Any
 
     def now_ms(self) -> float: ...
-    def memory(self) -> i.Memory | None: ...
-    def on_membership_view(self, view: View) -> None: ...
+    def memory(self) -> i.LearnedState | None: ...
+    def on_membership_view(self, view: MembershipView) -> None: ...
 
 
 class Subsystems:
@@ -72,51 +71,55 @@
             settings.index,
             settings.fronts,
             Random(SystemRandom().getrandbits(64)),
-            Waits(period=settings.members.period_ms) if settings.members else Waits(),
+            PhaseTimeouts(period_ms=settings.members.period_ms) if settings.members else PhaseTimeouts(),
             terms.max_pause_ms or DEFAULT_MAX_PAUSE_MS,
-            (lambda: self.front.keeper.mark if self.front.keeper else None),
+            (lambda: self.front.store_service.checkpoint if self.front.store_service else None),
             sum(t.quota_per_s for t in terms.tenants),
             self.front.membership is not None,
         )
-        driver = self.front.asks.returning = ReturnDesk(
+        driver = self.front.set_up_requests.recovery = RecoveryDriver(
             self.front.loop,
             self.front.now_ms,
             machine,
             self.front.membership,
-            self.front.keeper,
-            self.front.asks.let,
+            self.front.store_service,
+            self.front.set_up_requests.release_held_request,
             self.on_recovery_note,
         )
         if self.front.membership:
-            self.front.membership.on_view = self.front.on_membership_view
-        self.front.list.on_sign = lambda as_of: driver.sign(as_of, len(self.front.list.list.boxes))
-        self.front.list.wait_s = lambda: machine.list_wait_ms() / 1000
-        machine.giving.know = self.known_servers
-        driver.on_handed = self.on_state_received
+            self.front.membership.on_view_changed = self.front.on_membership_view
+        self.front.list_client.on_list_alive = lambda as_of: driver.record_list_alive(
+            as_of, len(self.front.list_client.server_list.boxes)
+        )
+        self.front.list_client.extra_delay_s = lambda: machine.list_wait_ms() / 1000
+        machine.page_server.build = self.known_servers
+        driver.on_page_received = self.on_state_received
         if fresh:
-            self.front.list.load_cache()
-            if not self.front.list.list.boxes:
-                driver.want()
+            self.front.list_client.load_cache()
+            if not self.front.list_client.server_list.boxes:
+                driver.request_list()
         if not settings.list_url:
-            driver.sign(0.0, len(self.front.list.list.boxes))  # there is no list to wait for
+            driver.record_list_alive(
+                0.0, len(self.front.list_client.server_list.boxes)
+            )  # there is no list to wait for
         elif not (fresh and settings.members):
-            self.front.list.start()
+            self.front.list_client.start()
         else:  # by then peers that recover as well have announced it
             self.front.loop.call_later(RECOVERY_WAIT_S, self.start_list_client)
         if fresh and settings.members:
-            driver.vouch(settings.members.period_ms)
+            driver.verify_store(settings.members.period_ms)
         driver.start()
 
     def known_servers(self) -> list[Any]:
-        return known(self.front.list.list, self.front.memory(), self.front.now_ms())
+        return list_pages(self.front.list_client.server_list, self.front.memory(), self.front.now_ms())
 
     def on_state_received(self, page: Any) -> None:
         """Uses peers' state like a stored list and memory: parts by their age, loads as second-hand data."""
-        if not self.front.list.take_over(list_of(page)):
+        if not self.front.list_client.adopt_list(update_from_page(page)):
             return
-        memory = memory_of(page, self.front.memory(), self.front.now_ms())
+        memory = memory_from_page(page, self.front.memory(), self.front.now_ms())
         if memory is not None:
-            self.front.bridge.tell(memory)
+            self.front.bridge.enqueue(memory)
         self.front.counts["handed_servers"] += len(page.entries)
         loads = len(memory.servers) if memory else 0
         log.info("server list received from peers", servers=len(page.entries), loads=loads)
@@ -124,51 +127,51 @@
 
     def on_recovery_note(self, text: str) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "return", text)
+            self.front.capture.add_note(self.front.now_ms(), "return", text)
 
     def start_list_client(self) -> None:
         """Starts the list client; fronts that recover together are spread over time."""
-        self.front.loop.call_later(self.front.list.wait_s(), self.front.list.start)
+        self.front.loop.call_later(self.front.list_client.extra_delay_s(), self.front.list_client.start)
 
     def open_zones(self) -> None:
         """Starts the zones' state machine with its stored shares; without a store it asks peers for them."""
-        stored = self.front.keeper.load_halls() if self.front.keeper else None
+        stored = self.front.store_service.load_zones() if self.front.store_service else None
         settings, now = self.front.settings, self.front.now_ms()
-        machine = Halls(
-            Plan.of(settings.terms),
+        machine = ZoneFailover(
+            ZoneSettings.of(settings.terms),
             settings.index,
             settings.fronts,
             settings.hall,
             int(self.front.wall() * 1000),
             Random(settings.seed),
             now,
-            remembers=stored is not None,
-            kept=stored or b"",
+            state_complete=stored is not None,
+            saved_state=stored or b"",
         )
-        driver = self.front.asks.halls = HallsDesk(
+        driver = self.front.set_up_requests.zones = ZonesDriver(
             self.front.loop,
             self.front.now_ms,
             machine,
             settings.terms.cells,
             self.front.wall,
             self.front.membership,
-            self.front.keeper,
+            self.front.store_service,
             self.on_zone_note,
         )
-        driver.on_move = self.front.asks.come_home
+        driver.on_move_home = self.front.set_up_requests.advise_move_home
         if self.front.membership:
-            self.front.membership.on_halls = driver.heard
-            driver.view(self.front.membership.machine.view())
+            self.front.membership.on_zones_message = driver.on_message
+            driver.update_members(self.front.membership.machine.view())
         driver.start()
 
     def on_zone_note(self, text: str) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "halls", text)
+            self.front.capture.add_note(self.front.now_ms(), "halls", text)
 
-    def limits_plan(self) -> LimitsPlan:
+    def limits_plan(self) -> LimitSettings:
         settings = self.front.settings
-        return LimitsPlan.of(
-            settings.terms, settings.members.period_ms if settings.members else PERIOD_MOST_MS
+        return LimitSettings.of(
+            settings.terms, settings.members.period_ms if settings.members else MAX_PERIOD_MS
         )
 
     def open_limits(self) -> None:
@@ -179,7 +182,7 @@
         settings, now = self.front.settings, clock_ms()
         random = Random(SystemRandom().getrandbits(64))
         incarnation, fresh = int(self.front.wall() * 1000), settings.workers == 0
-        machine = Limits(
+        machine = FleetLimits(
             self.limits_plan(),
             settings.index,
             settings.fronts,
@@ -194,25 +197,25 @@
             and self.front.inherited.message
             and (state := self.front.inherited.message.get("limits"))
         ):
-            machine.take_over(now, b64decode(state))
-        driver = self.front.asks.limits = LimitsDesk(
-            self.front.loop, machine, self.front.membership, said=self.on_limit_note
+            machine.restore_state(now, b64decode(state))
+        driver = self.front.set_up_requests.limits = LimitsDriver(
+            self.front.loop, machine, self.front.membership, record_event=self.on_limit_note
         )
-        driver.on_end = self.front.asks.end_session
+        driver.on_session_end = self.front.set_up_requests.end_session
         if self.front.membership:
-            self.front.membership.on_limits = driver.heard
-            driver.view(self.front.membership.machine.view(), False)
+            self.front.membership.on_limits_message = driver.on_message
+            driver.update_members(self.front.membership.machine.view(), False)
         driver.start()
 
     def on_limit_note(self, text: str, request_id: int) -> None:
         if self.front.capture:
-            self.front.capture.word(self.front.now_ms(), "limits", text, request_id)
+            self.front.capture.add_note(self.front.now_ms(), "limits", text, request_id)
 
     def stop(self) -> None:
         """Stops the state machines: they send and write nothing more."""
-        if self.front.asks.limits:
-            self.front.asks.limits.stop()
-        if self.front.asks.halls:
-            self.front.asks.halls.stop()
-        if self.front.asks.returning:
-            self.front.asks.returning.stop()
+        if self.front.set_up_requests.limits:
+            self.front.set_up_requests.limits.stop()
+        if self.front.set_up_requests.zones:
+            self.front.set_up_requests.zones.stop()
+        if self.front.set_up_requests.recovery:
+            self.front.set_up_requests.recovery.stop()
--- a/lemonhall/front/process/supervisor.py
+++ b/lemonhall/front/process/supervisor.py
@@ -57,7 +57,7 @@
     def run(self) -> int:
         """Runs until the front exits with 0 or 2, has to end, or fails too often. Returns the exit status."""
         for number in FORWARDED_SIGNALS:
-            self.loop.on_signal(number, lambda n=number: self.forward_signal(n))
+            self.loop.add_signal_handler(number, lambda n=number: self.forward_signal(n))
         self.start()
         self.loop.run()
         self.loop.close()
@@ -67,7 +67,7 @@
         self.started_at = self.loop.now()
         self.starts += 1
         self.child = subprocess.Popen(self.command)
-        self.loop.on_child(self.child.pid, self.on_exit)
+        self.loop.add_child_handler(self.child.pid, self.on_exit)
         self.on_start(self.child.pid)
 
     def forward_signal(self, number: int) -> None:
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt at a media server: a connection of its own, SETUP for each track, PLAY, media, and its one end.
+"""One attempt to play a session at a media server, on its own connection: SETUP for each track, PLAY, media.
 
-States: connecting, setting up (the request may have left), asked to play, playing, ended. What an end
-proves is told by its outcome: `CONNECT_FAILED` only while no byte of the request was taken by the kernel,
-`FULL` only for an answer to the first SETUP that says so. Everything else may have run.
+Every attempt ends exactly once. Its outcome states whether the session can have run at the server:
+`CONNECT_FAILED` is reported only if the kernel took no byte of the request, `FULL` only if the response to
+the first SETUP says so. After any other outcome the session may have run.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from lemonhall.rtsp.messages import ask
 from lemonhall.rtsp.parser import split_frames
 
-TEARDOWN_S = 0.5  # a server's answer to TEARDOWN is waited for so long; then the connection is reset
-FULL = (453, 503)
+TEARDOWN_TIMEOUT_S = 0.5  # without a response to TEARDOWN the connection is reset
+FULL_STATUSES = (453, 503)
 
 
 class State(Enum):
     CONNECTING = auto()
-    SETTING_UP = auto()
-    ASKED = auto()
-    PLAYING = auto()
-    LEAVING = auto()  # TEARDOWN is out
+    SETTING_UP = auto()  # connected; a SETUP may have been sent
+    PLAY_SENT = auto()
+    PLAYING = auto()  # PLAY succeeded and media has arrived
+    TEARING_DOWN = auto()  # TEARDOWN sent
     ENDED = auto()
 
 
 class Owner(Protocol):
-    """The session. Each of these is told at most once but media, rtcp and note."""
+    """The session. Playing and ended are reported at most once each, the others any number of times."""
 
     def attempt_playing(self, attempt: Attempt, took_ms: float) -> None: ...
     def attempt_media(self, attempt: Attempt, run: Frames) -> None: ...
@@ -42,7 +42,12 @@
 
 
 class Attempt(Handler):
-    """`tracks`: control URL and channels (RTP, RTCP) of each; `headers` go with every request."""
+    """`tracks` holds the control URL and the channels (RTP, RTCP) of each track; `headers` are sent with
+    every request.
+
+    `bandwidth` is in kB/s. With `may_send` False the connection is made, but no request is sent before
+    `on_claim_written` reports success.
+    """
 
     def __init__(
         self,
@@ -59,61 +64,64 @@
         connect_s: float,
         timeout_s: float,
         report_fields: tuple[str, ...],
-        clear: bool = True,
+        may_send: bool = True,
     ) -> None:
         self.loop, self.owner, self.number, self.server, self.url = loop, owner, number, server, url
         self.tracks, self.headers, self.bandwidth, self.start_s = tracks, headers, bandwidth, start_s
         self.report_fields = report_fields
-        self.state, self.left_as = State.CONNECTING, Outcome.OK
-        self.began = loop.now()
+        self.state, self.teardown_outcome = State.CONNECTING, Outcome.OK
+        self.started_at = loop.now()
         self.parser = Parser()
-        self.cseq = self.set_up = 0
+        self.cseq = self.tracks_set_up = 0
         self.session = ""
-        self.waiting: dict[str, str] = {}  # CSeq to method
+        self.pending_methods: dict[str, str] = {}  # methods of requests without a response, by CSeq
         self.report: tuple[float, ...] = ()
         self.play_ok = self.media_seen = False
-        self.clear = clear  # whether the request may leave
+        self.may_send = may_send
         self.timer: Timer | None = loop.call_later(timeout_s, self.end, Outcome.TIMEOUT)
         self.stream = Stream.connect(loop, address, self, min(connect_s, max(0.001, timeout_s)))
 
     @property
     def may_have_run(self) -> bool:
-        return self.stream.written > 0
+        return self.stream.bytes_written > 0
 
     def send(self, method: str, url: str, *headers: tuple[str, str], body: bytes = b"") -> None:
         self.cseq += 1
-        self.waiting[str(self.cseq)] = method
+        self.pending_methods[str(self.cseq)] = method
         session = [("Session", self.session)] if self.session else []
         self.stream.write(ask(method, url, self.cseq, *session, *self.headers, *headers, body=body))
 
-    # the stream's side
+    # callbacks of the stream
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.state = State.SETTING_UP
-        if self.clear:
+        if self.may_send:
             self.send_set_up()
 
-    def cleared(self, why: str) -> None:
-        """The ledger has it, or says why not: only now may the request leave. The connection may be there."""
+    def on_claim_written(self, error: str) -> None:
+        """Called once the attempt is recorded on disk, which allows the first request.
+
+        `error` is empty, or why the record could not be written; the attempt then ends as `MOOT`.
+        """
         if self.state is State.ENDED:
             return
-        if why:
+        if error:
             self.end(Outcome.MOOT)
             return
-        self.clear = True
+        self.may_send = True
         if self.state is State.SETTING_UP:
             self.send_set_up()
 
     def send_set_up(self) -> None:
-        control, channels = self.tracks[self.set_up]
+        control, channels = self.tracks[self.tracks_set_up]
         transport = f"RTP/AVP/TCP;unicast;interleaved={channels[0]}-{channels[1]}"
         self.send("SETUP", control, ("Transport", transport), self.bandwidth_header())
 
     def bandwidth_header(self) -> tuple[str, str]:
-        """What the session may take, in bits a second (RFC 2326, 12.6)."""
+        """The bandwidth of the session in bits per second (RFC 2326, 12.6)."""
         return "Bandwidth", str(round(self.bandwidth * 8000))
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if self.state is State.ENDED:
                 return
@@ -126,52 +134,52 @@
             elif isinstance(event, Malformed):
                 self.end(Outcome.RESET if self.state is State.PLAYING else Outcome.ERROR)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         if self.state is State.ENDED:
             return
-        if self.state is State.LEAVING:
-            self.end(self.left_as)
+        if self.state is State.TEARING_DOWN:
+            self.end(self.teardown_outcome)
         else:
-            self.end(Outcome.RESET if self.stream.written else Outcome.CONNECT_FAILED)
+            self.end(Outcome.RESET if self.stream.bytes_written else Outcome.CONNECT_FAILED)
 
-    # the protocol
+    # RTSP
 
     def on_response(self, response: Response) -> None:
-        method = self.waiting.pop(response.cseq, "")
+        method = self.pending_methods.pop(response.cseq, "")
         if text := response.headers.get(reports.HEADER):
             self.report = reports.decode(text, self.report_fields) or self.report
-        fine = 200 <= response.status < 300
+        success = 200 <= response.status < 300
         if method == "SETUP" and self.state is State.SETTING_UP:
-            if not fine or not response.session:
-                first = self.set_up == 0
-                self.end(Outcome.FULL if first and response.status in FULL else Outcome.ERROR)
+            if not success or not response.session:
+                first = self.tracks_set_up == 0
+                self.end(Outcome.FULL if first and response.status in FULL_STATUSES else Outcome.ERROR)
                 return
             self.session = response.session
-            self.set_up += 1
-            if self.set_up < len(self.tracks):
+            self.tracks_set_up += 1
+            if self.tracks_set_up < len(self.tracks):
                 self.send_set_up()
                 return
-            self.state = State.ASKED
+            self.state = State.PLAY_SENT
             position = ("Range", f"npt={self.start_s:.3f}-")
             self.send("PLAY", self.url, position, self.bandwidth_header())
-        elif method == "PLAY" and self.state is State.ASKED:
-            if not fine:
+        elif method == "PLAY" and self.state is State.PLAY_SENT:
+            if not success:
                 self.end(Outcome.ERROR)
                 return
             self.play_ok = True
             self.check_playing()
         elif method == "TEARDOWN":
-            self.end(self.left_as)
+            self.end(self.teardown_outcome)
 
     def on_request(self, request: Request) -> None:
-        """Servers may ask for signs of life; they get an answer, nothing more."""
+        """Answers a server's keep-alive request; other methods are not implemented."""
         status = "200 OK" if request.method in ("OPTIONS", "GET_PARAMETER") else "501 Not Implemented"
         self.stream.write(f"RTSP/1.0 {status}\r\nCSeq: {request.cseq}\r\n\r\n".encode())
 
     def on_frames(self, run: Frames) -> None:
         if run.rtcp:
             self.on_rtcp(run)
-        elif self.state in (State.ASKED, State.PLAYING):
+        elif self.state in (State.PLAY_SENT, State.PLAYING):
             if not self.media_seen:
                 self.media_seen = True
                 self.check_playing()
@@ -195,37 +203,39 @@
                 self.owner.attempt_rtcp(self, channel, packet)
 
     def check_playing(self) -> None:
-        if self.play_ok and self.media_seen and self.state is State.ASKED:
+        if self.play_ok and self.media_seen and self.state is State.PLAY_SENT:
             self.state = State.PLAYING
             if self.timer:
                 self.timer.cancel()
-            self.owner.attempt_playing(self, (self.loop.now() - self.began) * 1000)
+            self.owner.attempt_playing(self, (self.loop.now() - self.started_at) * 1000)
 
-    # the session's side
+    # called by the session
 
     def set_bandwidth(self, kb: float, rung: int) -> None:
-        """A change of rung while it is set up or plays: SET_PARAMETER with the rung and its rate."""
+        """Sends SET_PARAMETER with the rung and its rate `kb` (kB/s) once PLAY was sent; before, the next
+        request carries the rate."""
         self.bandwidth = kb
-        if self.state in (State.ASKED, State.PLAYING):
+        if self.state in (State.PLAY_SENT, State.PLAYING):
             body = f"rung: {rung}\r\n".encode()
-            kind = ("Content-Type", "text/parameters")
-            self.send("SET_PARAMETER", self.url, self.bandwidth_header(), kind, body=body)
+            content_type = ("Content-Type", "text/parameters")
+            self.send("SET_PARAMETER", self.url, self.bandwidth_header(), content_type, body=body)
 
-    def leave(self, outcome: Outcome = Outcome.OK) -> None:
-        """Ends it in order: TEARDOWN, its answer, `outcome`. Before it plays the connection is dropped."""
+    def teardown(self, outcome: Outcome = Outcome.OK) -> None:
+        """Sends TEARDOWN and ends with `outcome` after the response. Before media plays the connection is
+        reset and the outcome is `CANCELLED`."""
         if self.state is State.PLAYING:
-            self.state, self.left_as = State.LEAVING, outcome
-            self.stream.resume()
+            self.state, self.teardown_outcome = State.TEARING_DOWN, outcome
+            self.stream.resume_reading()
             self.send("TEARDOWN", self.url)
-            self.timer = self.loop.call_later(TEARDOWN_S, self.end, outcome)
-        elif self.state is not State.LEAVING:
+            self.timer = self.loop.call_later(TEARDOWN_TIMEOUT_S, self.end, outcome)
+        elif self.state is not State.TEARING_DOWN:
             self.end(Outcome.CANCELLED)
 
     def end(self, outcome: Outcome) -> None:
         if self.state is State.ENDED:
             return
         if outcome == Outcome.TIMEOUT and not self.may_have_run:
-            outcome = Outcome.CONNECT_FAILED  # nothing left: that is provable
+            outcome = Outcome.CONNECT_FAILED  # provably, no byte of the request was sent
         self.state = State.ENDED
         if self.timer:
             self.timer.cancel()
--- a/lemonhall/front/workers/connection.py
+++ b/lemonhall/front/workers/connection.py
@@ -19,7 +19,7 @@
         self.on_message, self.on_closed = on_message, on_closed
         self.decoder, self.send_queue = MessageDecoder(), SendQueue()
         self.stream: Stream | None = None
-        self.on_connected: Callable[[], object] = lambda: None
+        self.connected_callback: Callable[[], object] = lambda: None
         self.on_data: Callable[[], object] = lambda: None
 
     @property
@@ -28,22 +28,26 @@
 
     def send(self, message: Message) -> bool:
         """Returns False if the queue is full or the connection is not open."""
-        return self.open and self.stream is not None and self.send_queue.put(message, self.stream.backlog)
+        return (
+            self.open and self.stream is not None and self.send_queue.put(message, self.stream.backlog_bytes)
+        )
 
     def flush(self) -> None:
         stream = self.stream
         if stream is None or not stream.open:
             return
-        if data := self.send_queue.take(stream.backlog):
+        if data := self.send_queue.take(stream.backlog_bytes):
             stream.write(data)
-        if self.send_queue.over_limit(stream.backlog):
-            log.error("peer process reads too slowly; closing the connection", backlog_bytes=stream.backlog)
+        if self.send_queue.over_limit(stream.backlog_bytes):
+            log.error(
+                "peer process reads too slowly; closing the connection", backlog_bytes=stream.backlog_bytes
+            )
             stream.abort()
 
-    def connected(self) -> None:
-        self.on_connected()
+    def on_connected(self) -> None:
+        self.connected_callback()
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.on_data()
         for message in self.decoder.feed(view):
             if isinstance(message, MalformedMessage):
@@ -55,8 +59,8 @@
                 return
             self.on_message(message)
 
-    def drained(self) -> None:
+    def on_backlog_drained(self) -> None:
         self.flush()
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.on_closed()
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -65,7 +65,7 @@
             self.channel.close()
             on_exit(self, status)
 
-        loop.on_child(self.process.pid, reaped)
+        loop.add_child_handler(self.process.pid, reaped)
 
     def send_message(self, message: dict[str, Any], fds: tuple[int, ...] = ()) -> None:
         if self.channel.open:
@@ -130,8 +130,8 @@
             sock.close()
 
         def bind(address: Address, share: bool) -> socket.socket:
-            sock = listen(self.loop, address, refuse, share=share)
-            self.loop.watch(sock, 0, refuse)
+            sock = listen(self.loop, address, refuse, reuse_port=share)
+            self.loop.watch_socket(sock, 0, refuse)
             return sock
 
         self.viewers = bind(settings.listen, settings.share_port)
@@ -425,7 +425,7 @@
     def run(self) -> int:
         """Runs until the front has ended. Returns the exit status."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
-            self.loop.on_signal(number, lambda n=number: self.forward_signal(n))
+            self.loop.add_signal_handler(number, lambda n=number: self.forward_signal(n))
         self.loop.run()
         self.loop.close()
         return self.exit_status
@@ -452,7 +452,7 @@
     loop.run(until=lambda: bool(closed) or any("go" in m for m in messages))
     if closed:
         raise SystemExit(0)
-    loop.watch(control, 0, channel.on_ready)
+    loop.watch_socket(control, 0, channel.on_ready)
     loop.close()
     go = next(m for m in messages if "go" in m)
     named = {name: socket.socket(fileno=fd) for name, fd in zip(go["sockets"], sockets, strict=True)}
--- a/lemonhall/front/workers/shared_listener.py
+++ b/lemonhall/front/workers/shared_listener.py
@@ -31,9 +31,9 @@
         """Starts or stops watching the listener, as `may_accept` says now."""
         watch_now = self.opened and self.may_accept()
         if watch_now and not self.watching:
-            self.loop.watch_alone(self.sock, self.on_ready)
+            self.loop.watch_socket_exclusively(self.sock, self.on_ready)
         elif not watch_now:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
         self.watching = watch_now
 
     def on_ready(self, _: int) -> None:
@@ -57,7 +57,7 @@
     def requeue(self) -> None:
         """Moves this worker to the end of those that wait: the kernel wakes them in order of registration."""
         if self.watching:
-            self.loop.watch_alone(self.sock, self.on_ready)
+            self.loop.watch_socket_exclusively(self.sock, self.on_ready)
 
     def open(self) -> None:
         self.opened = True
@@ -66,5 +66,5 @@
     def close(self) -> None:
         """Closes the listener in this process for good; other processes keep theirs."""
         if self.sock.fileno() >= 0:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
             self.sock.close()
--- a/lemonhall/front/workers/worker_connections.py
+++ b/lemonhall/front/workers/worker_connections.py
@@ -30,7 +30,7 @@
 )
 from lemonhall.ipc.heartbeat import HeartbeatMonitor
 from lemonhall.loop import Stream
-from lemonhall.loop.stream import accept_on
+from lemonhall.loop.stream import start_accepting
 
 log = structlog.get_logger("lemonhall.front")
 TICK_S = 0.25
@@ -45,7 +45,7 @@
         self.connections, self.number = connections, number
         self.transport = MessageConnection(self.on_message, self.on_closed)
         self.transport.on_data = lambda: connections.heartbeat.record(number, connections.loop.now())
-        self.transport.stream = Stream(connections.loop, sock, self.transport, high=1 << 20)
+        self.transport.stream = Stream(connections.loop, sock, self.transport, high_watermark=1 << 20)
         self.hello: Hello | None = None
         self.takes_viewers = False  # the worker belongs to this parent and is of the same build
         self.viewers = self.sessions = 0
@@ -64,7 +64,7 @@
             if isinstance(message, Hello):
                 self.hello = message
                 connections.on_hello(self, message)
-        elif connections.daemon.asks.heard(self, message) or isinstance(message, Pong):
+        elif connections.daemon.set_up_requests.on_worker_message(self, message) or isinstance(message, Pong):
             pass
         elif isinstance(message, WorkerCounters):
             self.viewers, self.sessions = message.viewers, message.sessions
@@ -90,13 +90,13 @@
         self.by_number: dict[int, WorkerConnection] = {}
         self.last_number = 0
         self.heartbeat = HeartbeatMonitor(WORKER_TIMEOUT_S, TICK_S)
-        daemon.loop.after_pass.append(self.flush)
-        daemon.list.list.on_news = self.on_server_list
+        daemon.loop.end_of_pass_callbacks.append(self.flush)
+        daemon.list_client.server_list.on_update = self.on_server_list
 
     # called by the daemon
 
     def start_accepting(self) -> None:
-        accept_on(self.loop, self.listener, self.on_connection)
+        start_accepting(self.loop, self.listener, self.on_connection)
         self.tick()
 
     def apply_settings(self, settings: FrontSettings) -> None:
@@ -121,7 +121,7 @@
 
     def close(self) -> None:
         """This process ends: workers keep their sessions; ends of connections are not handled any more."""
-        self.loop.watch(self.listener, 0, self.on_connection)
+        self.loop.watch_socket(self.listener, 0, self.on_connection)
         for connection in list(self.by_number.values()):
             connection.transport.on_closed = lambda: None
             if connection.transport.stream:
@@ -145,9 +145,11 @@
         if connection.takes_viewers:
             self.send_configuration(connection, daemon.settings)
             self.send_to_parent({"takes": hello.worker})
-            connection.send(ServerListUpdate(daemon.list.list.snapshot().SerializeToString()))
-            if daemon.keeper:
-                connection.send(StoreStatus(daemon.keeper.ledger.pruned_s, bool(daemon.keeper.failing)))
+            connection.send(ServerListUpdate(daemon.list_client.server_list.snapshot().SerializeToString()))
+            if daemon.store_service:
+                connection.send(
+                    StoreStatus(daemon.store_service.ledger.pruned_s, bool(daemon.store_service.failing))
+                )
         elif hello.parent_id == self.parent_id:
             self.send_to_parent({"replace": hello.worker})
         connection.send(daemon.welcome(version, connection.takes_viewers))
@@ -162,7 +164,7 @@
         self.heartbeat.forget(connection.number)
         if connection.hello:
             log.info("worker disconnected", worker=connection.hello.worker, sessions=connection.sessions)
-        self.daemon.asks.lose(connection)
+        self.daemon.set_up_requests.on_worker_lost(connection)
 
     def on_server_list(self, update: Update) -> None:
         data = update.SerializeToString()
--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -21,7 +21,7 @@
 
 from lemonhall.boxlist import Update
 from lemonhall.front.process.channel import Channel
-from lemonhall.front.servers.listed import BoxList
+from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.front.viewers.worker import Worker
 from lemonhall.front.workers.build_id import build_id, freeze_garbage_collector
 from lemonhall.front.workers.connection import MessageConnection
@@ -62,7 +62,7 @@
         )
         self.loop = control.loop
         self.start, self.start_wall_ms = self.loop.now(), time.time() * 1000
-        self.server_list = BoxList()
+        self.server_list = ServerListState()
         self.worker: Worker | None = None
         self.connection: MessageConnection | None = None
         self.reported_counts: Counter[str] = Counter()
@@ -74,7 +74,7 @@
         address = listener.getsockname()
         self.host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
         self.listener = SharedListener(self.loop, listener, self.accept_viewer, self.may_accept)
-        self.loop.after_pass.append(self.flush)
+        self.loop.end_of_pass_callbacks.append(self.flush)
         self.loop.on_error = self.on_error
         self.connect()
         self.loop.call_later(COUNTER_INTERVAL_S, self.report_counters)
@@ -103,8 +103,10 @@
         if self.exiting or self.incompatible:
             return
         connection = self.connection = MessageConnection(self.on_message, self.on_disconnected)
-        connection.on_connected = self.send_hello
-        connection.stream = Stream.connect(self.loop, self.socket_path, connection, 2.0, high=1 << 20)
+        connection.connected_callback = self.send_hello
+        connection.stream = Stream.connect(
+            self.loop, self.socket_path, connection, 2.0, high_watermark=1 << 20
+        )
 
     def send_hello(self) -> None:
         assert self.connection
@@ -230,7 +232,7 @@
     process = WorkerProcess(arguments["number"], arguments["family"], arguments["seam"], listener, control)
     control.on_message = process.on_parent_message
     control.on_closed = lambda: process.retire(True)  # the parent has ended
-    loop.on_signal(signal.SIGTERM, lambda: process.retire(True))
+    loop.add_signal_handler(signal.SIGTERM, lambda: process.retire(True))
     freeze_garbage_collector()
     loop.run()
 
--- a/tests/front/harness.py
+++ b/tests/front/harness.py
@@ -44,7 +44,7 @@
         self.open, self.sequence, self.reason, self.channel = True, 100, "", 0
         self.stream = Stream(server.loop, sock, self)
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Request):
                 self.scripted_server.requests.append(event)
@@ -68,7 +68,7 @@
     def media(self, payload: bytes = b"media", stamp: int = 9000) -> None:
         self.stream.write(self.packet(payload, stamp=stamp))
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.open, self.reason = False, reason
 
 
@@ -104,7 +104,7 @@
         return sum(r.method == method for r in self.requests)
 
     def stop_listening(self) -> None:
-        self.loop.watch(self.listener, 0, lambda _: None)
+        self.loop.watch_socket(self.listener, 0, lambda _: None)
         self.listener.close()
 
 
@@ -117,14 +117,14 @@
         self.stream = Stream.connect(loop, address, self, 2.0)
         self.base = f"rtsp://{address[0]}:{address[1]}"
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
             if isinstance(event, Frames):
                 self.received += [(c, bytes(p)) for c, p in split_frames(event.data)]
             else:
                 self.received.append(event)
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.reason = reason
 
     def send(self, method: str, path: str, *headers: tuple[str, str], body: bytes = b"") -> int:
@@ -198,9 +198,9 @@
 
     def apply_server_list(self, version: int, full: bool = False, entries: list[Box] | None = None) -> None:
         entries = [self.server_entry(s) for s in self.scripted_servers] if entries is None else entries
-        event = self.daemon.list.list.apply(Update(version=version, full=full, boxes=entries))
+        event = self.daemon.list_client.server_list.apply(Update(version=version, full=full, boxes=entries))
         assert event
-        self.daemon.bridge.tell(event)
+        self.daemon.bridge.enqueue(event)
 
     def connect_client(self) -> Client:
         client = Client(self.loop, self.address)
@@ -266,6 +266,6 @@
                 server.stop_listening()
         for sock in self.daemon.listeners:
             if sock.fileno() >= 0:
-                self.loop.watch(sock, 0, lambda _: None)
+                self.loop.watch_socket(sock, 0, lambda _: None)
                 sock.close()
         self.loop.close()
--- a/tests/front/process_harness.py
+++ b/tests/front/process_harness.py
@@ -100,10 +100,10 @@
         stdout = child.stdout
 
         def on_ready(_: int) -> None:
-            self.loop.watch(stdout, 0, on_ready)
+            self.loop.watch_socket(stdout, 0, on_ready)
             output.append(stdout.readline())
 
-        self.loop.watch(stdout, 1, on_ready)
+        self.loop.watch_socket(stdout, 1, on_ready)
         self.run_until(lambda: output)
         host, _, port = json.loads(output[0])["serving"].rpartition(":")
         return host, int(port)
@@ -160,6 +160,6 @@
                 if connection.stream.open:
                     connection.stream.abort()
             server.stop_listening()
-        self.loop.watch(self.list.listener, 0, lambda _: None)
+        self.loop.watch_socket(self.list.listener, 0, lambda _: None)
         self.list.listener.close()
         self.loop.close()
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -19,10 +19,10 @@
 
 from lemonhall import interface as i
 from lemonhall.boxlist import Box, State, Update, delimit
-from lemonhall.front.deciding.listclient import ListClient
-from lemonhall.front.deciding.peers import Peers, encode
-from lemonhall.front.servers.catalogue import choose
-from lemonhall.front.servers.listed import BoxList
+from lemonhall.front.decider.list_client import ListClient
+from lemonhall.front.decider.peers import PeerSocket, encode
+from lemonhall.front.servers.descriptions import choose_server
+from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.interface import ServerState
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import Request
@@ -46,7 +46,7 @@
         server = self
 
         class RequestHandler(Handler):
-            def data(self, view: memoryview) -> None:
+            def on_data(self, view: memoryview) -> None:
                 server.heads.append(bytes(view))
                 stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 server.streams.append(stream)
@@ -94,9 +94,12 @@
     harness.run_until(lambda: len(harness.received_events) == 3)
     kinds = [e.kind for e in harness.received_events if isinstance(e, i.ServerList)]
     assert kinds == [i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.CHANGES]
-    states = {s.id: s.state for s in harness.client.list.servers()}
+    states = {s.id: s.state for s in harness.client.server_list.servers()}
     assert states == {2: ServerState.DRAINING, 3: ServerState.READY}
-    assert harness.client.list.addresses[1] == ("127.0.0.1", 1001)  # attempts may still be in progress there
+    assert harness.client.server_list.addresses[1] == (
+        "127.0.0.1",
+        1001,
+    )  # attempts may still be in progress there
     harness.run_until(harness.cache.exists)
     harness.received_events.clear()
     restarted = harness.new_client()
@@ -107,7 +110,7 @@
 
 
 def test_a_list_older_than_the_front_counts_as_cached_until_it_is_up_to_date() -> None:
-    server_list = BoxList(born_ms=1000.0)
+    server_list = ServerListState(front_started_ms=1000.0)
     full = make_update(5, True, (1, 1), (2, 1))
     full.as_of_ms = 400.0
     change = make_update(6, False, (2, 2))
@@ -147,19 +150,19 @@
 
 def test_peers_accept_messages_from_known_addresses_only() -> None:
     loop, received = Loop(), list[Any]()
-    first = Peers(loop, ("127.0.0.1", 0), 1, {}, received.append)
-    second = Peers(loop, ("127.0.0.1", 0), 2, {1: first.sock.getsockname()}, received.append)
+    first = PeerSocket(loop, ("127.0.0.1", 0), 1, {}, received.append)
+    second = PeerSocket(loop, ("127.0.0.1", 0), 2, {1: first.sock.getsockname()}, received.append)
     first.peers = {2: second.sock.getsockname()}
     unknown_peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     unknown_peer.sendto(encode(2, b"false"), first.sock.getsockname())
-    second.send(i.TellPeers(b"x" * 256))
-    second.send(i.TellPeers(b"not for you", to=7))
+    second.send(i.SendToPeers(b"x" * 256))
+    second.send(i.SendToPeers(b"not for you", to=7))
     expired: list[bool] = []
     loop.call_later(5, expired.append, True)
-    loop.run(until=lambda: bool(expired) or (len(received) == 1 and first.strange == 1))
-    assert received == [i.PeerMessage(2, b"x" * 256)] and first.strange == 1
+    loop.run(until=lambda: bool(expired) or (len(received) == 1 and first.rejected_datagrams == 1))
+    assert received == [i.PeerMessage(2, b"x" * 256)] and first.rejected_datagrams == 1
     with pytest.raises(ValueError, match="257 bytes"):
-        second.send(i.TellPeers(b"x" * 257))
+        second.send(i.SendToPeers(b"x" * 257))
     for peers in (first, second):
         peers.close()
     unknown_peer.close()
@@ -167,11 +170,11 @@
 
 def test_peer_messages_and_probes_of_the_module_are_performed(make_front: Build) -> None:
     harness = make_front()
-    harness.module.injected += [i.Probe(1), i.Probe(77), i.Remark("hello"), i.TellPeers(b"x")]
-    harness.daemon.bridge.call()
+    harness.module.injected += [i.Probe(1), i.Probe(77), i.LogMessage("hello"), i.SendToPeers(b"x")]
+    harness.daemon.bridge.call_module()
     harness.run_until(lambda: len(harness.module.events_of(i.ProbeEnded)) == 2)
     assert {e.server: e.outcome for e in harness.module.events_of(i.ProbeEnded)} == {1: 200, 77: 502}
-    assert harness.daemon.bridge.undone == 0
+    assert harness.daemon.bridge.unhandled_actions == 0
 
 
 def test_descriptions_are_requested_only_from_servers_that_accept_sessions() -> None:
@@ -180,11 +183,11 @@
     def server(n: int, state: int = 1, ready_at: float = 0.0) -> i.Server:
         return i.Server(n, 0, 1.0, 0, 0, ready_at, ServerState(state))
 
-    assert choose([], 0.0, 5000.0, set(), Random(1)) is None
-    assert choose([server(1, 2), server(2, 0)], 0.0, 5000.0, set(), Random(1)) is None
+    assert choose_server([], 0.0, 5000.0, set(), Random(1)) is None
+    assert choose_server([server(1, 2), server(2, 0)], 0.0, 5000.0, set(), Random(1)) is None
     cold = server(3, ready_at=9000.0)
-    assert choose([cold, server(4)], 10_000.0, 5000.0, set(), Random(1)) == 4
-    assert choose([cold, server(4)], 10_000.0, 5000.0, {4}, Random(1)) == 3
+    assert choose_server([cold, server(4)], 10_000.0, 5000.0, set(), Random(1)) == 4
+    assert choose_server([cold, server(4)], 10_000.0, 5000.0, {4}, Random(1)) == 3
 
 
 def test_a_description_is_shared_by_all_requests_and_retried_at_another_server(make_front: Build) -> None:
@@ -310,11 +313,13 @@
 
 def test_a_front_records_its_requests_for_the_model(make_front: Build, tmp_path: Path) -> None:
     from lemonhall.config.day import read_day
-    from lemonhall.front.keeping.record import Recorder
+    from lemonhall.front.persistence.session_recorder import SessionRecorder
     from lemonhall.model.record import wishes_of
 
     harness = make_front()
-    recorder = harness.daemon.asks.recorder = Recorder(tmp_path / "asked.parquet", harness.settings, 0.0)
+    recorder = harness.daemon.set_up_requests.recorder = SessionRecorder(
+        tmp_path / "asked.parquet", harness.settings, 0.0
+    )
     client, session = harness.play_session("/browse/title-7")
     harness.run_for(0.1)
     cseq = client.send("TEARDOWN", "/browse/title-7", ("Session", session))
--- a/tests/front/test_handover.py
+++ b/tests/front/test_handover.py
@@ -43,7 +43,10 @@
     harness.loop.stop = loop_stop  # type: ignore[method-assign]
     assert not refused and not faults
     assert (
-        target.viewers_taken == 40 and not old.worker.viewers and not old.worker.by_id and not old.asks.open
+        target.viewers_taken == 40
+        and not old.worker.viewers
+        and not old.worker.by_id
+        and not old.set_up_requests.open_requests
     )
     assert len(new.worker.by_id) == 40 and len(harness.open_clients()) == 40
     harness.assert_no_gap(harness.open_clients())
@@ -57,7 +60,7 @@
     assert new.counts["played"] == 1 and not faults
     for daemon in (new,):
         for sock in daemon.listeners:
-            harness.loop.watch(sock, 0, lambda _: None)
+            harness.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
         assert daemon.handover
         daemon.handover.close()
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -14,7 +14,7 @@
 from lemonhall.interface import Outcome
 from lemonhall.rtsp import rtp
 from tests.front.harness import FrontHarness, ScriptedServer, ServerConnection
-from tests.node.world import Order
+from tests.node.world import ReorderingSelector
 
 Build = Callable[..., FrontHarness]
 
@@ -46,7 +46,7 @@
     cseq = client.send("TEARDOWN", "/claims/one", ("Session", session))
     harness.run_until(lambda: client.answers_to(cseq) and harness.module.events_of(i.AttemptEnded))
     assert outcomes(harness) == [Outcome.OK]
-    assert not harness.daemon.asks.open and not harness.daemon.worker.by_id
+    assert not harness.daemon.set_up_requests.open_requests and not harness.daemon.worker.by_id
 
 
 def test_viewer_drops_mid_set_up_on_a_paid_class(make_front: Build) -> None:
@@ -63,7 +63,7 @@
     harness.run_until(lambda: any(c.reason for b in harness.scripted_servers for c in b.connections))
     harness.run_for(0.2)
     assert harness.set_up_count() == 1  # not retried
-    assert not +harness.module.inner.seats and not harness.daemon.asks.open  # released
+    assert not +harness.module.inner.seats and not harness.daemon.set_up_requests.open_requests  # released
 
 
 @pytest.mark.parametrize("backwards", [False, True])
@@ -76,7 +76,7 @@
     script_all(harness, "SETUP", lambda connection, request: pending.append((connection, request)))
     client, _, _ = harness.send_play("/browse/one")
     harness.run_until(lambda: pending)
-    harness.loop.selector = Order(  # type: ignore[assignment]
+    harness.loop.selector = ReorderingSelector(  # type: ignore[assignment]
         harness.loop.selector, lambda events: sorted(events, key=lambda one: one[0].fd, reverse=backwards)
     )
     server, request = pending[0]
@@ -89,7 +89,7 @@
         lambda: harness.module.events_of(i.ViewerGone) or harness.module.events_of(i.AttemptEnded)
     )
     harness.run_for(0.2)
-    assert harness.set_up_count() == 1 and not harness.daemon.asks.open
+    assert harness.set_up_count() == 1 and not harness.daemon.set_up_requests.open_requests
     assert not harness.module.inner.sessions
     assert not any(server.sessions for server in harness.module.inner.boxes.values())
 
@@ -182,7 +182,10 @@
     assert client.answers_to(cseq)[0] in (200, 454)
     assert outcomes(harness) == [Outcome.OK]
     harness.run_for(0.1)
-    assert len(harness.module.events_of(i.AttemptEnded)) == 1 and not harness.daemon.asks.open
+    assert (
+        len(harness.module.events_of(i.AttemptEnded)) == 1
+        and not harness.daemon.set_up_requests.open_requests
+    )
 
 
 def test_two_sessions_on_one_connection_and_a_clash_of_channels(make_front: Build) -> None:
@@ -195,7 +198,9 @@
     harness.run_until(lambda: client.answers_to(cseq) and any(c == 2 for c, _ in client.media))
     assert one != two
     cseq = client.send("TEARDOWN", "/browse/one", ("Session", one))
-    harness.run_until(lambda: client.answers_to(cseq) and len(harness.daemon.asks.open) == 1)
+    harness.run_until(
+        lambda: client.answers_to(cseq) and len(harness.daemon.set_up_requests.open_requests) == 1
+    )
     before = len(client.media)
     harness.scripted_servers[0].connections[-1].media(b"on")
     harness.run_until(lambda: len(client.media) > before)
@@ -293,7 +298,7 @@
     request_id = harness.module.events_of(i.NewSession)[0].id
     harness.module.injected.append(i.SetRung(request_id, 0))
     connection.media(b"a")
-    harness.daemon.bridge.call()
+    harness.daemon.bridge.call_module()
     connection.media(b"b")
     harness.run_until(
         lambda: harness.scripted_servers[0].count("SET_PARAMETER") == 1 and len(client.media) == 3
@@ -311,7 +316,7 @@
     harness.run_until(lambda: len(client.media) == 2)
     first.script["SETUP"] = lambda connection, request: connection.reply(request, 503)
     harness.module.injected.append(i.Move(harness.module.events_of(i.NewSession)[0].id))
-    harness.daemon.bridge.call()
+    harness.daemon.bridge.call_module()
     harness.run_until(lambda: len(client.media) == 3)
     second = harness.playing_server()
     assert second is not first and first.count("TEARDOWN") == 1
@@ -336,11 +341,11 @@
     client, session = harness.play_session("/browse/one")
     script_all(harness, "SETUP", lambda connection, request: connection.reply(request, 503))
     harness.module.injected.append(i.Move(harness.module.events_of(i.NewSession)[0].id))
-    harness.daemon.bridge.call()
+    harness.daemon.bridge.call_module()
     harness.run_until(lambda: client.byes == 1)
     cseq = client.send("GET_PARAMETER", "/browse/one", ("Session", session))
     harness.run_until(lambda: client.answers_to(cseq))
-    assert client.answers_to(cseq) == [454] and not harness.daemon.asks.open
+    assert client.answers_to(cseq) == [454] and not harness.daemon.set_up_requests.open_requests
 
 
 def test_a_viewer_that_stops_reading_uses_bounded_memory_and_blocks_no_other(make_front: Build) -> None:
@@ -349,21 +354,21 @@
     slow_connection = harness.scripted_servers[0].connections[-1]
     good, _ = harness.play_session("/browse/good")
     good_connection = harness.scripted_servers[0].connections[-1]
-    slow.stream.pause()
+    slow.stream.pause_reading()
     viewer = next(s.viewer for s in harness.daemon.worker.by_id.values() if "/slow" in s.path)
     largest_backlog = 0
     packet = slow_connection.packet(b"z" * 1200)
     before = len(good.media)
     for n in range(200):
-        if slow_connection.stream.open and slow_connection.stream.backlog < 1 << 20:
+        if slow_connection.stream.open and slow_connection.stream.backlog_bytes < 1 << 20:
             slow_connection.stream.write(packet * 100)
         good_connection.media(b"on")
         harness.run_until(lambda n=n: len(good.media) == before + n + 1)  # type: ignore[misc]
-        largest_backlog = max(largest_backlog, viewer.stream.backlog)
+        largest_backlog = max(largest_backlog, viewer.stream.backlog_bytes)
     assert 64_000 <= largest_backlog <= 64_000 + (1 << 17)  # its limit, and what one pass of the loop may add
-    assert slow_connection.stream.backlog > 0  # back-pressure reaches the server
+    assert slow_connection.stream.backlog_bytes > 0  # back-pressure reaches the server
     harness.run_until(lambda: harness.daemon.counts["viewer_stalled"] == 1)
-    harness.run_until(lambda: len(harness.daemon.asks.open) == 1)
+    harness.run_until(lambda: len(harness.daemon.set_up_requests.open_requests) == 1)
     assert good.reason == "" and good.byes == 0
 
 
@@ -371,14 +376,14 @@
     harness = make_front(servers=1)
     client, _ = harness.play_session("/browse/one")
     harness.module.injected.append(i.Cancel(harness.module.events_of(i.NewSession)[0].id, 0))
-    harness.daemon.bridge.call()
+    harness.daemon.bridge.call_module()
     harness.run_for(0.05)
     assert not harness.module.events_of(i.AttemptEnded)
     harness.scripted_servers[0].script["SETUP"] = never_answer
     other, _, cseq = harness.send_play("/browse/two")
     harness.run_until(lambda: harness.set_up_count() == 2)
     harness.module.injected.append(i.Cancel(harness.module.events_of(i.NewSession)[1].id, 0))
-    harness.daemon.bridge.call()
+    harness.daemon.bridge.call_module()
     harness.run_until(lambda: other.answers_to(cseq))
     assert Outcome.CANCELLED in outcomes(harness)
     assert client.byes == 0
@@ -518,7 +523,7 @@
     bad.stream.write(b"$\x01\x00\x02abOPTIONS * RTSP/1.0\r\nCSeq: 9\r\n\r\n$\x01\x00\x01abcNOT RTSP\r\n\r\n")
     harness.run_until(lambda: bad.reason)
     assert [r.status for r in bad.answers][-2:] == [200, 400]
-    harness.run_until(lambda: len(harness.daemon.asks.open) == 1)
+    harness.run_until(lambda: len(harness.daemon.set_up_requests.open_requests) == 1)
     assert good.reason == "" and good.byes == 0
 
 
@@ -584,4 +589,4 @@
     assert waiting.answers_to(cseq) == [200]
     harness.run_until(lambda: playing.byes == 1 and waiting.byes == 1)
     harness.run_until(lambda: harness.scripted_servers[0].count("TEARDOWN") == 2)
-    harness.run_until(lambda: not harness.daemon.asks.open)
+    harness.run_until(lambda: not harness.daemon.set_up_requests.open_requests)
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -74,13 +74,13 @@
         self.text, self.finished = b"", False
         self.stream = Stream.connect(harness.loop, ("127.0.0.1", int(port.rpartition(":")[2])), self, 5.0)
 
-    def connected(self) -> None:
+    def on_connected(self) -> None:
         self.stream.write(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n")
 
-    def data(self, view: memoryview) -> None:
+    def on_data(self, view: memoryview) -> None:
         self.text += view
 
-    def closed(self, reason: str) -> None:
+    def on_closed(self, reason: str) -> None:
         self.finished = True
 
 
@@ -476,4 +476,4 @@
     harness.run_until(lambda: client.answers_to(cseq))
     assert harness.module.events_of(i.AttemptEnded)[0].outcome == i.Outcome.MOOT
     assert harness.daemon.counts["seam_full"] == 1 and len(client.answers_to(cseq)) == 1
-    assert not harness.daemon.asks.book.open_attempts or client.answers_to(cseq) == [200]
+    assert not harness.daemon.set_up_requests.attempt_table.open_attempts or client.answers_to(cseq) == [200]
