--- a/lemonhall/front/workers/connection.py
+++ b/lemonhall/front/workers/connection.py
@@ -13,14 +13,19 @@
 
 
 class MessageConnection(Handler):
-    """Calls `on_message` for each message, `on_closed` once. The owner calls `flush` after each loop pass."""
+    """Calls `message_callback` for each message and `closed_callback` once.
 
-    def __init__(self, on_message: Callable[[Message], object], on_closed: Callable[[], object]) -> None:
-        self.on_message, self.on_closed = on_message, on_closed
+    The owner calls `flush` after each pass of the event loop.
+    """
+
+    def __init__(
+        self, message_callback: Callable[[Message], object], closed_callback: Callable[[], object]
+    ) -> None:
+        self.message_callback, self.closed_callback = message_callback, closed_callback
         self.decoder, self.send_queue = MessageDecoder(), SendQueue()
         self.stream: Stream | None = None
         self.connected_callback: Callable[[], object] = lambda: None
-        self.on_data: Callable[[], object] = lambda: None
+        self.data_callback: Callable[[], object] = lambda: None
 
     @property
     def open(self) -> bool:
@@ -48,7 +53,7 @@
         self.connected_callback()
 
     def on_data(self, view: memoryview) -> None:
-        self.on_data()
+        self.data_callback()
         for message in self.decoder.feed(view):
             if isinstance(message, MalformedMessage):
                 log.error(
@@ -57,10 +62,10 @@
                 if self.stream:
                     self.stream.abort()
                 return
-            self.on_message(message)
+            self.message_callback(message)
 
     def on_backlog_drained(self) -> None:
         self.flush()
 
     def on_closed(self, reason: str) -> None:
-        self.on_closed()
+        self.closed_callback()
--- a/lemonhall/front/workers/worker_connections.py
+++ b/lemonhall/front/workers/worker_connections.py
@@ -44,7 +44,7 @@
     def __init__(self, connections: WorkerConnections, sock: socket.socket, number: int) -> None:
         self.connections, self.number = connections, number
         self.transport = MessageConnection(self.on_message, self.on_closed)
-        self.transport.on_data = lambda: connections.heartbeat.record(number, connections.loop.now())
+        self.transport.data_callback = lambda: connections.heartbeat.record(number, connections.loop.now())
         self.transport.stream = Stream(connections.loop, sock, self.transport, high_watermark=1 << 20)
         self.hello: Hello | None = None
         self.takes_viewers = False  # the worker belongs to this parent and is of the same build
@@ -99,7 +99,7 @@
         start_accepting(self.loop, self.listener, self.on_connection)
         self.tick()
 
-    def apply_settings(self, settings: FrontSettings) -> None:
+    def send_settings(self, settings: FrontSettings) -> None:
         self.send_to_parent({"workers": settings.workers})
         for connection in self.by_number.values():
             if connection.takes_viewers:
@@ -123,7 +123,7 @@
         """This process ends: workers keep their sessions; ends of connections are not handled any more."""
         self.loop.watch_socket(self.listener, 0, self.on_connection)
         for connection in list(self.by_number.values()):
-            connection.transport.on_closed = lambda: None
+            connection.transport.closed_callback = lambda: None
             if connection.transport.stream:
                 connection.transport.stream.close()
 
