--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -41,14 +41,14 @@
     """Kills some fronts one after another; then a while without kills, for false alarms and bytes."""
     began = time.monotonic()
     net = Network(size)
-    net.look = lambda node: None  # type: ignore[method-assign]  # views are looked at here, not kept
+    net.record_view = lambda node: None  # type: ignore[method-assign]  # views are looked at here, not kept
     for number in range(size):
         net.add(number, (0, 1, 2))
     if known:
         acquaint(net)
         net.run(2000.0)
     else:
-        net.until_agreed(600_000)
+        net.run_until_agreed(600_000)
     net.loss = loss
     first, everybody = [], []
     for victim in range(size - 1, size - 1 - kills, -1):
@@ -79,7 +79,7 @@
         "false_deaths_a_front_hour": round((later - declared) / hours, 3),
         "false_suspicions_a_front_hour": round((doubts - suspected) / hours, 3),
         "bytes_s_front": round((net.sent_bytes - sent) / (net.now - at) * 1000 / len(net.up())),
-        "largest": net.largest,
+        "largest": net.largest_bytes,
         "took_s": round(time.monotonic() - began, 1),
     }
 
--- a/lemonhall/front/deciding/membership.py
+++ b/lemonhall/front/deciding/membership.py
@@ -182,7 +182,7 @@
         if view.version != self.version:
             self.version = view.version
             log.info(
-                "members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.duplicate_number
+                "members", there=len(view.members), cut_off=view.isolated, twin=self.machine.duplicate_number
             )
             self.on_view(view)
         if told := self.share.update(view, self.now_ms()):
@@ -228,11 +228,11 @@
         shown = {
             "number": self.number,
             "members": view.members,
-            "cut_off": view.cut_off,
+            "cut_off": view.isolated,
             "twin": self.machine.duplicate_number,
             "told": {"fronts": self.share.reported[0], "rank": self.share.reported[1]},
             "incarnation": self.machine.incarnation,
-            "health": self.machine.health,
+            "health": self.machine.health_score,
             "states": {m.number: m.state.name.lower() for m in self.machine.members.values()},
             "counts": self.machine.counts,
             "refused": self.bad,
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -356,7 +356,7 @@
             self.asks.returning.view(view)
         if self.capture:
             there = " ".join(map(str, view.members))
-            words = f"there are {there}" + (", this one may be cut off" if view.cut_off else "")
+            words = f"there are {there}" + (", this one may be cut off" if view.isolated else "")
             self.capture.word(self.now_ms(), "members", words)
 
     # change of guard
--- a/lemonhall/members/__init__.py
+++ b/lemonhall/members/__init__.py
@@ -1,4 +1,5 @@
-"""Fronts that find and watch one another: a state machine after SWIM and Lifeguard, without I/O."""
+"""Membership of the fleet's fronts and detection of failed ones: a state machine of SWIM with Lifeguard, and
+the encryption of its datagrams. No I/O."""
 
 from lemonhall.members.encryption import DatagramError, KeyRing
 from lemonhall.members.machine import Member, MembershipMachine, MembershipView, OutgoingDatagram, SwimConfig
--- a/lemonhall/members/front_count.py
+++ b/lemonhall/members/front_count.py
@@ -1,43 +1,42 @@
-"""How many fronts the module is told there are. Pure.
+"""The number of fronts that is reported to the module. Pure.
 
-Every share that a front takes for itself (of quotas, of a cold server's pace, of an uplink) is one over this
-number, so more fronts than there are is safe, and fewer is not. The number rises at once with what is seen,
-falls slowly (who fell silent may still be sending), and does not fall while this front may be the one that is
-cut off.
-"""
+Every share that a front takes (of quotas, of the set-up rate of a cold server, of an uplink) is one part in
+this number, so too many fronts are safe and too few are not. The number increases as soon as more fronts are
+seen, decreases slowly, because a silent front may still be sending, and does not decrease while this front
+may be the one that is isolated."""
 
 from __future__ import annotations
 
 from lemonhall.members.machine import MembershipView
 
-FALL_MS = 10_000.0  # for which a fall waits before it begins
-STEP_MS = 1000.0  # then a sixteenth of it, at least one, each step
-STEP_PART = 16
+DECREASE_DELAY_MS = 10_000.0  # before a decrease begins
+DECREASE_STEP_MS = 1000.0  # interval of further steps
+DECREASE_DIVISOR = 16  # each step removes 1/16 of the number, at least one
 
 
 class FrontCount:
-    """`reported`: fronts and this front's rank among them, as the module last heard."""
+    """`reported`: the number of fronts and this front's rank among them, as last returned by `update`."""
 
     def __init__(self, number: int, fronts: int, now: float) -> None:
         self.number = number
         self.reported = (fronts, number % fronts)
-        self.fallen_since = now
+        self.lower_since = now
         self.stepped_at = now
 
     def update(self, view: MembershipView, now: float) -> tuple[int, int] | None:
-        """What the module is to be told now; None: nothing new."""
+        """Returns the number of fronts and the rank to report now, or None if they are unchanged."""
         seen = len(view.members)
         fronts = self.reported[0]
-        if seen >= fronts or view.cut_off:
-            self.fallen_since = now
+        if seen >= fronts or view.isolated:
+            self.lower_since = now
             fronts = max(fronts, seen)
-        elif now - self.fallen_since >= FALL_MS and now - self.stepped_at >= STEP_MS:
-            fronts = max(seen, fronts - max(1, fronts // STEP_PART))
+        elif now - self.lower_since >= DECREASE_DELAY_MS and now - self.stepped_at >= DECREASE_STEP_MS:
+            fronts = max(seen, fronts - max(1, fronts // DECREASE_DIVISOR))
         rank = sum(m < self.number for m in view.members)
-        made = (fronts, min(rank, fronts - 1))
-        if made == self.reported:
+        report = (fronts, min(rank, fronts - 1))
+        if report == self.reported:
             return None
-        if made[0] != self.reported[0]:
+        if report[0] != self.reported[0]:
             self.stepped_at = now
-        self.reported = made
-        return made
+        self.reported = report
+        return report
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -20,7 +20,7 @@
 from tests.front.world import TERMS
 
 KEYS = {1: b"k" * 16}
-FAST = SwimConfig(period_ms=40.0, ack_timeout_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
+FAST = SwimConfig(period_ms=40.0, ack_timeout_ms=12.0, min_suspicion_periods=3.0, max_suspicion_factor=3.0)
 
 
 class Fronts:
--- a/tests/members/network.py
+++ b/tests/members/network.py
@@ -1,4 +1,5 @@
-"""A simulated network round the machines: late, lost, doubled, reordered, cut, paused; one seed."""
+"""A simulated network of fronts: datagrams are delayed, lost, duplicated, reordered and cut off, and fronts are
+paused, all from one seed."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 from random import Random
 
 from lemonhall.members import KeyRing, MembershipMachine, OutgoingDatagram, SwimConfig
-from lemonhall.members.machine import DATAGRAM_MOST, Address, MemberState
+from lemonhall.members.machine import MAX_DATAGRAM_BYTES, Address, MemberState
 
 KEY = {1: b"k" * 16}
 
@@ -23,28 +24,28 @@
     keys: KeyRing
     up: bool = True
     paused_until: float = 0.0
-    told: list[tuple[float, tuple[int, ...]]] = field(default_factory=list)
+    views: list[tuple[float, tuple[int, ...]]] = field(default_factory=list)
 
 
 class Network:
-    """`loss`, `double`: chances of a datagram; `cut(a, b)`: whether nothing goes from a to b."""
+    """`loss`, `duplication`: probabilities for a datagram; `cut(a, b)`: whether nothing passes from a to b."""
 
     def __init__(self, seed: int, config: SwimConfig | None = None) -> None:
         self.random = Random(seed)
         self.config = config or SwimConfig()
         self.nodes: dict[int, Node] = {}
-        self.heap: list[tuple[float, int, int, bytes, Address]] = []
+        self.in_flight: list[tuple[float, int, int, bytes, Address]] = []
         self.order = 0
         self.now = 0.0
-        self.loss = self.double = 0.0
+        self.loss = self.duplication = 0.0
         self.cut: Callable[[int, int], bool] = lambda a, b: False
-        self.delay = (0.2, 2.0)
+        self.delay_ms = (0.2, 2.0)
         self.sent = self.sent_bytes = 0
-        self.largest = 0
+        self.largest_bytes = 0
         self.captured: list[tuple[int, bytes, Address]] = []
 
     def add(self, number: int, seeds: tuple[int, ...] = (0,)) -> Node:
-        """Starts a front, or starts it again with a new boot."""
+        """Starts a front, or restarts it with a new boot."""
         boot = self.random.getrandbits(32)
         machine = MembershipMachine(
             number,
@@ -55,37 +56,37 @@
             Random(self.random.random()),
         )
         node = self.nodes[number] = Node(machine, KeyRing(KEY, boot))
-        self.post(number, machine.start(self.now))
+        self.send(number, machine.start(self.now))
         return node
 
-    def post(self, number: int, out: list[OutgoingDatagram]) -> None:
+    def send(self, number: int, datagrams: list[OutgoingDatagram]) -> None:
         node = self.nodes[number]
-        for send in out:
-            data = node.keys.seal(send.data)
-            self.largest = max(self.largest, len(data))
-            assert len(data) <= DATAGRAM_MOST
+        for datagram in datagrams:
+            data = node.keys.seal(datagram.data)
+            self.largest_bytes = max(self.largest_bytes, len(data))
+            assert len(data) <= MAX_DATAGRAM_BYTES
             self.sent += 1
-            self.sent_bytes += len(data) + 28  # IP and UDP
-            target = send.to[1] - 10000
+            self.sent_bytes += len(data) + 28  # IP and UDP headers
+            target = datagram.to[1] - 10000
             if self.cut(number, target) or self.random.random() < self.loss:
                 continue
-            for _ in range(1 + (self.random.random() < self.double)):
+            for _ in range(1 + (self.random.random() < self.duplication)):
                 self.order += 1
-                at = self.now + self.random.uniform(*self.delay)
-                heapq.heappush(self.heap, (at, self.order, target, data, address_of(number)))
+                at = self.now + self.random.uniform(*self.delay_ms)
+                heapq.heappush(self.in_flight, (at, self.order, target, data, address_of(number)))
 
     def run(self, ms: float, step: float = 50.0) -> None:
-        """Lets time pass: datagrams as they come, each machine's tick when it is due."""
+        """Advances the time: delivers datagrams when they arrive and ticks each machine when it is due."""
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + step)
-            while self.heap and self.heap[0][0] <= self.now:
-                _, _, target, data, sender = heapq.heappop(self.heap)
+            while self.in_flight and self.in_flight[0][0] <= self.now:
+                _, _, target, data, sender = heapq.heappop(self.in_flight)
                 self.deliver(target, data, sender)
             for number, node in list(self.nodes.items()):
                 if node.up and self.now >= node.paused_until and self.now >= node.machine.next_tick_at():
-                    self.post(number, node.machine.tick(self.now))
-                    self.look(node)
+                    self.send(number, node.machine.tick(self.now))
+                    self.record_view(node)
 
     def deliver(self, target: int, data: bytes, sender: Address) -> None:
         node = self.nodes.get(target)
@@ -98,13 +99,13 @@
         except Exception as error:
             assert type(error).__name__ == "DatagramError"
             return
-        self.post(target, node.machine.receive(self.now, sender, message))
-        self.look(node)
+        self.send(target, node.machine.receive(self.now, sender, message))
+        self.record_view(node)
 
-    def look(self, node: Node) -> None:
+    def record_view(self, node: Node) -> None:
         members = node.machine.view().members
-        if not node.told or node.told[-1][1] != members:
-            node.told.append((self.now, members))
+        if not node.views or node.views[-1][1] != members:
+            node.views.append((self.now, members))
 
     def kill(self, number: int) -> None:
         self.nodes[number].up = False
@@ -113,12 +114,12 @@
         return sorted(n for n, node in self.nodes.items() if node.up)
 
     def agreed(self) -> bool:
-        """Whether every front that is up sees just those that are up."""
+        """Whether every front that is up sees exactly those that are up."""
         up = tuple(self.up())
         return all(self.nodes[n].machine.view().members == up for n in up)
 
-    def until_agreed(self, within_ms: float) -> float:
-        """Time until all agree. Fails if they do not."""
+    def run_until_agreed(self, within_ms: float) -> float:
+        """Returns the time until all agree. Fails if they do not."""
         began = self.now
         while not self.agreed():
             assert self.now - began < within_ms, {n: self.nodes[n].machine.view().members for n in self.up()}
@@ -126,7 +127,7 @@
         return self.now - began
 
     def false_deaths(self) -> int:
-        """How often somebody that is up was declared dead."""
+        """How many views declare a front dead that is up."""
         up = set(self.up())
         return sum(
             m.number in up and m.state is MemberState.DEAD
--- a/tests/members/test_machine.py
+++ b/tests/members/test_machine.py
@@ -1,4 +1,5 @@
-"""Members on a network that loses, doubles, reorders, cuts and pauses; datagrams nobody else can make."""
+"""Membership on a network that loses, duplicates, reorders and cuts off datagrams and pauses fronts; the
+encryption of datagrams; and the number of fronts that is reported to the module."""
 
 from __future__ import annotations
 
@@ -10,149 +11,151 @@
 
 from lemonhall.members import DatagramError, KeyRing, MembershipMachine, MembershipView, SwimConfig
 from lemonhall.members.front_count import FrontCount
-from lemonhall.members.machine import DATAGRAM_MOST
+from lemonhall.members.machine import MAX_DATAGRAM_BYTES
 from lemonhall.members.members_pb2 import Message
 from tests.members.network import KEY, Network, address_of
 
 PERIOD = SwimConfig().period_ms
-MANY = settings(max_examples=25, deadline=None, suppress_health_check=list(HealthCheck), derandomize=True)
+FEW_EXAMPLES = settings(
+    max_examples=25, deadline=None, suppress_health_check=list(HealthCheck), derandomize=True
+)
 
 
 def fleet(count: int, seed: int = 1) -> Network:
-    """A network of fronts that agree."""
+    """A network of fronts that all know each other."""
     net = Network(seed)
     for number in range(count):
         net.add(number, (0, 1))
-    net.until_agreed(30 * PERIOD)
+    net.run_until_agreed(30 * PERIOD)
     return net
 
 
 @pytest.mark.parametrize("count", [2, 5, 20, 60])
-def test_fronts_find_one_another_by_their_seeds(count: int) -> None:
+def test_fronts_find_each_other_by_their_seeds(count: int) -> None:
     net = fleet(count)
-    assert net.largest <= DATAGRAM_MOST
+    assert net.largest_bytes <= MAX_DATAGRAM_BYTES
     net.run(60 * PERIOD)
     assert net.agreed() and net.false_deaths() == 0
 
 
 @pytest.mark.parametrize("count", [3, 12, 40])
-def test_a_front_that_is_killed_is_seen_by_all_and_nobody_else_is(count: int) -> None:
+def test_a_killed_front_and_no_other_is_detected_by_all(count: int) -> None:
     net = fleet(count)
     net.kill(count - 1)
-    took = net.until_agreed(90 * PERIOD)
-    assert took > 2 * PERIOD  # not on one lost answer
+    detected_after_ms = net.run_until_agreed(90 * PERIOD)
+    assert detected_after_ms > 2 * PERIOD  # not by one lost ack
     assert net.false_deaths() == 0
 
 
-def test_most_can_go_at_once_in_a_roll_and_come_back() -> None:
+def test_most_fronts_can_restart_in_one_rolling_deployment() -> None:
     net = fleet(32, seed=3)
     for number in range(2, 32):  # 94%
-        net.post(number, net.nodes[number].machine.leave(net.now))
+        net.send(number, net.nodes[number].machine.leave(net.now))
         net.run(300)
         net.kill(number)
         net.add(number, (0, 1))
         net.run(300)
-    net.until_agreed(60 * PERIOD)
+    net.run_until_agreed(60 * PERIOD)
     assert not any(n.machine.duplicate_number for n in net.nodes.values())
 
 
-def test_who_leaves_is_gone_at_once_without_suspicion() -> None:
+def test_a_leaving_front_is_removed_without_a_suspicion() -> None:
     net = fleet(10)
-    net.post(9, net.nodes[9].machine.leave(net.now))
+    net.send(9, net.nodes[9].machine.leave(net.now))
     net.kill(9)
-    assert net.until_agreed(10 * PERIOD) < 8 * PERIOD
+    assert net.run_until_agreed(10 * PERIOD) < 8 * PERIOD
     assert not any("declared_dead" in n.machine.counts for n in net.nodes.values())
 
 
 def test_a_front_returns_with_a_new_incarnation() -> None:
     net = fleet(8)
     net.kill(7)
-    net.until_agreed(90 * PERIOD)
+    net.run_until_agreed(90 * PERIOD)
     net.add(7, (0, 1))
-    net.until_agreed(30 * PERIOD)
+    net.run_until_agreed(30 * PERIOD)
     assert net.nodes[0].machine.members[7].incarnation >= 2
 
 
-def test_a_third_of_all_datagrams_lost_doubled_and_reordered() -> None:
+def test_fronts_agree_again_after_loss_duplication_and_reordering() -> None:
     net = fleet(12, seed=5)
-    net.loss, net.double, net.delay = 0.3, 0.2, (0.2, 60.0)
+    net.loss, net.duplication, net.delay_ms = 0.3, 0.2, (0.2, 60.0)
     net.run(120 * PERIOD)
-    assert net.false_deaths() <= 4  # of 132 views; each is refuted in its turn
+    assert net.false_deaths() <= 4  # of 132 views; each is refuted later
     net.loss = 0.0
-    net.until_agreed(60 * PERIOD)
+    net.run_until_agreed(60 * PERIOD)
 
 
-def test_loss_one_way_does_not_kill_whom_others_hear() -> None:
+def test_a_front_unreachable_from_one_other_front_stays_alive() -> None:
     net = fleet(12, seed=6)
     net.cut = lambda a, b: (a, b) == (3, 4)
     net.run(90 * PERIOD)
     assert net.agreed() and net.false_deaths() == 0
 
 
-def test_a_cut_makes_two_fleets_and_its_end_makes_one() -> None:
+def test_a_partition_forms_two_fleets_and_its_end_one() -> None:
     net = fleet(10, seed=7)
     net.cut = lambda a, b: (a < 3) != (b < 3)
     net.run(120 * PERIOD)
     small, large = net.nodes[1].machine.view(), net.nodes[5].machine.view()
     assert small.members == (0, 1, 2) and large.members == tuple(range(3, 10))
     net.cut = lambda a, b: False
-    net.until_agreed(200 * PERIOD)
+    net.run_until_agreed(200 * PERIOD)
 
 
-def test_who_is_cut_off_knows_that_it_may_be_itself() -> None:
+def test_a_partitioned_front_sees_that_it_may_be_isolated() -> None:
     net = fleet(10, seed=8)
     net.cut = lambda a, b: (a == 9) != (b == 9)
     net.run(10 * PERIOD)
-    assert net.nodes[9].machine.view().cut_off
+    assert net.nodes[9].machine.view().isolated
     net.run(35 * PERIOD)
-    assert net.nodes[9].machine.view().cut_off
-    assert not net.nodes[4].machine.view().cut_off
+    assert net.nodes[9].machine.view().isolated
+    assert not net.nodes[4].machine.view().isolated
 
 
-def test_a_process_that_was_paused_does_not_judge_the_others() -> None:
+def test_a_resumed_front_declares_no_other_dead() -> None:
     net = fleet(10, seed=9)
     net.nodes[4].paused_until = net.now + 60 * PERIOD
     net.run(59 * PERIOD)
     assert all(4 not in net.nodes[n].machine.view().members for n in range(10) if n != 4)
     net.run(3 * PERIOD)
     assert net.nodes[4].machine.counts.get("woke") and not net.nodes[4].machine.counts.get("declared_dead")
-    net.until_agreed(60 * PERIOD)
+    net.run_until_agreed(60 * PERIOD)
 
 
-def test_two_fronts_under_one_number_are_named() -> None:
+def test_two_fronts_with_one_number_are_reported() -> None:
     net = fleet(5)
-    twin = net.add(4, (0, 1))  # while the first is still there: the network sends to the second alone
+    second = net.add(4, (0, 1))  # the first is still up; the network delivers to the second only
     other = MembershipMachine(4, address_of(4), 1234, [address_of(0)], SwimConfig(), Random(1))
     other.start(net.now)
-    late = twin.machine.start(net.now)[0].data
+    late = second.machine.start(net.now)[0].data
     other.receive(net.now, address_of(4), late)
-    assert not other.duplicate_number  # one late word may be of an earlier life
+    assert not other.duplicate_number  # a late message may be of an earlier start
     other.receive(net.now + 6 * PERIOD, address_of(4), late)
     assert other.duplicate_number and other.counts["twin"] == 2
 
 
-def test_nothing_that_comes_makes_a_machine_raise() -> None:
+def test_no_message_makes_a_machine_raise() -> None:
     machine = MembershipMachine(1, address_of(1), 7, [address_of(0)], SwimConfig(), Random(1))
     machine.start(0.0)
-    draws = Random(2)
+    random = Random(2)
     for _ in range(3000):
-        message = Message(kind=draws.randrange(9), sequence=draws.randrange(99), sender=draws.randrange(5))
-        message.incarnation, message.boot = draws.randrange(1 << 32), draws.randrange(3)
-        message.target = draws.randrange(6)
-        for _ in range(draws.randrange(4)):
+        message = Message(kind=random.randrange(9), sequence=random.randrange(99), sender=random.randrange(5))
+        message.incarnation, message.boot = random.randrange(1 << 32), random.randrange(3)
+        message.target = random.randrange(6)
+        for _ in range(random.randrange(4)):
             update = message.updates.add()
-            update.member, update.state = draws.randrange(6), draws.randrange(6)
-            update.incarnation, update.boot = draws.randrange(1 << 32), draws.randrange(3)
-            update.host, update.port = draws.randrange(1 << 32), draws.randrange(1 << 16)
+            update.member, update.state = random.randrange(6), random.randrange(6)
+            update.incarnation, update.boot = random.randrange(1 << 32), random.randrange(3)
+            update.host, update.port = random.randrange(1 << 32), random.randrange(1 << 16)
         data = message.SerializeToString()
-        if draws.random() < 0.2:
-            data = data[: draws.randrange(len(data) + 1)] + draws.randbytes(3)
-        machine.receive(draws.random() * 1e5, address_of(draws.randrange(5)), data)
-        machine.tick(draws.random() * 1e5)
+        if random.random() < 0.2:
+            data = data[: random.randrange(len(data) + 1)] + random.randbytes(3)
+        machine.receive(random.random() * 1e5, address_of(random.randrange(5)), data)
+        machine.tick(random.random() * 1e5)
         assert 1 in machine.view().members
 
 
-@MANY
+@FEW_EXAMPLES
 @given(
     st.integers(2, 9),
     st.lists(
@@ -165,14 +168,14 @@
     ),
     st.integers(0, 1000),
 )
-def test_whatever_happens_all_agree_once_it_is_calm(
-    count: int, happenings: list[tuple[str, int, int]], seed: int
+def test_all_fronts_agree_after_any_sequence_of_faults(
+    count: int, events: list[tuple[str, int, int]], seed: int
 ) -> None:
     net = Network(seed)
     for number in range(count):
         net.add(number, (0, 1))
     highest: dict[tuple[int, int], int] = {}
-    for what, number, long in happenings:
+    for what, number, periods in events:
         number %= count
         node = net.nodes[number]
         if what == "kill" and len(net.up()) > 2 and number > 1:
@@ -180,82 +183,82 @@
         elif what == "add" and not node.up:
             net.add(number, (0, 1))
         elif what == "leave" and node.up and number > 1:
-            net.post(number, node.machine.leave(net.now))
+            net.send(number, node.machine.leave(net.now))
             net.kill(number)
         elif what == "pause":
-            node.paused_until = net.now + long * PERIOD
+            node.paused_until = net.now + periods * PERIOD
         elif what == "cut":
             net.cut = lambda a, b, n=number: (a == n) != (b == n)
         elif what == "loss":
-            net.loss = long / 60
-        net.run(long * PERIOD / 2)
-        for n, each in net.nodes.items():  # a boot never goes back on its incarnation
+            net.loss = periods / 60
+        net.run(periods * PERIOD / 2)
+        for n, each in net.nodes.items():  # the incarnation of a boot never decreases
             key = (n, each.machine.boot)
             assert each.machine.incarnation >= highest.get(key, 0)
             highest[key] = each.machine.incarnation
     net.loss, net.cut = 0.0, lambda a, b: False
-    net.run(25 * PERIOD)  # all pauses are over
-    net.until_agreed(400 * PERIOD)
+    net.run(25 * PERIOD)  # all pauses have ended
+    net.run_until_agreed(400 * PERIOD)
 
 
-# seals
+# encryption
 
 
-def pair() -> tuple[KeyRing, KeyRing]:
+def two_key_rings() -> tuple[KeyRing, KeyRing]:
     return KeyRing(KEY, 1), KeyRing(KEY, 2)
 
 
-def test_a_datagram_is_opened_once() -> None:
-    ours, theirs = pair()
-    data = theirs.seal(b"hello")
-    assert ours.open(data) == b"hello"
-    with pytest.raises(DatagramError, match="came before"):
-        ours.open(data)
+def test_a_datagram_is_accepted_once() -> None:
+    own, other = two_key_rings()
+    data = other.seal(b"hello")
+    assert own.open(data) == b"hello"
+    with pytest.raises(DatagramError, match="received before"):
+        own.open(data)
 
 
-def test_datagrams_may_come_out_of_order_within_a_window() -> None:
-    ours, theirs = pair()
-    sealed = [theirs.seal(bytes([n % 250])) for n in range(600)]
+def test_datagrams_are_accepted_out_of_order_within_the_replay_window() -> None:
+    own, other = two_key_rings()
+    sealed = [other.seal(bytes([n % 250])) for n in range(600)]
     order = list(range(300))
     Random(1).shuffle(order)
     for block in range(0, 600, 100):
         part = [n for n in order if n < 100]
         for n in part:
-            assert ours.open(sealed[block + n]) == bytes([(block + n) % 250])
-    with pytest.raises(DatagramError, match="too old"):
-        KeyRing(KEY, 3).open(sealed[0]) and ours.open(sealed[0])
+            assert own.open(sealed[block + n]) == bytes([(block + n) % 250])
+    with pytest.raises(DatagramError, match="counter is too old"):
+        KeyRing(KEY, 3).open(sealed[0]) and own.open(sealed[0])
 
 
 @pytest.mark.parametrize("at", [0, 1, 5, 12, 13, 20, -1])
-def test_what_was_changed_is_not_opened(at: int) -> None:
-    ours, theirs = pair()
-    data = bytearray(theirs.seal(b"a message"))
+def test_a_modified_datagram_is_refused(at: int) -> None:
+    own, other = two_key_rings()
+    data = bytearray(other.seal(b"a message"))
     data[at] ^= 1
     with pytest.raises(DatagramError):
-        ours.open(bytes(data))
-    assert ours.open(theirs.seal(b"next")) == b"next"
+        own.open(bytes(data))
+    assert own.open(other.seal(b"next")) == b"next"
 
 
-def test_strangers_and_ourselves_are_not_heard() -> None:
-    ours, _ = pair()
+def test_foreign_and_own_datagrams_are_refused() -> None:
+    own, _ = two_key_rings()
     with pytest.raises(DatagramError, match="another key"):
-        ours.open(KeyRing({1: b"x" * 16}, 9).seal(b"poison"))
-    with pytest.raises(DatagramError, match="not known"):
-        ours.open(KeyRing({7: b"k" * 16}, 9).seal(b"poison"))
-    with pytest.raises(DatagramError, match="our own"):
-        ours.open(KeyRing(KEY, 1).seal(b"echo"))
+        own.open(KeyRing({1: b"x" * 16}, 9).seal(b"poison"))
+    with pytest.raises(DatagramError, match="key 7 is unknown"):
+        own.open(KeyRing({7: b"k" * 16}, 9).seal(b"poison"))
+    with pytest.raises(DatagramError, match="sent by this front"):
+        own.open(KeyRing(KEY, 1).seal(b"echo"))
     with pytest.raises(DatagramError, match="too short"):
-        ours.open(b"short")
+        own.open(b"short")
 
 
-def test_a_replayed_network_changes_nothing() -> None:
+def test_replayed_datagrams_change_nothing() -> None:
     net = fleet(6)
     for target, data, _sender in list(net.captured):
         with pytest.raises(DatagramError):
             net.nodes[target].keys.open(data)
     net.kill(5)
     old = [c for c in net.captured if c[0] != 5]
-    net.until_agreed(90 * PERIOD)
+    net.run_until_agreed(90 * PERIOD)
     for target, data, sender in old:
         net.deliver(target, data, sender)
     assert net.agreed()
@@ -264,7 +267,7 @@
 def test_keys_are_rotated_without_a_gap() -> None:
     old, new = {1: b"a" * 16}, {2: b"b" * 16}
     first, second = KeyRing(old, 1), KeyRing(old, 2)
-    steps = [{**old, **new}, {**new, **old}, new]  # know the new one, seal with it, forget the old one
+    steps = [{**old, **new}, {**new, **old}, new]  # add the new key, encrypt with it, remove the old key
     for step in steps:
         first.set_keys(step)
         assert second.open(first.seal(b"x")) == b"x" and first.open(second.seal(b"y")) == b"y"
@@ -276,31 +279,31 @@
         KeyRing({1: b"short"}, 1)
 
 
-# what the module is told
+# number of fronts
 
 
-def view(*members: int, cut_off: bool = False) -> MembershipView:
-    return MembershipView(members, cut_off, 1)
+def view(*members: int, isolated: bool = False) -> MembershipView:
+    return MembershipView(members, isolated, 1)
 
 
-def test_more_fronts_are_told_at_once_and_fewer_slowly() -> None:
-    share = FrontCount(2, 3, 0.0)
-    assert share.update(view(0, 1, 2), 0.0) is None
-    assert share.update(view(*range(80)), 10.0) == (80, 2)
-    few = view(1, 2, 3)
-    assert share.update(few, 5000.0) == (80, 1)  # the rank is known, the fall waits
+def test_the_number_of_fronts_increases_at_once_and_decreases_slowly() -> None:
+    count = FrontCount(2, 3, 0.0)
+    assert count.update(view(0, 1, 2), 0.0) is None
+    assert count.update(view(*range(80)), 10.0) == (80, 2)
+    three_left = view(1, 2, 3)
+    assert count.update(three_left, 5000.0) == (80, 1)  # the rank changes at once, the number after a delay
     times, counts = [], []
     for ms in range(0, 120_000, 500):
-        if told := share.update(few, 5000.0 + ms):
+        if report := count.update(three_left, 5000.0 + ms):
             times.append(ms)
-            counts.append(told[0])
+            counts.append(report[0])
     assert times[0] >= 5000 and counts == sorted(counts, reverse=True) and counts[-1] == 3
     assert all(b - a >= 1000 for a, b in zip(times, times[1:], strict=False))
     assert all(a - b <= max(1, a // 16) for a, b in zip([80, *counts], counts, strict=False))
 
 
-def test_who_may_be_cut_off_does_not_take_more_for_itself() -> None:
-    share = FrontCount(0, 40, 0.0)
+def test_the_number_of_fronts_does_not_decrease_while_isolated() -> None:
+    count = FrontCount(0, 40, 0.0)
     for ms in range(0, 300_000, 1000):
-        assert share.update(view(0, 1, cut_off=True), float(ms)) is None
-    assert share.reported == (40, 0)
+        assert count.update(view(0, 1, isolated=True), float(ms)) is None
+    assert count.reported == (40, 0)
