--- a/tests/members/network.py
+++ b/tests/members/network.py
@@ -1,5 +1,5 @@
-"""A simulated network of fronts: datagrams are delayed, lost, duplicated, reordered and cut off, and fronts are
-paused, all from one seed."""
+"""A simulated network of fronts: datagrams are delayed, lost, duplicated, reordered and cut off, and fronts
+are paused, all from one seed."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
 
 
 class Network:
-    """`loss`, `duplication`: probabilities for a datagram; `cut(a, b)`: whether nothing passes from a to b."""
+    """`loss`, `duplication`: probabilities for a datagram; `cut(a, b)`: whether nothing passes from a to
+    b."""
 
     def __init__(self, seed: int, config: SwimConfig | None = None) -> None:
         self.random = Random(seed)
