--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -386,7 +386,7 @@
             self.set_up_requests.recovery.update_members(view)
         if self.capture:
             members = " ".join(map(str, view.members))
-            text = f"there are {members}" + (", this one may be cut off" if view.cut_off else "")
+            text = f"there are {members}" + (", this one may be cut off" if view.isolated else "")
             self.capture.add_note(self.now_ms(), "members", text)
 
     # handover
