--- a/lemonhall/decide.py
+++ b/lemonhall/decide.py
@@ -1,7 +1,7 @@
-"""The decisions of one front: who plays, on which server, at what rung. `Front.handle` gives actions.
+"""The decisions of one front: which sessions play, on which server and at which rung.
 
-Times are milliseconds, rates kB a second. The order is that of the design: quotas, pipes, admission and
-sub-rating, the pick; then health, cold starts, attempts and rung control.
+Times are in milliseconds, rates in kB/s. The admission of premium and low sessions follows Method II of the
+paper on dynamic quota based admission; health, cold starts, retries and rung control are added to it.
 """
 
 from __future__ import annotations
@@ -14,55 +14,55 @@
 from random import Random
 from typing import Any
 
-from lemonhall import interface as i
-from lemonhall.interface import Outcome, ReasonCode, Repeat, ServerState
-
-ALPHA = 2  # sessions sub-rated for one premium session (the paper's alpha)
-QUOTA_PERIOD_MS = 5000.0  # the quotas of a server are picked anew this often (design)
-FEW_COUNTS = 6.0  # arrivals (decayed count) under which every slot stays in the pool
-QUOTA_GRAINS = 32  # steps in which reserves are enumerated: past so many slots a step is several of them
-SPLITS_KEPT = 256  # quotas remembered by their loads
-QUOTA_BURST_S = 5.0  # a tenant may be this far ahead of its told rate before it counts as over its share
-QUOTA_CHANCE = 3.0  # and by so many sessions more: what a front sees of a rate is subject to chance
-RATE_WINDOW_MS = 60000.0  # memory of arrival rates: a front of many sees few arrivals a minute
-GAIN = 0.1  # weight of the newest in running means of set-up times, lengths and worths
-FIRST_LENGTH_MS = 40000.0  # length of a session before any was seen to end; only scales the quotas
-TARGET = 1.0  # part of a link or uplink that may be asked; lifts stop short of it, cuts begin past it
-FULL_BELOW = 0.92  # of the link use at which a server turns set-ups away
-FIRST_USE = 0.75  # use of the fleet before any report was heard: grow cautious
-SPREAD = 0.2  # of that use from server to server, before it was seen
-FADE_MS = 30000.0  # in which a report fades to what is usual elsewhere: most of a session's life
-GUESS_ROOM = 0.1  # left of an uplink by a guess, whatever it says: without sessions nothing is heard
-SMOOTH = 0.6  # weight of the newest report of other use against the older ones (reports are noisy)
-STALE_MS = 10000.0  # after which a report starts no step of a rung any more
-TICK_MS = 500.0  # rung control and quota upkeep
-CUT_ABOVE = 1.05  # own use over its budget that starts a step down: reports wander by a few points
-LIFT_BELOW = 0.9  # part of the budget that lifts may fill: room for the next arrivals, and hysteresis
-SHORT_HOLD_MS = 2500.0  # a share, told each second while short, stands this long: two periods and some delay
-SHORT = 0.98  # a share under this is short (below it worth is lost)
-EXPLAINED = 0.9  # told use times the delivered share from which the one explains the other
-REGAIN = 0.01  # then, each tick that it binds, it is tried for so much more
-LEAN = 2.0  # most by which sessions off the common level are hurried, or spared, when all must step
-LIMIT_OVER = 1.2  # over own use: a limit that is not tried is no knowledge
-DWELL_UP = 20.0  # switch costs for which a rung is kept before a lift: a lift must have time to pay for it
-DWELL_DOWN_MS = 4000.0  # nor cut again before a report can tell of the last cut
-EVIDENCE_BAR = 1.5  # evidence at which a server is left alone: two failures nearly in a row
-EVIDENCE_PROVEN = 0.5  # evidence above which no paid session is sent
-BACKOFF_MS = 1500.0  # first rest of a barred server; doubles up to the cap
-BACKOFF_CAP_MS = 8000.0
-SURE = (Outcome.CONNECT_FAILED, Outcome.RESET)  # ends that bar a server at once: its process is down
-DOUBT = (Outcome.TIMEOUT, Outcome.ERROR)  # ends that count as evidence of 1
-STALLED_SHARE = 0.15  # delivered share under which a server is taken to stand still
-FIRST_SET_UP_MS = 150.0  # set-up time before any was seen
-SET_UP_SPREADS = 4.0  # spreads over the usual set-up time at which an attempt is given up
-MIN_ATTEMPT_MS = 120.0  # less time left than this is no use for another attempt
-COLD_MARGIN = 1.3  # the fleet-wide gap between set-ups to a cold server, over the gap it can take
-COLD_WAVE = 4.0  # all fronts may ask so many times more than lately: waves of viewers who come again
-LOOKS = 16  # servers looked at for one request: with more full or barred than that, it may be refused
-
-
-def erlang(load: float, slots: int) -> list[float]:
-    """Blocking of M/M/n/n for n = 0..slots, by the Erlang B recurrence."""
+from lemonhall import interface
+from lemonhall.interface import Outcome, Repeat, ServerState
+
+ALPHA = 2  # low sessions sub-rated for one premium session (alpha of the paper)
+QUOTA_PERIOD_MS = 5000.0  # between two computations of a server's quotas
+MIN_ARRIVALS = 6.0  # decayed count of arrivals below which all slots stay in the pool
+MAX_RESERVE_STEPS = 32  # steps in which reserves are enumerated; with more slots a step is several of them
+MAX_CACHED_QUOTAS = 256
+TENANT_BURST_S = 5.0  # by which a tenant may be ahead of its configured rate
+TENANT_BURST_SESSIONS = 3.0  # and by so many sessions more: one front sees few of them, at random times
+ARRIVAL_WINDOW_MS = 60000.0  # one of many fronts sees only a few arrivals in a minute
+EWMA_WEIGHT = 0.1  # of the newest value in running means of set-up times, session lengths and worths
+INITIAL_SESSION_MS = 40000.0  # mean session length until one has ended; it only scales the quotas
+TARGET_USE = 1.0  # part of a link or uplink to use; rungs are raised below it and lowered above it
+FULL_USE_MARGIN = 0.92  # of the link use at which a server refuses set-ups
+INITIAL_USE = 0.75  # of the fleet until the first report, so that a new front fills servers cautiously
+INITIAL_USE_DEVIATION = 0.2  # of that use between servers
+REPORT_FADE_MS = 30000.0  # in which a report loses its weight: most of a session's length
+MIN_ESTIMATED_ROOM = 0.1  # of an uplink that is only estimated: a front without sessions gets no reports
+REPORT_WEIGHT = 0.6  # of the newest report against the older ones, because reports are noisy
+REPORT_STALE_MS = 10000.0  # age from which a report causes no change of rungs
+CONTROL_PERIOD_MS = 500.0
+LOWER_ABOVE = 1.05  # use over target at which rungs are lowered; reports vary by a few per cent
+RAISE_BELOW = 0.9  # part of the target that raised rungs may fill: room for arrivals, and hysteresis
+SHORTFALL_HOLD_MS = 2500.0  # a reported shortfall holds so long: two periods of its reports and their delay
+SHORTFALL_SHARE = 0.98  # delivered share below which a session loses worth
+EXPLAINED = 0.9  # reported use times delivered share from which the use explains the shortfall
+LIMIT_GROWTH = 0.01  # of an estimated limit in each control period in which it binds
+MAX_STEP_BIAS = 2.0  # for sessions off the common price level when all have to change
+MAX_LIMIT_OVER_USE = 1.2  # an estimated limit far above the own use has not been tested
+RAISE_DWELL = 20.0  # switch costs that a rung must last before it is raised, to repay the switch
+LOWER_DWELL_MS = 4000.0  # in which a report can show the effect of the last lowering
+EJECTION_SCORE = 1.5  # failure score at which a server is ejected: two failures nearly in a row
+MAX_SCORE_FOR_PAID = 0.5  # failure score above which a server gets no paid session
+BACKOFF_MS = 1500.0  # first ejection; doubles up to the maximum
+MAX_BACKOFF_MS = 8000.0
+DOWN_OUTCOMES = (Outcome.CONNECT_FAILED, Outcome.RESET)  # the process is down: one ejects the server
+SUSPECT_OUTCOMES = (Outcome.TIMEOUT, Outcome.ERROR)  # each adds 1 to the failure score
+STALLED_SHARE = 0.15  # delivered share below which a server is taken to have stalled
+INITIAL_SET_UP_MS = 150.0  # mean set-up time until one is known
+TIMEOUT_DEVIATIONS = 4.0  # over the mean set-up time after which an attempt is cancelled
+MIN_ATTEMPT_MS = 120.0  # remaining time below which no further attempt is made
+COLD_GAP_MARGIN = 1.3  # gap between set-ups to a cold server, over the gap that it can take
+COLD_SURGE = 4.0  # growth of the request rate to allow for, as when viewers reconnect
+MAX_EXAMINED = 16  # servers examined for one request; if all are full or ejected, it may be refused
+
+
+def erlang_blocking(load: float, slots: int) -> list[float]:
+    """Blocking probabilities of M/M/n/n for n = 0..slots, by the Erlang B recurrence; `load` in erlangs."""
     blocking = [1.0]
     for n in range(1, slots + 1):
         b = load * blocking[-1]
@@ -70,21 +70,22 @@
     return blocking
 
 
-def best_split(slots: int, high: float, low: float, v_high: float, v_low: float) -> tuple[int, int]:
-    """The paper's Method II by enumeration: the reserves (premium, low) with the best pay-off.
+def best_reserves(slots: int, high: float, low: float, v_high: float, v_low: float) -> tuple[int, int]:
+    """The reserves (premium, low) with the highest pay-off by Method II of the paper, found by enumeration.
 
-    Loads are in erlangs, penalties the worths; by the carried load a(1 - B) no inner sums are needed. The
-    cost is that of the cube of the slots: where there are many, reserves are whole grains of slots (ours).
+    `high` and `low` are loads in erlangs, `v_high` and `v_low` worths, which are also the penalties. The
+    carried load a(1 - B) replaces the paper's inner sums. The cost grows with the cube of the slots, so with
+    many slots only multiples of a grain are tried, which the paper does not do.
     """
-    grain = -(-slots // QUOTA_GRAINS)
-    block_h, block_l = erlang(high, slots), erlang(low, slots)
+    grain = -(-slots // MAX_RESERVE_STEPS)
+    block_h, block_l = erlang_blocking(high, slots), erlang_blocking(low, slots)
     best, choice = float("-inf"), (0, 0)
     low_over = [low * block_l[n] for n in range(slots + 1)]
-    low_tables = [erlang(low_over[n], slots - n) for n in range(0, slots + 1, grain)]
+    low_tables = [erlang_blocking(low_over[n], slots - n) for n in range(0, slots + 1, grain)]
     for n_h in range(0, slots + 1, grain):
         over_h = high * block_h[n_h]
-        sub = erlang(over_h, slots // ALPHA)
-        gain = [over_h * ((1 - b) * (v_high - v_low) - b * v_high) for b in sub]
+        sub_rating = erlang_blocking(over_h, slots // ALPHA)
+        gain = [over_h * ((1 - b) * (v_high - v_low) - b * v_high) for b in sub_rating]
         gains = [gain[n // ALPHA] for n in range(slots, -1, -1)]
         terms = [1.0]
         for n in range(1, slots - n_h + 1):
@@ -93,793 +94,1009 @@
             pool = slots - n_h - n_l
             over_l, blocked = low_over[n_l] * v_low, low_tables[n_l // grain][pool::-1]
             weight = sum(terms[: pool + 1])
-            passed = list(map(mul, terms, blocked))  # n premium sessions there, and the low ones blocked
+            passed = list(map(mul, terms, blocked))  # n premium sessions in the pool, and low ones blocked
             value = sum(map(mul, passed, gains[slots - pool :])) - 2 * over_l * sum(passed)
-            pay = (value + v_high * over_h * sum(terms[:pool])) / weight + over_l
-            pay += high * (1 - block_h[n_h]) * v_high + low * (1 - block_l[n_l]) * v_low
-            if pay > best + 1e-9:
-                best, choice = pay, (n_h, n_l)
+            pay_off = (value + v_high * over_h * sum(terms[:pool])) / weight + over_l
+            pay_off += high * (1 - block_h[n_h]) * v_high + low * (1 - block_l[n_l]) * v_low
+            if pay_off > best + 1e-9:
+                best, choice = pay_off, (n_h, n_l)
     return choice
 
 
-class Plan:
-    """What a kind of session asks at each price of worth a kB: the highest rung whose last step earns it."""
+class DemandCurve:
+    """The rung that sessions of a class take at each price (worth for a kB/s): the highest that earns it."""
 
-    def __init__(self, cls: i.SessionClass, worth: float, top: int, settings: i.Settings) -> None:
+    def __init__(
+        self, cls: interface.SessionClass, worth: float, top: int, settings: interface.Settings
+    ) -> None:
         self.floor = cls.floor
         self.top = max(cls.floor, min(top, cls.top, len(settings.ladder_kb) - 1))
         self.worth = worth
-        self.kb = [rate * cls.scale for rate in settings.ladder_kb]
-        self.rungs, self.rates = list[int](), list[float]()  # at each level
-        self.prices: list[float] = []  # of the step onto each rung above the floor, falling
+        self.kb = [rate * cls.scale for rate in settings.ladder_kb]  # of each rung
+        self.rungs, self.rates = list[int](), list[float]()  # at each price level
+        self.prices: list[float] = []  # of the step to each rung above the floor, falling
         for r in range(self.floor + 1, self.top + 1):
             gain = worth * (settings.ladder_worth[r] - settings.ladder_worth[r - 1])
             self.prices.append(gain / max(1e-9, self.kb[r] - self.kb[r - 1]))
-        self.prices = [
-            max(self.prices[n:]) for n in range(len(self.prices))
-        ]  # no dear step behind a poor one
-
-
-class Pipe:
-    """A server's link or a rack's uplink: what it gives, what this front asks of it, and the rest."""
-
-    def __init__(self, cap: float, levels: int, usual: list[float], target: float = TARGET) -> None:
-        self.cap, self.target = cap, target
-        self.usual = usual  # lately asked by others of such pipes, over the span: shared by all of a kind
-        self.told = True  # what is asked of it in all; else the links of its rack are samples
-        self.span = cap  # what a use of 1 means; for an untold uplink the links of its rack
-        self.own = 0.0
-        self.want = [0.0] * levels  # own sessions' rates at each price level
-        self.past = deque[tuple[float, float]](maxlen=256)  # (time, own use up to then): reports are late
-        self.others = 0.0
-        self.base = 0.0  # own use that the last report of this pipe knew of
-        self.limit = 0.0  # of own use, where what is asked in all is not told
-        self.short_at = float("-inf")  # last found short though its told use does not explain it
-        self.heard_at = float("-inf")
-
-    def change(self, now: float, kb: float) -> None:
-        self.past.append((now, self.own))
-        self.own = max(0.0, self.own + kb)
-
-    def hear(self, now: float, total: float, lag: float, weight: float = SMOOTH) -> None:  # as of `lag` ago
-        old = self.unowned(now)
-        self.base = next((own for at, own in self.past if at > now - lag), self.own)
-        others = max(0.0, total - self.base)
-        if self.told and others > old + self.usual[2] * self.span:  # over the usual jump: believed at once
-            weight = 1.0
-        if self.told:
-            self.usual[3] = now
-            off, jump = others / self.span - self.usual[0], abs(others - self.others) / self.span
-            self.usual[0] += GAIN * off
-            self.usual[1] += GAIN * (abs(off) - self.usual[1])
-            if now - self.heard_at < STALE_MS:
-                self.usual[2] += GAIN * (jump - self.usual[2])
-        self.others = others if self.heard_at == float("-inf") else weight * others + (1 - weight) * old
-        self.heard_at = now
-
-    def unowned(self, now: float) -> float:  # the last report, fading with its age to what is usual elsewhere
-        kept = max(0.0, 1 - (now - self.heard_at) / FADE_MS)
-        usual = self.usual[0] if now - self.usual[3] < FADE_MS else min(FIRST_USE, self.usual[0])
-        return kept * self.others + (1 - kept) * usual * self.span
+        # A step that earns more than the one below it must not be cut off by that one.
+        self.prices = [max(self.prices[n:]) for n in range(len(self.prices))]
+
+
+class Link:
+    """A server's link or a rack's uplink: its capacity, this front's use and the estimated use by others."""
+
+    def __init__(
+        self, capacity_kb: float, levels: int, fleet_use: list[float], target_use: float = TARGET_USE
+    ) -> None:
+        self.capacity_kb, self.target_use = capacity_kb, target_use
+        # Others' use of all links of the kind, shared: mean, deviation, mean jump, time of the last report.
+        self.fleet_use = fleet_use
+        self.is_reported = True  # whether reports give its total use; else the links of its rack are samples
+        self.full_use_kb = capacity_kb  # at a use of 1; without reports, that of all links of its rack
+        self.own_kb = 0.0
+        self.loads_kb = [0.0] * levels  # rates of this front's sessions at each price level
+        # (time of a change, own use before it): reports are late.
+        self.own_history = deque[tuple[float, float]](maxlen=256)
+        self.others_kb = 0.0
+        self.reported_own_kb = 0.0  # own use that the last report includes
+        self.own_limit_kb = 0.0  # of own use, where reports do not give the total use
+        self.shortfall_at = float("-inf")  # last shortfall that the reported use does not explain
+        self.reported_at = float("-inf")
+
+    def change_own(self, now: float, kb: float) -> None:
+        """Adds `kb` to this front's use."""
+        self.own_history.append((now, self.own_kb))
+        self.own_kb = max(0.0, self.own_kb + kb)
+
+    def record_use(self, now: float, total_kb: float, age_ms: float, weight: float = REPORT_WEIGHT) -> None:
+        """Takes a report of the total use, as it was `age_ms` ago, less the own use at that time."""
+        previous = self.others_use(now)
+        self.reported_own_kb = next((own for at, own in self.own_history if at > now - age_ms), self.own_kb)
+        others = max(0.0, total_kb - self.reported_own_kb)
+        if self.is_reported and others > previous + self.fleet_use[2] * self.full_use_kb:
+            weight = 1.0  # a rise above the usual jump is not noise, so it is not smoothed
+        if self.is_reported:
+            self.fleet_use[3] = now
+            error, jump = (
+                others / self.full_use_kb - self.fleet_use[0],
+                abs(others - self.others_kb) / self.full_use_kb,
+            )
+            self.fleet_use[0] += EWMA_WEIGHT * error
+            self.fleet_use[1] += EWMA_WEIGHT * (abs(error) - self.fleet_use[1])
+            if now - self.reported_at < REPORT_STALE_MS:
+                self.fleet_use[2] += EWMA_WEIGHT * (jump - self.fleet_use[2])
+        self.others_kb = (
+            others if self.reported_at == float("-inf") else weight * others + (1 - weight) * previous
+        )
+        self.reported_at = now
+
+    def others_use(self, now: float) -> float:
+        """Use by other fronts: the last report, which the mean of the fleet replaces as it ages."""
+        kept = max(0.0, 1 - (now - self.reported_at) / REPORT_FADE_MS)
+        mean = (
+            self.fleet_use[0]
+            if now - self.fleet_use[3] < REPORT_FADE_MS
+            else min(INITIAL_USE, self.fleet_use[0])
+        )
+        return kept * self.others_kb + (1 - kept) * mean * self.full_use_kb
 
     def room(self, now: float) -> float:
-        asked = self.own + self.unowned(now)
-        # A guess alone refuses nobody.
-        room = max(self.target * self.cap - asked, -9e99 if self.told else GUESS_ROOM * self.cap)
-        return room if self.told or not self.own else min(room, asked * (self.limit / self.own - 1))
+        """Rate that may be added, negative if the use exceeds the target."""
+        use = self.own_kb + self.others_use(now)
+        # An estimate alone must not refuse sessions.
+        room = max(
+            self.target_use * self.capacity_kb - use,
+            -9e99 if self.is_reported else MIN_ESTIMATED_ROOM * self.capacity_kb,
+        )
+        return (
+            room
+            if self.is_reported or not self.own_kb
+            else min(room, use * (self.own_limit_kb / self.own_kb - 1))
+        )
+
+    def uncertainty(self, now: float) -> float:
+        """By how much the use may exceed the estimate: the usual jump, and more as the report ages."""
+        age = min(1.0, (now - self.reported_at) / REPORT_FADE_MS)
+        return (self.fleet_use[2] + age * self.fleet_use[1]) * self.full_use_kb * self.is_reported
 
-    def doubt(self, now: float) -> float:  # how far use may lie over it: what it jumps by, more with its age
-        age = min(1.0, (now - self.heard_at) / FADE_MS)
-        return (self.usual[2] + age * self.usual[1]) * self.span * self.told
+    def has_usual_room(self, now: float) -> bool:
+        """Whether it has the room that is assumed of a link without reports, less the deviation."""
+        return self.room(now) >= (self.target_use - self.fleet_use[0] - self.fleet_use[1]) * self.capacity_kb
 
-    def usual_room(
-        self, now: float
-    ) -> bool:  # as much as one that is not seen is taken to have, less the spread
-        return self.room(now) >= (self.target - self.usual[0] - self.usual[1]) * self.cap
+    def headroom(self, margin_kb: float = 0.0) -> float:
+        """The target, less a margin, over the total use at the last report."""
+        return max(0.0, self.target_use * self.capacity_kb - margin_kb) / max(
+            1.0, self.others_kb + self.reported_own_kb
+        )
 
-    def fit(self, less: float = 0.0) -> float:
-        """What it may be asked over what it was asked by the last report."""
-        return max(0.0, self.target * self.cap - less) / max(1.0, self.others + self.base)
 
+class MediaServer:
+    """A listed server, or one with sessions that is not listed any more."""
 
-class Box:
-    def __init__(self, told: i.Server, link: Pipe, uplink: Pipe | None, now: float) -> None:
-        self.told, self.link, self.uplink = told, link, uplink
-        self.pipes = [link] if uplink is None else [link, uplink]
+    def __init__(self, entry: interface.Server, link: Link, uplink: Link | None, now: float) -> None:
+        self.entry, self.link, self.uplink = entry, link, uplink
+        self.links = [link] if uplink is None else [link, uplink]
         self.sessions: dict[int, Session] = {}
-        self.quota, self.quota_at, self.slot_kb = (0, 0), now, 1.0
-        self.dice = 0.5  # of the last report: rounds this front's part of a change to whole steps
-        self.share, self.share_at = 1.0, float("-inf")  # last told share of the rates delivered
-        self.evidence, self.barred_until, self.backoff = 0.0, float("-inf"), BACKOFF_MS
-        self.failed_at = self.cold_until = self.cold_sent = float("-inf")
+        self.quota, self.quota_due_at, self.slot_kb = (0, 0), now, 1.0  # slots reserved: premium, low
+        # Random, drawn with each report; rounds this front's share of a change to whole rungs.
+        self.rounding_draw = 0.5
+        self.delivered_share, self.delivered_share_at = 1.0, float("-inf")  # last reported, of the rates
+        self.failure_score, self.ejected_until, self.backoff_ms = 0.0, float("-inf"), BACKOFF_MS
+        self.failed_at = self.cold_until = self.last_set_up_at = float("-inf")
 
 
 class Session:
-    def __init__(self, told: i.NewSession, cls: i.SessionClass, plan: Plan, now: float) -> None:
-        self.told, self.cls, self.plan, self.advice = told, cls, plan, told.advice
-        self.deadline, self.started, self.changed_at = now + told.left_ms, now, float("-inf")
-        self.premium = self.playing = self.gone = self.maybe_ran = self.settled = False
+    """A session from its request until its final answer, or until the end of its last attempt is reported."""
+
+    def __init__(
+        self, request: interface.NewSession, cls: interface.SessionClass, demand: DemandCurve, now: float
+    ) -> None:
+        self.request, self.cls, self.demand, self.advice = request, cls, demand, request.advice
+        self.deadline, self.started_at, self.rung_changed_at = now + request.left_ms, now, float("-inf")
+        self.premium = self.playing = self.viewer_gone = self.maybe_ran = self.rung_adjusted = False
         self.paid = cls.repeat != Repeat.SAFE
-        self.box: Box | None = None
-        self.rung, self.kb = plan.floor, 0.0
-        self.part = ""  # its reserve or pool
+        self.assigned_server: MediaServer | None = None
+        self.rung, self.kb = demand.floor, 0.0
+        self.allocation = ""  # "reserve" or "pool"
         self.sub_rated_from: int | None = None
-        self.was_sub_rated = False  # only once in its life
+        self.was_sub_rated = False  # a session is sub-rated only once
         self.attempts, self.tried = 0, list[int]()
-        self.erred = list[Box]()  # servers that answered it with an error
+        self.error_servers = list[MediaServer]()  # that answered its set-up with an error
 
 
 class Front:
-    def __init__(self, settings: i.Settings, seed: int) -> None:
+    """The decision module of one front. Reasons of decisions are added to `why`, unless it is None."""
+
+    def __init__(self, settings: interface.Settings, seed: int) -> None:
         self.settings, self.random, self.now = settings, Random(seed), 0.0
-        self.untold = "x1" not in settings.report_fields  # what is asked of uplinks
-        self.out: list[i.Action] = []
-        self.why: list[i.Reason] | None = None  # reasons are kept only where somebody asks for them
-        self.boxes: dict[int, Box] = {}
-        self.order: list[Box] = []  # the same, to draw from
-        self.by_cell: dict[int, list[Box]] = {}
-        self.held: dict[Box, None] = {}  # those with own sessions: nothing else is walked
-        first = FIRST_USE * (settings.fronts - 1) / settings.fronts
-        self.usual = (
-            [first, SPREAD, 0.0, 0.0],
-            [first, SPREAD, 0.0, 0.0],
-        )  # of links, of uplinks: use by others
+        self.uplinks_estimated = "x1" not in settings.report_fields  # their use is not reported
+        self.actions: list[interface.Action] = []
+        self.why: list[interface.Reason] | None = None
+        self.tracked_servers: dict[int, MediaServer] = {}
+        self.server_list: list[MediaServer] = []  # the same, for random draws
+        self.servers_by_cell: dict[int, list[MediaServer]] = {}
+        self.servers_in_use: dict[MediaServer, None] = {}  # with own sessions; no loop visits all servers
+        first = INITIAL_USE * (settings.fronts - 1) / settings.fronts
+        # Of links and of uplinks; see `Link.fleet_use`.
+        self.fleet_use = ([first, INITIAL_USE_DEVIATION, 0.0, 0.0], [first, INITIAL_USE_DEVIATION, 0.0, 0.0])
         self.sessions: dict[int, Session] = {}
-        self.seats = Counter[tuple[int, int]]()
-        self.born: float | None = None
+        self.seats_taken = Counter[tuple[int, int]]()  # by class and title
+        self.first_call_at: float | None = None
         self.list_fresh = False
-        self.cheapest = min(c.worth for c in settings.classes)
-        self.counts, self.counted_at = [0.0, 0.0], 0.0  # decayed arrivals: low, premium
-        self.worths = [self.cheapest, self.cheapest]
-        self.length_ms, self.ends = FIRST_LENGTH_MS, 0
-        self.own, self.own_high, self.links = 0.0, 0.0, 0.0  # kB: own sessions, the premium ones, all links
-        self.seen_ms = 0.0  # time that the counts stand for
-        self.set_up_ms, self.set_up_spread = FIRST_SET_UP_MS, FIRST_SET_UP_MS / 2
-        self.splits: dict[tuple[int, int, int], tuple[int, int]] = {}
-        self.taken, self.retried = deque[float](maxlen=9999), deque[float](maxlen=9999)  # requests, retries
-        self.tenant_room: dict[int, tuple[float, float]] = {}
-        self.plans: dict[tuple[int, int, int], Plan] = {}
+        self.lowest_worth = min(c.worth for c in settings.classes)
+        self.arrivals, self.arrivals_at = [0.0, 0.0], 0.0  # decayed counts: low, premium
+        self.mean_worths = [self.lowest_worth, self.lowest_worth]  # low, premium
+        self.mean_session_ms, self.sessions_ended = INITIAL_SESSION_MS, 0
+        self.own_kb, self.own_premium_kb, self.all_links_kb = 0.0, 0.0, 0.0
+        self.observed_ms = 0.0  # time that `arrivals` stand for
+        self.mean_set_up_ms, self.set_up_deviation_ms = INITIAL_SET_UP_MS, INITIAL_SET_UP_MS / 2
+        self.cached_quotas: dict[tuple[int, int, int], tuple[int, int]] = {}  # by slots and loads
+        self.request_times, self.retry_times = deque[float](maxlen=9999), deque[float](maxlen=9999)
+        self.tenant_tokens: dict[int, tuple[float, float]] = {}  # tokens and time of update
+        self.demands: dict[tuple[int, int, int], DemandCurve] = {}
         for n, cls in enumerate(settings.classes):
-            for over, part in enumerate((1.0, settings.over_share_worth)):
+            for over, factor in enumerate((1.0, settings.over_share_worth)):
                 for top in range(len(settings.ladder_kb)):
-                    self.plans[n, over, top] = Plan(cls, cls.worth * part, top, settings)
-        self.acts: dict[type, Callable[[Any], None]] = {
-            i.NewSession: self.on_new,
-            i.AdviceChanged: self.on_advised,
-            i.FleetChanged: self.on_fleet,
-            i.Note: self.on_note,
-            i.Playing: self.on_playing,
-            i.AttemptEnded: self.on_ended,
-            i.HandedOver: self.on_handed_over,
-            i.LearnedState: self.on_memory,
-            i.ViewerGone: self.on_viewer_gone,
-            i.TimerDue: self.on_tick,
+                    self.demands[n, over, top] = DemandCurve(cls, cls.worth * factor, top, settings)
+        self.handlers: dict[type, Callable[[Any], None]] = {
+            interface.NewSession: self.on_new_session,
+            interface.AdviceChanged: self.on_advice_changed,
+            interface.FleetChanged: self.on_fleet_changed,
+            interface.Note: self.on_note,
+            interface.Playing: self.on_playing,
+            interface.AttemptEnded: self.on_attempt_ended,
+            interface.HandedOver: self.on_handed_over,
+            interface.LearnedState: self.on_learned_state,
+            interface.ViewerGone: self.on_viewer_gone,
+            interface.TimerDue: self.on_timer_due,
         }
-        prices = {0.0, *(p for plan in self.plans.values() for p in plan.prices)}
-        self.levels = [p * (1 + 1e-9) for p in sorted(prices)]
-        for plan in self.plans.values():
-            plan.rungs = [plan.floor + sum(p >= level for p in plan.prices) for level in self.levels]
-            plan.rates = [plan.kb[r] for r in plan.rungs]
-        self.racks: dict[int, Pipe] = {}
+        prices = {0.0, *(p for demand in self.demands.values() for p in demand.prices)}
+        self.price_levels = [p * (1 + 1e-9) for p in sorted(prices)]
+        for demand in self.demands.values():
+            demand.rungs = [
+                demand.floor + sum(p >= level for p in demand.prices) for level in self.price_levels
+            ]
+            demand.rates = [demand.kb[r] for r in demand.rungs]
+        self.uplinks: dict[int, Link] = {}  # by rack
         for n in range(settings.racks if settings.uplink_kb else 0):
-            up = self.racks[n] = Pipe(settings.uplink_kb, len(self.levels), self.usual[not self.untold])
-            up.told, up.span, up.limit = (
-                not self.untold,
-                up.span * (not self.untold),
-                up.cap / settings.fronts,
+            up = self.uplinks[n] = Link(
+                settings.uplink_kb, len(self.price_levels), self.fleet_use[not self.uplinks_estimated]
             )
-        self.want = [0.0] * len(self.levels)  # of all own sessions: a sample of everybody's
-
-    def handle(self, now: float, events: list[i.Event]) -> list[i.Action]:
-        self.now, self.out = now, []
-        if self.born is None:
-            self.born = self.counted_at = now
-            self.out.append(i.SetTimer(0, TICK_MS))
-            self.out += [i.Subscribe(True)] * self.settings.subscribes
-        for event in events:  # what is told of the servers binds all that is decided in this batch
-            if isinstance(event, i.ServerList):
-                self.on_list(event)
+            up.is_reported, up.full_use_kb, up.own_limit_kb = (
+                not self.uplinks_estimated,
+                up.full_use_kb * (not self.uplinks_estimated),
+                up.capacity_kb / settings.fronts,
+            )
+        # Of all own sessions, which are a sample of the sessions of all fronts.
+        self.loads_kb = [0.0] * len(self.price_levels)
+
+    def handle(self, now: float, events: list[interface.Event]) -> list[interface.Action]:
+        """Decides on events that happened up to `now`. The first call starts the control timer."""
+        self.now, self.actions = now, []
+        if self.first_call_at is None:
+            self.first_call_at = self.arrivals_at = now
+            self.actions.append(interface.SetTimer(0, CONTROL_PERIOD_MS))
+            self.actions += [interface.Subscribe(True)] * self.settings.subscribes
+        for event in events:  # a server list holds for all decisions of its batch
+            if isinstance(event, interface.ServerList):
+                self.on_server_list(event)
         for event in events:
-            if act := self.acts.get(type(event)):
+            if act := self.handlers.get(type(event)):
                 act(event)
-        return self.out
+        return self.actions
 
-    def tell(self, s: Session, box: Box | None, because: ReasonCode, value: float = 0.0) -> None:
+    def explain(
+        self, session: Session, server: MediaServer | None, code: interface.ReasonCode, value: float = 0.0
+    ) -> None:
+        """Adds a reason to `why`, if reasons are collected."""
         if self.why is not None:
-            age = self.now - box.link.heard_at if box else 0.0
-            self.why.append(i.Reason(s.told.id, box.told.id if box else 0, because, value, age))
+            age_ms = self.now - server.link.reported_at if server else 0.0
+            self.why.append(
+                interface.Reason(session.request.id, server.entry.id if server else 0, code, value, age_ms)
+            )
 
-    def on_list(self, event: i.ServerList) -> None:
-        if event.kind == i.ListKind.FAILED:
-            self.out.append(i.Subscribe(True))
+    def on_server_list(self, event: interface.ServerList) -> None:
+        """Tracks the listed servers. A restart resets a server's health, a move to another cell all its state."""
+        if event.kind == interface.ListKind.FAILED:
+            self.actions.append(interface.Subscribe(True))
             return
-        self.list_fresh |= event.kind != i.ListKind.CACHED
-        if event.kind != i.ListKind.CHANGES:
-            named = {s.id for s in event.servers}
-            for ref in [n for n in self.boxes if n not in named]:
-                self.enlist(self.boxes.pop(ref), -1)
-        size = [self.places(s) for s in event.servers] + [self.places(b.told) for b in self.order]
-        mean_places = sum(size) / max(1, len(size))
-        for told in event.servers:
-            known = self.boxes.get(told.id)
-            if known and told.state != ServerState.GONE and told.cell == known.told.cell:
-                if told.ready_at != known.told.ready_at:
-                    known.evidence, known.backoff = 0.0, BACKOFF_MS
-                    known.barred_until = known.failed_at = float("-inf")
-                known.told = told
+        self.list_fresh |= event.kind != interface.ListKind.CACHED
+        if event.kind != interface.ListKind.CHANGES:
+            listed = {s.id for s in event.servers}
+            for number in [n for n in self.tracked_servers if n not in listed]:
+                self.index_server(self.tracked_servers.pop(number), -1)
+        sizes = [self.server_places(s) for s in event.servers] + [
+            self.server_places(s.entry) for s in self.server_list
+        ]
+        mean_places = sum(sizes) / max(1, len(sizes))
+        for entry in event.servers:
+            known = self.tracked_servers.get(entry.id)
+            if known and entry.state != ServerState.GONE and entry.cell == known.entry.cell:
+                if entry.ready_at != known.entry.ready_at:  # it has restarted
+                    known.failure_score, known.backoff_ms = 0.0, BACKOFF_MS
+                    known.ejected_until = known.failed_at = float("-inf")
+                known.entry = entry
                 continue
-            if known:
-                self.enlist(self.boxes.pop(told.id), -1)  # its sessions are kept until their end is reported
-            if told.state != ServerState.GONE:
-                self.boxes[told.id] = self.new_box(told, mean_places)
-                self.enlist(self.boxes[told.id], 1)
-
-    def enlist(self, box: Box, sign: int) -> None:
-        for group in (self.order, self.by_cell.setdefault(box.told.cell, [])):
-            (group.append if sign > 0 else group.remove)(box)
-        self.links += sign * box.link.cap
-        if box.uplink:
-            box.uplink.span += sign * box.link.cap * self.untold
-
-    def places(self, told: i.Server) -> int:
+            if known:  # its sessions are kept until their ends are reported
+                self.index_server(self.tracked_servers.pop(entry.id), -1)
+            if entry.state != ServerState.GONE:
+                self.tracked_servers[entry.id] = self.track_server(entry, mean_places)
+                self.index_server(self.tracked_servers[entry.id], 1)
+
+    def index_server(self, server: MediaServer, sign: int) -> None:
+        """Adds (`sign` 1) or removes (-1) a server from the tables for random draws and the sums of links."""
+        for group in (self.server_list, self.servers_by_cell.setdefault(server.entry.cell, [])):
+            (group.append if sign > 0 else group.remove)(server)
+        self.all_links_kb += sign * server.link.capacity_kb
+        if server.uplink:
+            server.uplink.full_use_kb += sign * server.link.capacity_kb * self.uplinks_estimated
+
+    def server_places(self, entry: interface.Server) -> int:
+        """Streams that a server of its kind may run; of an unknown kind, as of the smallest."""
         table = self.settings.places_by_kind
-        return table[told.kind] if told.kind < len(table) else max(1, min(table))
+        return table[entry.kind] if entry.kind < len(table) else max(1, min(table))
 
-    def new_box(self, told: i.Server, mean_places: float) -> Box:
-        size = told.weight if self.settings.weights_are_sizes else self.places(told) / mean_places
-        most = min(TARGET, FULL_BELOW * self.settings.full_from or TARGET)
+    def track_server(self, entry: interface.Server, mean_places: float) -> MediaServer:
+        """A server without sessions, with a link of the size that its weight or its kind gives."""
+        size = entry.weight if self.settings.weights_are_sizes else self.server_places(entry) / mean_places
+        target_use = min(TARGET_USE, FULL_USE_MARGIN * self.settings.full_from or TARGET_USE)
         link_kb = max(1.0, self.settings.link_kb_per_weight * size)
-        link = Pipe(link_kb, len(self.levels), self.usual[0], most)
-        uplink = self.racks.get(told.cell % max(1, self.settings.racks))
-        return Box(told, link, uplink, self.now + self.random.random() * QUOTA_PERIOD_MS)
-
-    def on_new(self, told: i.NewSession) -> None:
-        s = self.session(told, self.over_share(told.tenant))
-        self.taken.append(self.now - told.waited_ms)
-        self.counts[s.premium] += 1.0
-        self.worths[s.premium] += GAIN * (s.plan.worth - self.worths[s.premium])
-        s.maybe_ran = told.maybe_ran
-        over = (s.maybe_ran and s.paid) or (told.advice.refuse and not told.moved)
-        (self.give_up if over else self.place)(s)
-
-    def memory(self) -> i.LearnedState:
-        """What this front has learned and would not like to learn again."""
+        link = Link(link_kb, len(self.price_levels), self.fleet_use[0], target_use)
+        uplink = self.uplinks.get(entry.cell % max(1, self.settings.racks))
+        return MediaServer(entry, link, uplink, self.now + self.random.random() * QUOTA_PERIOD_MS)
+
+    def on_new_session(self, event: interface.NewSession) -> None:
+        """Places a session or rejects it at once, if a paid one may have run or advice refuses it."""
+        session = self.add_session(event, self.exceeds_tenant_rate(event.tenant))
+        self.request_times.append(self.now - event.waited_ms)
+        self.arrivals[session.premium] += 1.0
+        self.mean_worths[session.premium] += EWMA_WEIGHT * (
+            session.demand.worth - self.mean_worths[session.premium]
+        )
+        session.maybe_ran = event.maybe_ran
+        rejected = (session.maybe_ran and session.paid) or (event.advice.refuse and not event.moved)
+        (self.reject_session if rejected else self.place_session)(session)
+
+    def memory(self) -> interface.LearnedState:
+        """What this front knows of the servers and their sessions, for a successor or its own restart."""
         servers = tuple(
-            i.LearnedServerState(
-                b.told.id,
-                b.told.ready_at,
-                b.evidence,
-                b.barred_until,
-                b.failed_at,
-                b.link.others,
-                b.link.heard_at,
+            interface.LearnedServerState(
+                s.entry.id,
+                s.entry.ready_at,
+                s.failure_score,
+                s.ejected_until,
+                s.failed_at,
+                s.link.others_kb,
+                s.link.reported_at,
             )
-            for b in self.order
+            for s in self.server_list
         )
-        return i.LearnedState(
-            self.now, self.length_ms, self.ends, self.set_up_ms, self.set_up_spread, servers
+        return interface.LearnedState(
+            self.now,
+            self.mean_session_ms,
+            self.sessions_ended,
+            self.mean_set_up_ms,
+            self.set_up_deviation_ms,
+            servers,
         )
 
-    def on_memory(self, event: i.LearnedState) -> None:
-        """Reports fade by their own times; of a server that has started anew since, nothing holds."""
-        kept = max(0.0, 1 - (self.now - event.recorded_at) / RATE_WINDOW_MS)
-        self.length_ms, self.ends = event.mean_session_ms, event.sessions_ended
-        self.set_up_ms, self.set_up_spread = event.mean_set_up_ms, event.set_up_deviation_ms
-        for old in event.servers:
-            box = self.boxes.get(old.server)
-            if box and box.told.ready_at == old.ready_at:
-                box.evidence, box.barred_until, box.failed_at = (
-                    kept * old.failure_score,
-                    old.ejected_until,
-                    old.failed_at,
+    def on_learned_state(self, event: interface.LearnedState) -> None:
+        """Takes over learned state, but not of servers that have restarted. Link reports keep their times."""
+        kept = max(0.0, 1 - (self.now - event.recorded_at) / ARRIVAL_WINDOW_MS)
+        self.mean_session_ms, self.sessions_ended = event.mean_session_ms, event.sessions_ended
+        self.mean_set_up_ms, self.set_up_deviation_ms = event.mean_set_up_ms, event.set_up_deviation_ms
+        for learned in event.servers:
+            server = self.tracked_servers.get(learned.server)
+            if server and server.entry.ready_at == learned.ready_at:
+                server.failure_score, server.ejected_until, server.failed_at = (
+                    kept * learned.failure_score,
+                    learned.ejected_until,
+                    learned.failed_at,
                 )
-                if old.updated_at > box.link.heard_at:
-                    box.link.others, box.link.heard_at = old.other_fronts_kb, old.updated_at
-
-    def on_advised(self, event: i.AdviceChanged) -> None:
-        """Other advice from now on; a session that plays over its cap comes down, never under its floor."""
-        s = self.sessions.get(event.id)
-        if s is None:
+                if learned.updated_at > server.link.reported_at:
+                    server.link.others_kb, server.link.reported_at = (
+                        learned.other_fronts_kb,
+                        learned.updated_at,
+                    )
+
+    def on_advice_changed(self, event: interface.AdviceChanged) -> None:
+        """A session that plays above the new cap is lowered to it, but never below its floor."""
+        session = self.sessions.get(event.id)
+        if session is None:
             return
-        s.advice, box, over = event.advice, s.box, s.plan.worth < s.cls.worth
-        self.detach(s)
-        s.plan = self.plans[s.told.cls, over, self.top(s.told, s.advice)]
-        if box:
-            self.attach(s, box)
-            if s.playing and s.rung > s.plan.top:
-                self.set_rung(s, s.plan.top)
-            if event.advice.move and s.playing and not s.paid:
-                self.out.append(i.Move(s.told.id))
-
-    def on_fleet(self, event: i.FleetChanged) -> None:
-        """Shares of quotas, cold pace and uplinks are of so many fronts from now on."""
+        session.advice, server, over = (
+            event.advice,
+            session.assigned_server,
+            session.demand.worth < session.cls.worth,
+        )
+        self.detach_session(session)
+        session.demand = self.demands[
+            session.request.cls, over, self.top_rung(session.request, session.advice)
+        ]
+        if server:
+            self.attach_session(session, server)
+            if session.playing and session.rung > session.demand.top:
+                self.set_rung(session, session.demand.top)
+            if event.advice.move and session.playing and not session.paid:
+                self.actions.append(interface.Move(session.request.id))
+
+    def on_fleet_changed(self, event: interface.FleetChanged) -> None:
+        """Quotas, slow starts and uplinks are divided by the new number of fronts."""
         if event.fronts >= 1:
             index = min(max(0, event.index), event.fronts - 1)
             self.settings = replace(self.settings, fronts=event.fronts, index=index)
 
-    def top(self, told: i.NewSession, advice: i.Advice) -> int:
-        return max(0, min(told.top, advice.cap, len(self.settings.ladder_kb) - 1))
-
-    def session(self, told: i.NewSession, over: bool) -> Session:
-        plan = self.plans[told.cls, over, self.top(told, told.advice)]
-        s = self.sessions[told.id] = Session(told, self.settings.classes[told.cls], plan, self.now)
-        s.premium = plan.worth > self.cheapest
-        return s
-
-    def over_share(self, tenant: int) -> bool:  # a bucket of this front's part of the told rate
-        told = self.settings.tenants[tenant : tenant + 1]
-        quota = sum(t.quota_per_s for t in told) / self.settings.fronts
-        if quota <= 0:
+    def top_rung(self, request: interface.NewSession, advice: interface.Advice) -> int:
+        """The highest rung that the viewer and the advice allow."""
+        return max(0, min(request.top, advice.cap, len(self.settings.ladder_kb) - 1))
+
+    def add_session(self, event: interface.NewSession, over: bool) -> Session:
+        """Registers a session. `over`: its tenant exceeds its rate, so it counts for less worth."""
+        demand = self.demands[event.cls, over, self.top_rung(event, event.advice)]
+        session = self.sessions[event.id] = Session(event, self.settings.classes[event.cls], demand, self.now)
+        session.premium = demand.worth > self.lowest_worth
+        return session
+
+    def exceeds_tenant_rate(self, tenant: int) -> bool:
+        """Takes a token from a bucket that fills at this front's share of the tenant's configured rate."""
+        tenants = self.settings.tenants[tenant : tenant + 1]
+        rate = sum(t.quota_per_s for t in tenants) / self.settings.fronts
+        if rate <= 0:
             return False
-        most = quota * QUOTA_BURST_S + QUOTA_CHANCE
-        room, at = self.tenant_room.get(tenant, (most, self.now))
-        room = min(most, room + quota * (self.now - at) / 1000)
-        over = room < 1
-        self.tenant_room[tenant] = (room if over else room - 1, self.now)
+        capacity = rate * TENANT_BURST_S + TENANT_BURST_SESSIONS
+        tokens, updated_at = self.tenant_tokens.get(tenant, (capacity, self.now))
+        tokens = min(capacity, tokens + rate * (self.now - updated_at) / 1000)
+        over = tokens < 1
+        self.tenant_tokens[tenant] = (tokens if over else tokens - 1, self.now)
         return over
 
-    def rate(self) -> float:  # own arrivals a millisecond; the counts fade
-        kept = max(0.0, 1 - (self.now - self.counted_at) / RATE_WINDOW_MS)
-        self.counts = [c * kept for c in self.counts]
-        self.seen_ms = kept * self.seen_ms + self.now - self.counted_at
-        self.counted_at = self.now
-        return max(1.0, sum(self.counts)) / max(1.0, self.settings.reports_every_ms, self.seen_ms)
-
-    def set_quota(self, box: Box) -> None:
-        """The reserves of a server by Method II; few counts or a fresh front: all in the pool."""
-        box.quota_at = self.now + QUOTA_PERIOD_MS
-        self.rate()
-        level, number = self.level(box, None), len(self.sessions)
-        usual = self.settings.ladder_kb[len(self.settings.ladder_kb) // 2]
-        box.slot_kb = max(1.0, self.want[level] / number if self.own and number else usual)
-        if sum(self.counts) < FEW_COUNTS or self.worths[1] <= self.worths[0]:
-            box.quota = (0, 0)
+    def arrival_rate(self) -> float:
+        """Arrivals at this front per millisecond, after decay of the counts."""
+        kept = max(0.0, 1 - (self.now - self.arrivals_at) / ARRIVAL_WINDOW_MS)
+        self.arrivals = [c * kept for c in self.arrivals]
+        self.observed_ms = kept * self.observed_ms + self.now - self.arrivals_at
+        self.arrivals_at = self.now
+        return max(1.0, sum(self.arrivals)) / max(1.0, self.settings.reports_every_ms, self.observed_ms)
+
+    def update_quota(self, server: MediaServer) -> None:
+        """Sets the reserves by Method II. With few arrivals, as on a new front, all slots are in the pool."""
+        server.quota_due_at = self.now + QUOTA_PERIOD_MS
+        self.arrival_rate()
+        level, number = self.price_level(server, None), len(self.sessions)
+        middle_kb = self.settings.ladder_kb[len(self.settings.ladder_kb) // 2]
+        server.slot_kb = max(1.0, self.loads_kb[level] / number if self.own_kb and number else middle_kb)
+        if sum(self.arrivals) < MIN_ARRIVALS or self.mean_worths[1] <= self.mean_worths[0]:
+            server.quota = (0, 0)
             return
-        servers = self.settings.fronts / max(1, len(self.boxes)) * self.length_ms / max(1.0, self.seen_ms)
-        slots = max(1, min(self.places(box.told), int(box.link.target * box.link.cap / box.slot_kb)))
-        key = (slots, round(self.counts[1] * servers * 2), round(self.counts[0] * servers * 2))
-        if key not in self.splits:
-            if len(self.splits) >= SPLITS_KEPT:  # for long: loads wander, and no table may grow with time
-                self.splits.clear()
-            self.splits[key] = best_split(slots, key[1] / 2, key[2] / 2, self.worths[1], self.worths[0])
-        box.quota = self.splits[key]
-
-    def room(self, box: Box) -> float:
-        return min(p.room(self.now) for p in box.pipes)
-
-    def level(self, box: Box, plan: Plan | None) -> int:
-        """The lowest price level at which all sessions there, taken to be as this front's, and `plan` fit."""
-        level, more = 0, plan.rates if plan else [0.0] * len(self.levels)
-        for pipe in box.pipes:
-            others = pipe.unowned(self.now) / self.own if self.own else 0.0
-            most, last = pipe.target * pipe.cap, len(self.levels) - 1
-            while level < last and pipe.want[level] + others * self.want[level] + more[level] > most:
+        # Of one server, for each counted arrival at this front: all fronts, and the mean session length.
+        erlangs = (
+            self.settings.fronts
+            / max(1, len(self.tracked_servers))
+            * self.mean_session_ms
+            / max(1.0, self.observed_ms)
+        )
+        slots = max(
+            1,
+            min(
+                self.server_places(server.entry),
+                int(server.link.target_use * server.link.capacity_kb / server.slot_kb),
+            ),
+        )
+        key = (slots, round(self.arrivals[1] * erlangs * 2), round(self.arrivals[0] * erlangs * 2))
+        if key not in self.cached_quotas:
+            if len(self.cached_quotas) >= MAX_CACHED_QUOTAS:  # loads vary, so it would grow without end
+                self.cached_quotas.clear()
+            self.cached_quotas[key] = best_reserves(
+                slots, key[1] / 2, key[2] / 2, self.mean_worths[1], self.mean_worths[0]
+            )
+        server.quota = self.cached_quotas[key]
+
+    def room(self, server: MediaServer) -> float:
+        """Rate that may be added to the server's link and uplink."""
+        return min(link.room(self.now) for link in server.links)
+
+    def price_level(self, server: MediaServer, demand: DemandCurve | None) -> int:
+        """The lowest price level at which `demand` and all sessions there fit into the links.
+
+        Sessions of other fronts are taken to have the same mix of demands as those of this front.
+        """
+        level, more = 0, demand.rates if demand else [0.0] * len(self.price_levels)
+        for link in server.links:
+            others = link.others_use(self.now) / self.own_kb if self.own_kb else 0.0
+            most, last = link.target_use * link.capacity_kb, len(self.price_levels) - 1
+            while level < last and link.loads_kb[level] + others * self.loads_kb[level] + more[level] > most:
                 level += 1
         return level
 
-    def place(self, s: Session) -> None:
-        """The ordinary path: two random holders, less loaded first; reserve, pool, sub-rating, refusal."""
-        if s.cls.seats and self.seats[s.told.cls, s.told.title] >= s.cls.seats:
-            self.tell(s, None, ReasonCode.NO_SEAT, s.cls.seats)
-            self.give_up(s)
+    def place_session(self, session: Session) -> None:
+        """Tries two servers, for a reserve or the pool, then by sub-rating; else the session is rejected."""
+        if (
+            session.cls.seats
+            and self.seats_taken[session.request.cls, session.request.title] >= session.cls.seats
+        ):
+            self.explain(session, None, interface.ReasonCode.NO_SEAT, session.cls.seats)
+            self.reject_session(session)
             return
-        # Where more requests may act on one report than fit, each does so with that probability.
-        period, fronts = self.settings.reports_every_ms or STALE_MS, self.settings.fronts
-        rivals = min(fronts, self.rate() * fronts * period / max(1, len(self.boxes)))
-        pair, luck = self.pick(s), self.random.random()
-        for box in pair:
-            doubt = max(p.doubt(self.now) for p in box.pipes)
-            best = min(s.plan.rungs[self.level(box, s.plan)], max(s.plan.floor, s.advice.start))
-            for rung in range(best, s.plan.floor - 1, -1):
-                kb = s.plan.kb[rung]
-                ask = kb + doubt if rung > s.plan.floor else max(kb, kb * luck * rivals)
-                if part := self.part(box, s.premium, ask):
-                    self.tell(s, box, ReasonCode[part.upper()], kb)
-                    self.send(s, box, rung, part)
+        # Where more requests may rely on one report than fit, each does so with the matching probability.
+        period_ms, fronts = self.settings.reports_every_ms or REPORT_STALE_MS, self.settings.fronts
+        competing = min(fronts, self.arrival_rate() * fronts * period_ms / max(1, len(self.tracked_servers)))
+        pair, draw = self.pick_servers(session), self.random.random()
+        for server in pair:
+            margin_kb = max(link.uncertainty(self.now) for link in server.links)
+            best = min(
+                session.demand.rungs[self.price_level(server, session.demand)],
+                max(session.demand.floor, session.advice.start),
+            )
+            for rung in range(best, session.demand.floor - 1, -1):
+                kb = session.demand.kb[rung]
+                needed_kb = kb + margin_kb if rung > session.demand.floor else max(kb, kb * draw * competing)
+                if allocation := self.find_allocation(server, session.premium, needed_kb):
+                    self.explain(session, server, interface.ReasonCode[allocation.upper()], kb)
+                    self.send_set_up(session, server, rung, allocation)
                     return
-            self.tell(s, box, ReasonCode.NO_ROOM, s.plan.kb[s.plan.floor])
-        for box in pair:
-            if s.premium and self.sub_rate(box, s):
-                self.tell(s, box, ReasonCode.SUB_RATED, s.plan.kb[s.plan.floor])
-                self.send(s, box, s.plan.floor, "pool")
+            self.explain(
+                session, server, interface.ReasonCode.NO_ROOM, session.demand.kb[session.demand.floor]
+            )
+        for server in pair:
+            if session.premium and self.sub_rate(server, session):
+                self.explain(
+                    session, server, interface.ReasonCode.SUB_RATED, session.demand.kb[session.demand.floor]
+                )
+                self.send_set_up(session, server, session.demand.floor, "pool")
                 return
-        self.give_up(s)
+        self.reject_session(session)
 
-    def part(self, box: Box, premium: bool, kb: float) -> str:
-        """Where a session of this rate may sit: its own reserve, else the pool, else nowhere."""
-        room = self.room(box)
-        if room < kb:
+    def find_allocation(self, server: MediaServer, premium: bool, kb: float) -> str:
+        """Where a session of this rate fits: "reserve" of its class, else "pool", else "" for nowhere."""
+        room_kb = self.room(server)
+        if room_kb < kb:
             return ""
-        if self.now >= box.quota_at:
-            self.set_quota(box)
-        others = box.link.unowned(self.now)  # what sits in the reserves is estimated alike
-        high = self.own_high / self.own if self.own else 0.0
-        own_high = sum(s.kb for s in box.sessions.values() if s.premium)
-        sits = (own_high + high * others, box.link.own - own_high + (1 - high) * others)
-        left = [max(0.0, quota * box.slot_kb - kept) for quota, kept in zip(box.quota, sits, strict=True)]
-        if room - left[premium] < kb:  # what is kept for the other class is not for this one
-            return ""
-        return "reserve" if left[not premium] >= kb / 2 else "pool"  # slots do not divide evenly
-
-    def sub_rate(self, box: Box, s: Session) -> bool:
-        """Alpha low pool sessions drop enough rungs to free the premium session's rate together."""
-        need = s.plan.kb[s.plan.floor] - max(0.0, self.room(box))
-        able = [
-            low for low in box.sessions.values() if low.playing and not (low.premium or low.was_sub_rated)
+        if self.now >= server.quota_due_at:
+            self.update_quota(server)
+        others_kb = server.link.others_use(self.now)  # assumed to have the same part of premium sessions
+        premium_part = self.own_premium_kb / self.own_kb if self.own_kb else 0.0
+        premium_kb = sum(session.kb for session in server.sessions.values() if session.premium)
+        used_kb = (
+            premium_kb + premium_part * others_kb,
+            server.link.own_kb - premium_kb + (1 - premium_part) * others_kb,
+        )
+        unused_kb = [
+            max(0.0, slots * server.slot_kb - use) for slots, use in zip(server.quota, used_kb, strict=True)
         ]
-        pool = [low for low in able if low.part == "pool"]
-        chosen = sorted(pool, key=lambda low: low.plan.kb[low.plan.floor] - low.kb)[:ALPHA]
-        if sum(low.kb - low.plan.kb[low.plan.floor] for low in chosen) < need:
+        if room_kb - unused_kb[premium] < kb:  # the rest is reserved for the other class
+            return ""
+        # Rates do not divide evenly into slots, so half a rate is enough.
+        return "reserve" if unused_kb[not premium] >= kb / 2 else "pool"
+
+    def sub_rate(self, server: MediaServer, session: Session) -> bool:
+        """Lowers up to `ALPHA` low sessions of the pool if that frees the rate of the premium session."""
+        needed_kb = session.demand.kb[session.demand.floor] - max(0.0, self.room(server))
+        able = [s for s in server.sessions.values() if s.playing and not (s.premium or s.was_sub_rated)]
+        pool = [low for low in able if low.allocation == "pool"]
+        chosen = sorted(pool, key=lambda low: low.demand.kb[low.demand.floor] - low.kb)[:ALPHA]
+        if sum(low.kb - low.demand.kb[low.demand.floor] for low in chosen) < needed_kb:
             return False
         for low in chosen:
             low.was_sub_rated, low.sub_rated_from = True, low.rung
-        self.step_down(chosen, need, 1.0)
+        self.lower_rungs(chosen, needed_kb, 1.0)
         return True
 
-    def restore(self, box: Box) -> None:
-        """A premium session ended here: the sub-rated regain their rung where it fits."""
-        for low in box.sessions.values():
+    def restore_sub_rated(self, server: MediaServer) -> None:
+        """Raises sub-rated sessions to their former rungs where a premium session has left enough room."""
+        for low in server.sessions.values():
             if low.playing and low.sub_rated_from is not None:
                 rung, low.sub_rated_from = low.sub_rated_from, None
-                if rung > low.rung and low.plan.kb[rung] - low.kb <= self.room(box):
+                if rung > low.rung and low.demand.kb[rung] - low.kb <= self.room(server):
                     self.set_rung(low, rung)
 
-    def pick(self, s: Session) -> list[Box]:
-        """Two random servers of those that hold the title and may take new work, the less loaded first.
+    def pick_servers(self, session: Session) -> list[MediaServer]:
+        """Two random servers that hold the title and accept new sessions, the less loaded first.
 
-        Where it costs to cross zones two of the own zone are looked at beside them, and the price counts.
-
-        Where advice sets some aside, two of the others come first, and two of these behind them.
+        Where sessions in other zones have a cost, it counts as load, and two servers of the own zone are
+        examined as well. Two servers that the advice avoids come behind the others.
         """
-        cells, holders = self.settings.cells, self.order
-        cross, zone = self.settings.cross_zone_cost, self.settings.zone
+        cells, holders = self.settings.cells, self.server_list
+        cost, zone = self.settings.cross_zone_cost, self.settings.zone
 
-        def net(box: Box) -> float:
-            return self.part_free(box) - cross * (box.told.zone != zone)
+        def net(server: MediaServer) -> float:
+            return self.free_share(server) - cost * (server.entry.zone != zone)
 
-        if s.told.cells < cells:
-            row = [(s.told.first_cell + n) % cells for n in range(s.told.cells)]
-            holders = [b for cell in row for b in self.by_cell.get(cell, ())]
-        if s.advice.bars:
-            holders = [b for b in holders if b.told.zone not in s.advice.bars]
+        if session.request.cells < cells:
+            row = [(session.request.first_cell + n) % cells for n in range(session.request.cells)]
+            holders = [s for cell in row for s in self.servers_by_cell.get(cell, ())]
+        if session.advice.bars:
+            holders = [s for s in holders if s.entry.zone not in session.advice.bars]
             if not holders:
-                self.tell(s, None, ReasonCode.ZONES_BARRED, len(self.order))
-        good: list[Box] = []
-        aside: list[Box] = []  # by advice
-        spare: list[Box] = []  # known full, or for a paid session not known to serve
-        for box in islice(self.looks(s, holders), LOOKS):
-            if box.told.state != ServerState.READY or box.told.id in s.tried:
-                drains = box.told.state != ServerState.READY
-                self.tell(s, box, ReasonCode.DRAINING if drains else ReasonCode.ALREADY_TRIED)
+                self.explain(session, None, interface.ReasonCode.ZONES_BARRED, len(self.server_list))
+        good: list[MediaServer] = []
+        avoided: list[MediaServer] = []  # by the advice
+        full: list[MediaServer] = []  # used if there are no others
+        for server in islice(self.draw_servers(session, holders), MAX_EXAMINED):
+            if server.entry.state != ServerState.READY or server.entry.id in session.tried:
+                draining = server.entry.state != ServerState.READY
+                self.explain(
+                    session,
+                    server,
+                    interface.ReasonCode.DRAINING if draining else interface.ReasonCode.ALREADY_TRIED,
+                )
                 continue
-            if s.paid and box.evidence > EVIDENCE_PROVEN:
-                self.tell(s, box, ReasonCode.RECENT_FAILURE, box.evidence)
+            if session.paid and server.failure_score > MAX_SCORE_FOR_PAID:
+                self.explain(session, server, interface.ReasonCode.RECENT_FAILURE, server.failure_score)
                 continue
-            if self.now < box.barred_until:
-                self.tell(s, box, ReasonCode.EJECTED, box.barred_until - self.now)
-            elif not self.warm_enough(box):
-                self.tell(s, box, ReasonCode.COLD_START)
+            if self.now < server.ejected_until:
+                self.explain(session, server, interface.ReasonCode.EJECTED, server.ejected_until - self.now)
+            elif not self.slow_start_allows(server):
+                self.explain(session, server, interface.ReasonCode.COLD_START)
             else:
-                full = self.room(box) < s.plan.kb[s.plan.floor]
-                later = s.advice is not i.NO_ADVICE and self.set_aside(s.advice, box.told)
-                group = ReasonCode.FULL if full else ReasonCode.AVOIDED if later else ReasonCode.CANDIDATE
-                self.tell(s, box, group, self.room(box))
-                (spare if full else aside if later else good).append(box)
-                if len(good) >= 2 and (not cross or sum(b.told.zone == zone for b in good) >= 2):
+                is_full = self.room(server) < session.demand.kb[session.demand.floor]
+                avoid = session.advice is not interface.NO_ADVICE and self.is_avoided(
+                    session.advice, server.entry
+                )
+                code = (
+                    interface.ReasonCode.FULL
+                    if is_full
+                    else interface.ReasonCode.AVOIDED
+                    if avoid
+                    else interface.ReasonCode.CANDIDATE
+                )
+                self.explain(session, server, code, self.room(server))
+                (full if is_full else avoided if avoid else good).append(server)
+                if len(good) >= 2 and (not cost or sum(s.entry.zone == zone for s in good) >= 2):
                     break
-        good = good[:2] + [b for b in good[2:] if b.told.zone == zone]
-        pairs = [good, aside[:2]] if good or aside else [spare[:2]]
-        return [b for pair in pairs for b in sorted(pair, key=net, reverse=True)[:2]]
-
-    def looks(self, s: Session, holders: list[Box]) -> Iterator[Box]:
-        """Holders in random order, drawn as far as they are asked for. Those with own sessions come first, as
-        long as they have the room that is usual for the unseen: their load is heard, a connection stands."""
-        cells, cell = self.settings.cells, s.told.first_cell
-        mine = [b for b in self.held if self.boxes.get(b.told.id) is b and b.told.zone not in s.advice.bars]
-        mine = [b for b in mine if s.told.cells >= cells or (b.told.cell - cell) % cells < s.told.cells]
-        mine = [b for b in mine if all(p.usual_room(self.now) for p in b.pipes)]
-        self.random.shuffle(mine)
-        yield from mine
-        moved: dict[int, int] = {}
+        good = good[:2] + [s for s in good[2:] if s.entry.zone == zone]
+        pairs = [good, avoided[:2]] if good or avoided else [full[:2]]
+        return [s for pair in pairs for s in sorted(pair, key=net, reverse=True)[:2]]
+
+    def draw_servers(self, session: Session, holders: list[MediaServer]) -> Iterator[MediaServer]:
+        """Yields `holders` in random order, drawn one by one.
+
+        Servers with own sessions come first while they have the room of an average server: their load is
+        reported, and connections to them are open.
+        """
+        cells, cell = self.settings.cells, session.request.first_cell
+        used = [
+            s
+            for s in self.servers_in_use
+            if self.tracked_servers.get(s.entry.id) is s and s.entry.zone not in session.advice.bars
+        ]
+        used = [
+            s
+            for s in used
+            if session.request.cells >= cells or (s.entry.cell - cell) % cells < session.request.cells
+        ]
+        used = [s for s in used if all(link.has_usual_room(self.now) for link in s.links)]
+        self.random.shuffle(used)
+        yield from used
+        moved: dict[int, int] = {}  # of a partial Fisher-Yates shuffle: index to the index that replaces it
         for n in range(len(holders)):
             k = self.random.randrange(n, len(holders))
-            box = holders[moved.get(k, k)]
+            server = holders[moved.get(k, k)]
             moved[k] = moved.get(n, n)
-            if box not in mine:
-                yield box
+            if server not in used:
+                yield server
 
-    def part_free(self, box: Box) -> float:
-        return min(p.room(self.now) / p.cap for p in box.pipes)
+    def free_share(self, server: MediaServer) -> float:
+        """Room over capacity, of the link or uplink with less of it."""
+        return min(link.room(self.now) / link.capacity_kb for link in server.links)
 
-    def set_aside(self, advice: i.Advice, told: i.Server) -> bool:
-        """Avoided, or of none of the values that are preferred of its zone, cell, kind or itself."""
-        own = {("zone", told.zone), ("cell", told.cell), ("kind", told.kind), ("server", told.id)}
-        wished = {what for what, _ in advice.prefer}
+    def is_avoided(self, advice: interface.Advice, entry: interface.Server) -> bool:
+        """Whether `avoid` names it, or `prefer` names only others of its zones, cells, kinds or servers."""
+        own = {("zone", entry.zone), ("cell", entry.cell), ("kind", entry.kind), ("server", entry.id)}
+        named = {what for what, _ in advice.prefer}
         return not own.isdisjoint(advice.avoid) or any(
-            (what, n) not in advice.prefer for what, n in own if what in wished
+            (k, n) not in advice.prefer for k, n in own if k in named
         )
 
-    def blame(self, box: Box, weight: float, restart: bool) -> None:
-        """One score for every sign that a server does not serve; what raises it is told apart only here."""
-        box.evidence = min(4.0, box.evidence + weight)
+    def record_failure(self, server: MediaServer, weight: float, restart: bool) -> None:
+        """Raises the failure score and ejects the server at the limit, for longer each time.
+
+        All signs of failure add to one score; only a possible restart is recorded on its own.
+        """
+        server.failure_score = min(4.0, server.failure_score + weight)
         if restart:
-            box.failed_at = self.now
-        if box.evidence >= EVIDENCE_BAR and self.now >= box.barred_until:
-            box.barred_until = self.now + box.backoff * (1 + 0.2 * self.random.random())
-            box.backoff = min(BACKOFF_CAP_MS, box.backoff * 2)
+            server.failed_at = self.now
+        if server.failure_score >= EJECTION_SCORE and self.now >= server.ejected_until:
+            server.ejected_until = self.now + server.backoff_ms * (1 + 0.2 * self.random.random())
+            server.backoff_ms = min(MAX_BACKOFF_MS, server.backoff_ms * 2)
 
-    def excuse(self, box: Box) -> None:
-        """Guards servers against nonsense: what two answer with an error tells of the session, not of them.
+    def withdraw_failure(self, server: MediaServer) -> None:
+        """Takes back an error: where two servers answer with one, it is taken as a fault of the session.
 
-        Harm: where most servers fail, none is blamed for sessions that may be tried again; it would not help.
+        The drawback: where most servers fail, sessions that are retried eject none. It would not help there.
+        """
+        server.failure_score = max(0.0, server.failure_score - 1.0)
+        if server.failure_score < EJECTION_SCORE and self.now < server.ejected_until:
+            server.ejected_until, server.backoff_ms = self.now, max(BACKOFF_MS, server.backoff_ms / 2)
+
+    def record_success(self, server: MediaServer) -> None:
+        """Halves the failure score and ends the backoff."""
+        server.failure_score /= 2
+        server.backoff_ms = BACKOFF_MS
+        if server.failed_at > float("-inf"):  # it may have restarted since the failure
+            server.cold_until, server.failed_at = self.now + self.settings.warm_up_ms, float("-inf")
+
+    def slow_start_allows(self, server: MediaServer) -> bool:
+        """Whether this front may send a set-up to a server that may be cold.
+
+        The time from the listed start is divided into turns, one set-up each. A turn is for as many fronts as
+        would together send about one set-up in it. Where the start is not listed, each front keeps a gap.
         """
-        box.evidence = max(0.0, box.evidence - 1.0)
-        if box.evidence < EVIDENCE_BAR and self.now < box.barred_until:
-            box.barred_until, box.backoff = self.now, max(BACKOFF_MS, box.backoff / 2)
-
-    def praise(self, box: Box) -> None:
-        box.evidence /= 2
-        box.backoff = BACKOFF_MS
-        if box.failed_at > float("-inf"):  # it may have started anew between the failure and now
-            box.cold_until, box.failed_at = self.now + self.settings.warm_up_ms, float("-inf")
-
-    def warm_enough(self, box: Box) -> bool:
-        """Cold servers: a turn (from the told start) is for as many fronts as would ask about once in it."""
-        warm = max(1.0, self.settings.warm_up_ms)
-        start, fronts = box.told.ready_at, self.settings.fronts
-        told = start > 0 and self.now < start + warm and box.failed_at == float("-inf")
-        unsure = not self.list_fresh and self.now - (self.born or 0.0) < warm
-        if not (told or unsure or box.failed_at > float("-inf") or self.now < box.cold_until):
+        warm_ms = max(1.0, self.settings.warm_up_ms)
+        start, fronts = server.entry.ready_at, self.settings.fronts
+        listed = start > 0 and self.now < start + warm_ms and server.failed_at == float("-inf")
+        list_is_old = not self.list_fresh and self.now - (self.first_call_at or 0.0) < warm_ms
+        if not (listed or list_is_old or server.failed_at > float("-inf") or self.now < server.cold_until):
             return True
-        pace = max(1e-9, self.places(box.told) * self.settings.cold_from / warm)  # of all fronts together
-        gap = COLD_MARGIN / pace
-        each = self.rate() * 2 / max(1, len(self.boxes)) * gap  # set-ups that a front would send it in a turn
-        group = max(1, min(fronts, int(1 / (COLD_WAVE * each))))
-        if not told:
-            return self.now - box.cold_sent > gap * fronts / group
-        turn, part = (self.now - start) / gap, 1.0 if group > 1 else 0.5  # apart, if of one front each
-        mine = (int(turn) * group - self.settings.index) % fronts < group and turn % 1 < part
-        return mine and self.now - box.cold_sent > gap / 2
-
-    def send(self, s: Session, box: Box, rung: int, part: str) -> None:
-        self.out.append(i.SetRung(s.told.id, rung))
-        timeout = 0.0
-        if not s.paid and s.attempts + 1 < self.settings.max_attempts:
-            usual = self.set_up_ms + SET_UP_SPREADS * self.set_up_spread
-            timeout = min(max(usual, self.settings.connect_timeout_ms), (s.deadline - self.now) / 2)
-        self.out.append(i.SetUp(s.told.id, box.told.id, timeout))
-        if s.attempts:
-            self.retried.append(self.now)
-        s.attempts, s.rung, s.part = s.attempts + 1, rung, part
-        s.tried.append(box.told.id)
-        box.cold_sent = self.now
-        self.attach(s, box)
-
-    def attach(self, s: Session, box: Box) -> None:
-        s.box, s.kb = box, s.plan.kb[s.rung]
-        box.sessions[s.told.id] = s
-        self.held[box] = None
-        self.ledger(s, 1)
-
-    def detach(self, s: Session) -> None:
-        if s.box:
-            self.ledger(s, -1)
-            del s.box.sessions[s.told.id]
-            if not s.box.sessions:
-                del self.held[s.box]
-            s.box = None
-
-    def ledger(self, s: Session, sign: int) -> None:
-        """Seats and rates count from the set-up (or the hand-over) to the report of the end."""
-        seat = s.told.cls, s.told.title
-        self.seats[seat] += sign
-        if not self.seats[seat]:  # for long: titles come and go
-            del self.seats[seat]
-        self.add_own(s, sign * s.kb, True)
-        for want in [self.want, *(p.want for p in (s.box.pipes if s.box else ()))]:
-            want[:] = [w + sign * r for w, r in zip(want, s.plan.rates, strict=True)]
-
-    def add_own(self, s: Session, kb: float, joins: bool) -> None:
-        """For what joins an untold uplink, the sessions of the other fronts make room as well."""
-        self.own = max(0.0, self.own + kb)
-        self.own_high = max(0.0, self.own_high + kb * s.premium)
-        for pipe in s.box.pipes if s.box else ():
-            pipe.change(self.now, kb)
-            pipe.limit = max(0.0, pipe.limit + joins * kb * (1 - 1 / self.settings.fronts))
-
-    def set_rung(self, s: Session, rung: int, told: bool = False, joins: bool = False) -> None:
-        if not told:
-            self.out.append(i.SetRung(s.told.id, rung))
-            s.changed_at = self.now
-        self.add_own(s, s.plan.kb[rung] - s.kb, joins)
-        s.rung, s.kb = rung, s.plan.kb[rung]
-
-    def may_retry(self, s: Session) -> bool:
-        spent = s.attempts >= self.settings.max_attempts or s.deadline - self.now < MIN_ATTEMPT_MS
-        if spent or (s.maybe_ran and s.paid) or self.settings.retry_free is None:
-            return not (spent or (s.maybe_ran and s.paid))
+        # Set-ups that it can take from all fronts together, per millisecond.
+        rate = max(1e-9, self.server_places(server.entry) * self.settings.cold_from / warm_ms)
+        gap_ms = COLD_GAP_MARGIN / rate
+        # Set-ups that one front would send to it in a turn.
+        set_ups_per_turn = self.arrival_rate() * 2 / max(1, len(self.tracked_servers)) * gap_ms
+        group = max(1, min(fronts, int(1 / (COLD_SURGE * set_ups_per_turn))))
+        if not listed:
+            return self.now - server.last_set_up_at > gap_ms * fronts / group
+        # A single front uses the first half of its turn, which keeps the set-ups of different fronts apart.
+        turn, usable = (self.now - start) / gap_ms, 1.0 if group > 1 else 0.5
+        own_turn = (int(turn) * group - self.settings.index) % fronts < group and turn % 1 < usable
+        return own_turn and self.now - server.last_set_up_at > gap_ms / 2
+
+    def send_set_up(self, session: Session, server: MediaServer, rung: int, allocation: str) -> None:
+        """Starts an attempt. It has a timeout if the session may be set up again elsewhere."""
+        self.actions.append(interface.SetRung(session.request.id, rung))
+        timeout_ms = 0.0
+        if not session.paid and session.attempts + 1 < self.settings.max_attempts:
+            usual = self.mean_set_up_ms + TIMEOUT_DEVIATIONS * self.set_up_deviation_ms
+            timeout_ms = min(max(usual, self.settings.connect_timeout_ms), (session.deadline - self.now) / 2)
+        self.actions.append(interface.SetUp(session.request.id, server.entry.id, timeout_ms))
+        if session.attempts:
+            self.retry_times.append(self.now)
+        session.attempts, session.rung, session.allocation = session.attempts + 1, rung, allocation
+        session.tried.append(server.entry.id)
+        server.last_set_up_at = self.now
+        self.attach_session(session, server)
+
+    def attach_session(self, session: Session, server: MediaServer) -> None:
+        """Assigns a session to a server and counts it there."""
+        session.assigned_server, session.kb = server, session.demand.kb[session.rung]
+        server.sessions[session.request.id] = session
+        self.servers_in_use[server] = None
+        self.count_session(session, 1)
+
+    def detach_session(self, session: Session) -> None:
+        """Undoes `attach_session`, if the session is assigned."""
+        if session.assigned_server:
+            self.count_session(session, -1)
+            del session.assigned_server.sessions[session.request.id]
+            if not session.assigned_server.sessions:
+                del self.servers_in_use[session.assigned_server]
+            session.assigned_server = None
+
+    def count_session(self, session: Session, sign: int) -> None:
+        """Adds (`sign` 1) or removes (-1) seat and rates, which count from set-up or handover to the end."""
+        seat = session.request.cls, session.request.title
+        self.seats_taken[seat] += sign
+        if not self.seats_taken[seat]:  # titles change, so the table would grow without end
+            del self.seats_taken[seat]
+        self.add_rate(session, sign * session.kb, True)
+        for loads_kb in [
+            self.loads_kb,
+            *(link.loads_kb for link in (session.assigned_server.links if session.assigned_server else ())),
+        ]:
+            loads_kb[:] = [kb + sign * r for kb, r in zip(loads_kb, session.demand.rates, strict=True)]
+
+    def add_rate(self, session: Session, kb: float, joins: bool) -> None:
+        """Changes the rates in use by `kb`, and with `joins` the estimated limits of uplinks.
+
+        A session that joins an uplink without reports takes its rate from the sessions of all fronts alike.
+        """
+        self.own_kb = max(0.0, self.own_kb + kb)
+        self.own_premium_kb = max(0.0, self.own_premium_kb + kb * session.premium)
+        for link in session.assigned_server.links if session.assigned_server else ():
+            link.change_own(self.now, kb)
+            link.own_limit_kb = max(0.0, link.own_limit_kb + joins * kb * (1 - 1 / self.settings.fronts))
+
+    def set_rung(self, session: Session, rung: int, is_set: bool = False, joins: bool = False) -> None:
+        """Changes the rung. `is_set`: the server has reported it, so there is nothing to send."""
+        if not is_set:
+            self.actions.append(interface.SetRung(session.request.id, rung))
+            session.rung_changed_at = self.now
+        self.add_rate(session, session.demand.kb[rung] - session.kb, joins)
+        session.rung, session.kb = rung, session.demand.kb[rung]
+
+    def may_retry(self, session: Session) -> bool:
+        """Whether attempts, time and the budget for retries are left, and a paid session cannot have run."""
+        spent = session.attempts >= self.settings.max_attempts or session.deadline - self.now < MIN_ATTEMPT_MS
+        if spent or (session.maybe_ran and session.paid) or self.settings.retry_free is None:
+            return not (spent or (session.maybe_ran and session.paid))
         since = self.now - self.settings.retry_span_ms
-        taken, again = (sum(t > since for t in times) for times in (self.taken, self.retried))
-        return again + 1 <= self.settings.retry_free + self.settings.retry_share * taken
-
-    def give_up(self, s: Session) -> None:  # the final answer, at once
-        self.tell(s, None, ReasonCode.GIVEN_UP, s.attempts)
-        most = self.settings.max_pause_ms if self.settings.pause_advice else 0.0
-        pause = min(most, s.advice.pause_ms or most)
-        self.out.append(i.Fail(s.told.id) if s.maybe_ran and s.paid else i.Refuse(s.told.id, pause))
-        del self.sessions[s.told.id]
-
-    def on_playing(self, event: i.Playing) -> None:
-        s = self.sessions.get(event.id)
-        if s is None or s.box is None:
-            return
-        s.playing, s.started = True, self.now
-        off = event.took_ms - self.set_up_ms
-        self.set_up_ms += GAIN * off
-        self.set_up_spread += GAIN * (abs(off) - self.set_up_spread)
-        self.praise(s.box)
-        self.hear_report(s.box, event.report, 0.0)
-
-    def on_ended(self, event: i.AttemptEnded) -> None:
-        s = self.sessions.get(event.id)
-        box = s.box if s else self.boxes.get(event.server)
-        if box:
-            self.hear_report(box, event.report, TICK_MS)
-        if s is None or event.attempt != s.attempts - 1:  # unknown, or of an attempt that has ended
+        requests, retries = (
+            sum(t > since for t in times) for times in (self.request_times, self.retry_times)
+        )
+        return retries + 1 <= self.settings.retry_free + self.settings.retry_share * requests
+
+    def reject_session(self, session: Session) -> None:
+        """Sends the final answer: a paid session that may have run fails, others are refused."""
+        self.explain(session, None, interface.ReasonCode.GIVEN_UP, session.attempts)
+        max_pause_ms = self.settings.max_pause_ms if self.settings.pause_advice else 0.0
+        pause_ms = min(max_pause_ms, session.advice.pause_ms or max_pause_ms)
+        self.actions.append(
+            interface.Fail(session.request.id)
+            if session.maybe_ran and session.paid
+            else interface.Refuse(session.request.id, pause_ms)
+        )
+        del self.sessions[session.request.id]
+
+    def on_playing(self, event: interface.Playing) -> None:
+        """Updates the mean set-up time and takes the report of the set-up."""
+        session = self.sessions.get(event.id)
+        if session is None or session.assigned_server is None:
             return
-        self.detach(s)
-        if box and event.outcome == Outcome.FULL:
-            box.link.hear(self.now, max(self.settings.full_from, 1.0) * box.link.cap, 0.0)
-        elif box and event.outcome in (*SURE, *DOUBT):
-            weight = EVIDENCE_BAR if event.outcome in SURE else 1.0
-            s.erred += [box] * (event.outcome == Outcome.ERROR)
-            if event.outcome != Outcome.ERROR or len(s.erred) == 1:
-                self.blame(box, weight, event.outcome != Outcome.ERROR)
-            elif len(s.erred) == 2:
-                self.excuse(s.erred[0])
-        if event.outcome == Outcome.OK:  # the first few count as their mean, until the newest weighs GAIN
-            self.ends += 1
-            self.length_ms += max(GAIN, 1 / self.ends) * (self.now - s.started - self.length_ms)
-        if s.playing and box and s.premium:
-            self.restore(box)
-        if event.closed or s.gone:
+        session.playing, session.started_at = True, self.now
+        error_ms = event.took_ms - self.mean_set_up_ms
+        self.mean_set_up_ms += EWMA_WEIGHT * error_ms
+        self.set_up_deviation_ms += EWMA_WEIGHT * (abs(error_ms) - self.set_up_deviation_ms)
+        self.record_success(session.assigned_server)
+        self.record_report(session.assigned_server, event.report, 0.0)
+
+    def on_attempt_ended(self, event: interface.AttemptEnded) -> None:
+        """Takes the report, counts failures and then ends, retries or rejects the session."""
+        session = self.sessions.get(event.id)
+        server = session.assigned_server if session else self.tracked_servers.get(event.server)
+        if server:
+            self.record_report(server, event.report, CONTROL_PERIOD_MS)
+        if session is None or event.attempt != session.attempts - 1:
+            return  # unknown, or the end of an earlier attempt
+        self.detach_session(session)
+        if server and event.outcome == Outcome.FULL:
+            server.link.record_use(self.now, max(self.settings.full_from, 1.0) * server.link.capacity_kb, 0.0)
+        elif server and event.outcome in (*DOWN_OUTCOMES, *SUSPECT_OUTCOMES):
+            weight = EJECTION_SCORE if event.outcome in DOWN_OUTCOMES else 1.0
+            session.error_servers += [server] * (event.outcome == Outcome.ERROR)
+            if event.outcome != Outcome.ERROR or len(session.error_servers) == 1:
+                self.record_failure(server, weight, event.outcome != Outcome.ERROR)
+            elif len(session.error_servers) == 2:
+                self.withdraw_failure(session.error_servers[0])
+        if event.outcome == Outcome.OK:  # a plain mean of the first lengths, then weighted
+            self.sessions_ended += 1
+            self.mean_session_ms += max(EWMA_WEIGHT, 1 / self.sessions_ended) * (
+                self.now - session.started_at - self.mean_session_ms
+            )
+        if session.playing and server and session.premium:
+            self.restore_sub_rated(server)
+        if event.closed or session.viewer_gone:
             del self.sessions[event.id]
             return
-        s.maybe_ran |= event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-        (self.place if self.may_retry(s) else self.give_up)(s)
+        session.maybe_ran |= event.outcome not in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        (self.place_session if self.may_retry(session) else self.reject_session)(session)
 
-    def hear_report(self, box: Box, report: tuple[float, ...], lag: float) -> None:
+    def record_report(self, server: MediaServer, report: tuple[float, ...], age_ms: float) -> None:
+        """Takes the known fields of a report; a `utilization` of 0.99 or more is ignored."""
         for name, value in zip(self.settings.report_fields, report, strict=False):
             if name in ("x0", "x1") or (name == "utilization" and value < 0.99):
-                self.hear(box, i.NoteKind.UPLINK if name == "x1" else i.NoteKind.LINK, value, lag)
+                self.record_use(
+                    server,
+                    interface.NoteKind.UPLINK if name == "x1" else interface.NoteKind.LINK,
+                    value,
+                    age_ms,
+                )
 
-    def hear(self, box: Box, kind: int, use: float, lag: float) -> None:
+    def record_use(self, server: MediaServer, kind: int, use: float, age_ms: float) -> None:
+        """Takes a reported use, as part of the capacity, of the server's link or its uplink."""
         if not 0 <= use < float("inf"):
             return
-        if kind == i.NoteKind.LINK:
-            box.link.hear(self.now, use * box.link.cap, lag)
-            box.dice = self.random.random()
-        if box.uplink and (kind == i.NoteKind.UPLINK or self.untold):  # untold: its links are samples of it
-            box.uplink.hear(self.now, use * box.uplink.span, lag, SMOOTH / 2 if self.untold else SMOOTH)
-
-    def on_viewer_gone(self, event: i.ViewerGone) -> None:
-        if s := self.sessions.get(event.id):  # an attempt that is out is kept until its end is reported
-            s.gone = True
-
-    def on_handed_over(self, event: i.HandedOver) -> None:
-        told = event.session
-        s = self.session(told, False)
-        s.playing, s.settled, s.attempts, s.part = True, True, 1, "pool"
-        gone = i.Server(event.server, 0, 1.0, 0, told.first_cell, 0.0, ServerState.GONE)
-        box = self.boxes.get(event.server) or self.new_box(gone, self.places(gone))  # unlisted: send nothing
-        self.counts[s.premium] += 1.0  # sessions held stand for the arrivals of one length
-        self.seen_ms = max(self.seen_ms, self.length_ms)
-        self.attach(s, box)
-
-    def on_note(self, event: i.Note) -> None:
-        s = self.sessions.get(event.id)
-        if s is None or s.box is None or not 0 <= event.value < float("inf"):
+        if kind == interface.NoteKind.LINK:
+            server.link.record_use(self.now, use * server.link.capacity_kb, age_ms)
+            server.rounding_draw = self.random.random()
+        # Without reports of uplinks, each report of a link is a sample of its uplink.
+        if server.uplink and (kind == interface.NoteKind.UPLINK or self.uplinks_estimated):
+            server.uplink.record_use(
+                self.now,
+                use * server.uplink.full_use_kb,
+                age_ms,
+                REPORT_WEIGHT / 2 if self.uplinks_estimated else REPORT_WEIGHT,
+            )
+
+    def on_viewer_gone(self, event: interface.ViewerGone) -> None:
+        """Marks the session, which is kept until the end of its attempt is reported."""
+        if session := self.sessions.get(event.id):
+            session.viewer_gone = True
+
+    def on_handed_over(self, event: interface.HandedOver) -> None:
+        """Takes over a session that plays."""
+        request = event.session
+        session = self.add_session(request, False)
+        session.playing, session.rung_adjusted, session.attempts, session.allocation = True, True, 1, "pool"
+        # A server that is not listed is taken as gone, so that it gets no set-ups.
+        gone = interface.Server(event.server, 0, 1.0, 0, request.first_cell, 0.0, ServerState.GONE)
+        server = self.tracked_servers.get(event.server) or self.track_server(gone, self.server_places(gone))
+        self.arrivals[session.premium] += 1.0  # sessions held stand for the arrivals of one session length
+        self.observed_ms = max(self.observed_ms, self.mean_session_ms)
+        self.attach_session(session, server)
+
+    def on_note(self, event: interface.Note) -> None:
+        """Takes what a server reports while a session plays."""
+        session = self.sessions.get(event.id)
+        if session is None or session.assigned_server is None or not 0 <= event.value < float("inf"):
             return
-        lag = min(self.settings.report_delay_ms, self.now - s.started)  # those at set-up tell of now
-        if event.kind == i.NoteKind.RUNG:
-            self.set_rung(s, max(0, min(int(event.value), len(s.plan.kb) - 1)), told=True, joins=True)
-        elif event.kind == i.NoteKind.SHARE:
-            self.on_share(s.box, event.value)
+        # A note at the set-up is not delayed.
+        age_ms = min(self.settings.report_delay_ms, self.now - session.started_at)
+        if event.kind == interface.NoteKind.RUNG:
+            self.set_rung(
+                session, max(0, min(int(event.value), len(session.demand.kb) - 1)), is_set=True, joins=True
+            )
+        elif event.kind == interface.NoteKind.SHARE:
+            self.on_delivered_share(session.assigned_server, event.value)
         else:
-            self.hear(s.box, event.kind, event.value, lag)
+            self.record_use(session.assigned_server, event.kind, event.value, age_ms)
 
-    def on_share(self, box: Box, share: float) -> None:
-        """A shortfall that the told use does not explain (reports stay out, lie or are none) stands for one.
+    def on_delivered_share(self, server: MediaServer, share: float) -> None:
+        """Treats a shortfall that the reported use does not explain (no reports, or wrong ones) as a report.
 
-        An uplink falls short for all its servers, a link for one. Harm: viewers' own networks counted as it.
+        An uplink falls short for all its servers, a link for one. The drawback: shortfalls in viewers' own
+        networks count as well.
         """
-        box.share, box.share_at = share, self.now
-        if share < STALLED_SHARE:  # it stands still: no matter of rates
-            self.blame(box, EVIDENCE_BAR, False)
-        if not STALLED_SHARE <= share < SHORT:
+        server.delivered_share, server.delivered_share_at = share, self.now
+        if share < STALLED_SHARE:  # stalled, which lower rates cannot help
+            self.record_failure(server, EJECTION_SCORE, False)
+        if not STALLED_SHARE <= share < SHORTFALL_SHARE:
             return
-        up, since = box.uplink, self.now - SHORT_HOLD_MS
-        mates = [
-            m for m in self.held if m.uplink is up and any(s.started < since for s in m.sessions.values())
+        up, since = server.uplink, self.now - SHORTFALL_HOLD_MS
+        neighbours = [
+            other
+            for other in self.servers_in_use
+            if other.uplink is up and any(s.started_at < since for s in other.sessions.values())
         ]
-        best = max([share, *(m.share if m.share_at > since else 1.0 for m in mates)])
-        pipe = box.link
-        if up and best < SHORT and (len(mates) > 1 or pipe.fit() * EXPLAINED > best):
-            pipe, share = up, best
-        if pipe.short_at > since or (pipe.told and pipe.fit() * EXPLAINED < share):
-            return  # what comes within the hold still tells of before the cut
-        pipe.short_at = self.now
-        if pipe is up and self.untold:
+        best = max(
+            [
+                share,
+                *(other.delivered_share if other.delivered_share_at > since else 1.0 for other in neighbours),
+            ]
+        )
+        link = server.link
+        if up and best < SHORTFALL_SHARE and (len(neighbours) > 1 or link.headroom() * EXPLAINED > best):
+            link, share = up, best
+        if link.shortfall_at > since or (link.is_reported and link.headroom() * EXPLAINED < share):
+            return  # reports within the hold do not show the effect of lowered rungs yet
+        link.shortfall_at = self.now
+        if link is up and self.uplinks_estimated:
             late = self.now - self.settings.report_delay_ms
-            pipe.limit = share * next((own for at, own in pipe.past if at > late), pipe.own)
+            link.own_limit_kb = share * next((own for at, own in link.own_history if at > late), link.own_kb)
         else:
-            pipe.hear(self.now, pipe.cap / share, self.settings.report_delay_ms)
-
-    def on_tick(self, _: i.TimerDue) -> None:
-        self.out.append(i.SetTimer(0, TICK_MS))
-        for up in {b.uplink: None for b in self.held if b.uplink and self.untold}:
-            if self.now - up.short_at > SHORT_HOLD_MS:
-                up.limit = max(up.limit, min(up.limit * (1 + REGAIN), LIMIT_OVER * up.own))
-        for box in self.held:
-            self.control(box)
+            link.record_use(self.now, link.capacity_kb / share, self.settings.report_delay_ms)
+
+    def on_timer_due(self, _: interface.TimerDue) -> None:
+        """Raises estimated limits of uplinks that were not short lately, and controls the rungs."""
+        self.actions.append(interface.SetTimer(0, CONTROL_PERIOD_MS))
+        for up in {
+            server.uplink: None for server in self.servers_in_use if server.uplink and self.uplinks_estimated
+        }:
+            if self.now - up.shortfall_at > SHORTFALL_HOLD_MS:
+                up.own_limit_kb = max(
+                    up.own_limit_kb, min(up.own_limit_kb * (1 + LIMIT_GROWTH), MAX_LIMIT_OVER_USE * up.own_kb)
+                )
+        for server in self.servers_in_use:
+            self.control_rungs(server)
 
-    def control(self, box: Box) -> None:
-        """Give back when a pipe is over-asked, lift sessions while room stays: each front for its own part.
+    def control_rungs(self, server: MediaServer) -> None:
+        """Lowers rungs when a link exceeds its target, and raises them while there is room.
 
-        A part of a step is taken with that probability, by the dice of the report: the sum comes out right.
+        Each front makes its share of the change. A part of a step is taken as a whole step with that
+        probability, by the random draw of the report, so that the changes of all fronts add up.
         """
-        playing = [s for s in box.sessions.values() if s.playing]
-        if self.now - box.link.heard_at > STALE_MS or not playing:
+        playing = [session for session in server.sessions.values() if session.playing]
+        if self.now - server.link.reported_at > REPORT_STALE_MS or not playing:
             return
-        level, up = self.level(box, None), box.uplink
-        for s in playing:
-            if not s.settled and s.started <= box.link.heard_at:
-                self.settle(box, s, s.plan.rungs[level])
-        fit, done = min(p.fit() for p in box.pipes if p.told), box.link.own - box.link.base  # no guess
-        lean = max(1 / LEAN, min(LEAN, box.link.own / max(1.0, box.link.want[level])))
-        give = box.link.base * lean * (1 - fit) + done if fit * CUT_ABOVE < 1 else 0.0
-        room = (
-            box.link.base / lean * (min(p.fit(p.doubt(self.now)) for p in box.pipes) * LIFT_BELOW - 1) - done
+        level, up = self.price_level(server, None), server.uplink
+        for session in playing:
+            if not session.rung_adjusted and session.started_at <= server.link.reported_at:
+                self.adjust_first_rung(server, session, session.demand.rungs[level])
+        # Of reported use only; then what this front has changed since.
+        ratio, changed_kb = (
+            min(link.headroom() for link in server.links if link.is_reported),
+            server.link.own_kb - server.link.reported_own_kb,
+        )
+        bias = max(
+            1 / MAX_STEP_BIAS, min(MAX_STEP_BIAS, server.link.own_kb / max(1.0, server.link.loads_kb[level]))
+        )
+        excess_kb = (
+            server.link.reported_own_kb * bias * (1 - ratio) + changed_kb if ratio * LOWER_ABOVE < 1 else 0.0
+        )
+        room_kb = (
+            server.link.reported_own_kb
+            / bias
+            * (min(link.headroom(link.uncertainty(self.now)) for link in server.links) * RAISE_BELOW - 1)
+            - changed_kb
         )
-        if up and not up.told:
-            room = min(room, up.limit - up.own)
-            if up.own > CUT_ABOVE * up.limit:
-                give = max(give, (1 - up.limit / up.own) * box.link.own)
-        if give > 0:
-            ready = [s for s in playing if self.now - s.changed_at > DWELL_DOWN_MS]
-            self.step_down(ready, give, box.dice)
+        if up and not up.is_reported:
+            room_kb = min(room_kb, up.own_limit_kb - up.own_kb)
+            if up.own_kb > LOWER_ABOVE * up.own_limit_kb:
+                excess_kb = max(excess_kb, (1 - up.own_limit_kb / up.own_kb) * server.link.own_kb)
+        if excess_kb > 0:
+            ready = [session for session in playing if self.now - session.rung_changed_at > LOWER_DWELL_MS]
+            self.lower_rungs(ready, excess_kb, server.rounding_draw)
             return
-        dwell = 1000 * DWELL_UP * self.settings.switch_cost_s
-        ready = [s for s in playing if s.rung < s.plan.top and self.now - s.changed_at > dwell]
-        for s in sorted(ready, key=lambda s: -s.plan.prices[s.rung - s.plan.floor]):
-            for rung in range(max(s.plan.rungs[level], s.rung + 1), s.rung, -1):
-                part = box.dice if rung == s.rung + 1 else 1.0
-                if room > 0 and part * (s.plan.kb[rung] - s.kb) <= room:
-                    self.tell(s, box, ReasonCode.RUNG_RAISED, room)
-                    room -= s.plan.kb[rung] - s.kb
-                    self.set_rung(s, rung)
+        dwell_ms = 1000 * RAISE_DWELL * self.settings.switch_cost_s
+        ready = [s for s in playing if s.rung < s.demand.top and self.now - s.rung_changed_at > dwell_ms]
+        for session in sorted(ready, key=lambda s: -s.demand.prices[s.rung - s.demand.floor]):
+            for rung in range(max(session.demand.rungs[level], session.rung + 1), session.rung, -1):
+                draw = server.rounding_draw if rung == session.rung + 1 else 1.0
+                if room_kb > 0 and draw * (session.demand.kb[rung] - session.kb) <= room_kb:
+                    self.explain(session, server, interface.ReasonCode.RUNG_RAISED, room_kb)
+                    room_kb -= session.demand.kb[rung] - session.kb
+                    self.set_rung(session, rung)
                     break
 
-    def settle(self, box: Box, s: Session, top: int) -> None:
-        """A newcomer takes the rung that its set-up note leaves room for: no other front has heard it yet."""
-        s.settled, spare = True, min(p.room(self.now) - p.doubt(self.now) for p in box.pipes)
-        fit = [r for r in range(s.plan.floor, top + 1) if s.plan.kb[r] - s.kb <= spare]
-        if (rung := max(fit, default=s.plan.floor)) != s.rung:
-            self.tell(s, box, ReasonCode.RUNG_ADJUSTED, spare)
-            self.set_rung(s, rung, joins=True)
+    def adjust_first_rung(self, server: MediaServer, session: Session, top: int) -> None:
+        """Sets the rung that the set-up's report leaves room for. No other front has that report yet."""
+        session.rung_adjusted, spare = (
+            True,
+            min(link.room(self.now) - link.uncertainty(self.now) for link in server.links),
+        )
+        fitting = [
+            r for r in range(session.demand.floor, top + 1) if session.demand.kb[r] - session.kb <= spare
+        ]
+        if (rung := max(fitting, default=session.demand.floor)) != session.rung:
+            self.explain(session, server, interface.ReasonCode.RUNG_ADJUSTED, spare)
+            self.set_rung(session, rung, joins=True)
 
-    def step_down(self, ready: list[Session], give: float, dice: float) -> None:  # the cheapest steps first
-        aims: dict[int, int] = {}
+    def lower_rungs(self, ready: list[Session], excess_kb: float, draw: float) -> None:
+        """Takes the steps that lose the least worth for each kB/s, until `excess_kb` is free."""
+        targets: dict[int, int] = {}
         steps: list[tuple[float, int, int]] = []
-        for n, s in enumerate(ready):
-            held = s.plan.prices[: s.rung - s.plan.floor]
-            steps += [(price, -r, n) for r, price in enumerate(held, s.plan.floor + 1)]
+        for n, session in enumerate(ready):
+            held = session.demand.prices[: session.rung - session.demand.floor]
+            steps += [(price, -r, n) for r, price in enumerate(held, session.demand.floor + 1)]
         for _, r, n in sorted(steps):
-            step = ready[n].plan.kb[-r] - ready[n].plan.kb[-r - 1]
-            if give <= (1 - dice) * step:
+            step = ready[n].demand.kb[-r] - ready[n].demand.kb[-r - 1]
+            if excess_kb <= (1 - draw) * step:
                 break
-            aims[n], give = -r - 1, give - step
-        for n, rung in aims.items():
-            box = ready[n].box
-            self.tell(ready[n], box, ReasonCode.RUNG_LOWERED, min(p.fit() for p in box.pipes) if box else 0.0)
+            targets[n], excess_kb = -r - 1, excess_kb - step
+        for n, rung in targets.items():
+            server = ready[n].assigned_server
+            self.explain(
+                ready[n],
+                server,
+                interface.ReasonCode.RUNG_LOWERED,
+                min(link.headroom() for link in server.links) if server else 0.0,
+            )
             self.set_rung(ready[n], rung)
