--- a/lemonhall/decide.py
+++ b/lemonhall/decide.py
@@ -336,7 +336,7 @@
             )
 
     def on_server_list(self, event: interface.ServerList) -> None:
-        """Tracks the listed servers. A restart resets a server's health, a move to another cell all its state."""
+        """Tracks the listed servers. A restart resets the health of a server, a new cell all its state."""
         if event.kind == interface.ListKind.FAILED:
             self.actions.append(interface.Subscribe(True))
             return
--- a/lemonhall/limits/reserve.py
+++ b/lemonhall/limits/reserve.py
@@ -1,7 +1,7 @@
 """What of a limit is kept for the sessions of more worth: the paper's Method II, as the design's reserves.
 
 The limit is a server of so many slots; the loads are those of sessions that asked to spill; the reserve of
-the premium sessions is the one with the best pay-off (`lemonhall.decide.best_split`).
+the premium sessions is the one with the best pay-off (`lemonhall.decide.best_reserves`).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from lemonhall import interface as i
-from lemonhall.decide import best_split
+from lemonhall.decide import best_reserves
 
 PERIOD_MS = 5000.0  # it is found anew this often (design)
 WINDOW_MS = 60_000.0  # memory of what asked
@@ -59,7 +59,7 @@
         slots = max(1, int(mine / (each * group)))
         load = [c * self.length_ms / max(PERIOD_MS, self.seen_ms) / group for c in self.counts]
         high = sum(worths[1:]) / len(worths[1:])
-        self.quota = int(best_split(slots, load[1], load[0], high, worths[0])[0] * each * group)
+        self.quota = int(best_reserves(slots, load[1], load[0], high, worths[0])[0] * each * group)
 
     def kept(self, premium: bool) -> int:
         """What a session must leave free."""
