--- a/lemonhall/__init__.py
+++ b/lemonhall/__init__.py
@@ -1,4 +1,4 @@
-"""lemonhall: decisions of a controller of streaming sessions."""
+"""lemonhall: a front that places streaming sessions on media servers."""
 
 from lemonhall.decide import Front
 
--- a/lemonhall/__main__.py
+++ b/lemonhall/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lemonhall`."""
+"""Runs the command line: `python -m lemonhall`."""
 
 from lemonhall.cli import main
 
--- a/lemonhall/adapter.py
+++ b/lemonhall/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts one decision module for each front and speaks the wire on standard input and output."""
+"""Runs a decision module for each front instance; reads events on standard input, writes actions to output."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
+    """The next frame, or None at the end of the input. Raises `WireError` if the input ends within a frame."""
     header = source.read(wire.HEADER.size)
     if not header:
         return None
@@ -29,14 +30,15 @@
 
 
 class Host:
-    """The instances of this process and the server lists they refer to."""
+    """The instances of this process and the server lists that their events refer to."""
 
     def __init__(self) -> None:
         self.fronts: dict[int, Front] = {}
-        self.banks: dict[int, tuple[Server, ...]] = {}
+        self.server_lists: dict[int, tuple[Server, ...]] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        batch = wire.decode_batch(frame, self.banks)
+        """The reply to a frame of events. An exception in an instance becomes its action. Raises `WireError`."""
+        batch = wire.decode_batch(frame, self.server_lists)
         pending: dict[int, list[Event]] = {}
         actions: list[tuple[int, Action | wire.Bug]] = []
         for instance, event in batch.events:
@@ -57,16 +59,17 @@
                 raise wire.WireError(f"batch {batch.number}: no instance {instance} was started")
         for instance, events in pending.items():
             try:
-                made = self.fronts[instance].handle(batch.now, events)
+                decided = self.fronts[instance].handle(batch.now, events)
             except Exception as error:
                 traceback.print_exc()
                 actions.append((instance, _bug(error)))
             else:
-                actions.extend((instance, action) for action in made)
+                actions.extend((instance, action) for action in decided)
         return wire.encode_reply(batch.number, actions)
 
 
 def main() -> int:
+    """Answers frames until the input ends. Returns the exit code: 2 for input that cannot be read."""
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     host = Host()
     try:
--- a/lemonhall/interface.py
+++ b/lemonhall/interface.py
@@ -1,6 +1,6 @@
-"""The interface of the decision module: settings, events and actions.
+"""The interface of the decision module: settings, events, actions and reasons.
 
-Times are milliseconds, rates kB a second. Nothing here decides anything.
+Times are in milliseconds, rates in kB/s. The module decides nothing.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 
 class Repeat(Enum):
-    """What a second set-up of one session does."""
+    """Whether a session may be set up a second time."""
 
-    SAFE = "safe"  # nothing
-    KEYED = "keyed"  # nothing, within a group of servers and a window
-    PAID = "paid"  # harm: it is paid for at set-up
+    SAFE = "safe"
+    KEYED = "keyed"  # only within a group of servers and a time window
+    PAID = "paid"  # no, because each set-up is charged
 
 
 class Outcome(IntEnum):
@@ -32,27 +32,35 @@
 
 
 class ServerState(IntEnum):
+    """State of a server by the server list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class ListKind(IntEnum):
+    """What a server list holds."""
+
     FULL = 0
-    FAILED = 1
-    CACHED = 2
-    CHANGES = 4
+    FAILED = 1  # nothing: the list could not be read
+    CACHED = 2  # all servers, as stored earlier
+    CHANGES = 4  # the servers that changed
 
 
 class NoteKind(IntEnum):
-    SHARE = 1  # share of the rate delivered at the server
+    """What a server reports in a note while a session plays."""
+
+    SHARE = 1  # part of the sessions' rates that the server delivers
     RUNG = 2
-    LINK = 3  # asked of the server's link over what it gives
-    UPLINK = 4  # the same of its rack's uplink
+    LINK = 3  # rate demanded of the server's link over its capacity
+    UPLINK = 4  # the same for the uplink of its rack
 
 
 @dataclass(frozen=True)
 class SessionClass:
+    """A class of sessions. Its representation is compared at a handover, so its fields keep their names."""
+
     worth: float
     repeat: Repeat
     aim_ms: float
@@ -61,42 +69,46 @@
     keyed_window_ms: float = 0.0
     floor: int = 0
     top: int = 99
-    scale: float = 1.0  # its rates over the ladder's
-    seats: int = 0  # sessions of one title that a front may hold; 0: no cap
+    scale: float = 1.0  # of the rates of the ladder
+    seats: int = 0  # maximum of sessions of one title at a front; 0: no limit
 
 
 @dataclass(frozen=True)
 class Tenant:
-    quota_per_s: float  # over all fronts; 0: not told
+    """A partner whose sessions count for less worth above its quota."""
+
+    quota_per_s: float  # new sessions over all fronts; 0: no quota
 
 
 @dataclass(frozen=True)
 class Settings:
+    """Settings of the decision module; for rates and counts, 0 means unknown unless stated otherwise."""
+
     classes: tuple[SessionClass, ...]
     ladder_kb: tuple[float, ...]  # rate of each rung
-    ladder_worth: tuple[float, ...]  # what each rung earns of the class's worth
-    places_by_kind: tuple[int, ...]  # streams that a server of the kind runs at most
+    ladder_worth: tuple[float, ...]  # of each rung, as part of the worth of the class
+    places_by_kind: tuple[int, ...]  # maximum of streams of a server of each kind
     link_kb_per_weight: float
     cells: int
     fronts: int = 1
     index: int = 0
     zone: int = 0
-    racks: int = 0  # 0: no racks told
-    uplink_kb: float = 0.0  # mean uplink of a rack; 0: not told
-    all_links_kb: float = 0.0  # all links together; 0: not told
+    racks: int = 0
+    uplink_kb: float = 0.0  # mean uplink of a rack
+    all_links_kb: float = 0.0  # all links together
     weights_are_sizes: bool = False
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0
-    full_from: float = 0.0  # a server turns set-ups away at this link use; 0: never
+    full_from: float = 0.0  # link use from which a server refuses set-ups; 0: never
     report_delay_ms: float = 1000.0
-    reports_every_ms: float = 0.0  # 0: no notes of link use while playing
+    reports_every_ms: float = 0.0  # period of the notes of link use while playing; 0: none
     report_fields: tuple[str, ...] = ()
     stall_cost: float = 0.0
     switch_cost_s: float = 0.0
     move_cost: float = 0.0
     may_probe: bool = False
     may_message_peers: bool = False
-    subscribes: bool = False  # the list must be asked for
+    subscribes: bool = False  # whether the server list must be subscribed to
     pause_advice: bool = True
     max_pause_ms: float = 0.0
     max_attempts: int = 1
@@ -105,13 +117,13 @@
     warm_up_ms: float = 0.0
     overload_factor: float = 1.0
     tip_after_ms: float = 0.0
-    retry_free: float | None = None  # None: further attempts are not rationed
+    retry_free: float | None = None  # retries in each span, beside their share; None: no limit
     retry_share: float = 0.0
     retry_span_ms: float = 0.0
     cross_zone_cost: float = 0.0  # of a session that plays in another zone, as a part of the result
 
     def __post_init__(self) -> None:
-        """What no front can work with is refused at start, with the name of the setting."""
+        """Raises `ValueError` with the name of a setting that no front can work with."""
         checks = {
             "fronts": self.fronts >= 1,
             "classes": bool(self.classes),
@@ -121,19 +133,21 @@
             "link_kb_per_weight": 0 < self.link_kb_per_weight < inf,
             "cells": self.cells >= 1,
         }
-        for name, fine in checks.items():
-            if not fine:
+        for name, valid in checks.items():
+            if not valid:
                 raise ValueError(f"settings: {name} cannot be {getattr(self, name)!r}")
 
 
 @dataclass(frozen=True)
 class Server:
+    """An entry of the server list."""
+
     id: int
     kind: int
     weight: float
     zone: int
     cell: int
-    ready_at: float  # 0: long ago
+    ready_at: float  # start of its current incarnation; 0: long ago
     state: ServerState
 
 
@@ -142,6 +156,8 @@
 
 @dataclass(frozen=True)
 class ServerList:
+    """A new server list or changes of it."""
+
     kind: ListKind
     version: int
     servers: tuple[Server, ...]
@@ -149,16 +165,16 @@
 
 @dataclass(frozen=True)
 class Advice:
-    """What is wished for a session from outside. But for `bars` it binds nothing: terms, room first."""
+    """Wishes from outside the module for a session. Only `bars` binds; terms and room take precedence."""
 
-    prefer: tuple[tuple[str, int], ...] = ()  # (zone, cell, kind or server; number): these servers first
-    avoid: tuple[tuple[str, int], ...] = ()  # these last
-    cap: int = 99  # no rung over it; the floor stands
-    start: int = 99  # begins at this rung or under it
-    pause_ms: float = 0.0  # to be advised if it is refused; 0: as the settings say
-    refuse: bool = False  # unless it has played
-    bars: tuple[int, ...] = ()  # zones that it may not be set up in: a limit, which binds
-    move: bool = False  # off its server, if it plays and another set-up does no harm
+    prefer: tuple[tuple[str, int], ...] = ()  # ("zone", "cell", "kind" or "server"; number): use these first
+    avoid: tuple[tuple[str, int], ...] = ()  # use these last
+    cap: int = 99  # highest rung; it does not lower the floor
+    start: int = 99  # highest rung at the set-up
+    pause_ms: float = 0.0  # to advise if the session is refused; 0: that of the settings
+    refuse: bool = False  # unless the session has played
+    bars: tuple[int, ...] = ()  # zones in which the session must not be set up: a limit
+    move: bool = False  # to another server, if it plays and may be set up again
 
 
 NO_ADVICE = Advice()
@@ -166,26 +182,28 @@
 
 @dataclass(frozen=True)
 class NewSession:
+    """A set-up request that must be answered within `left_ms`."""
+
     id: int
-    cls: int
+    cls: int  # index of its class
     viewer: int
     title: int
     left_ms: float
-    top: int  # the viewer's best rung
-    first_cell: int
+    top: int  # highest rung that the viewer can play
+    first_cell: int  # the title is held by `cells` cells from this one
     cells: int
-    tenant: int = 0
-    length_ms: float = 0.0  # rough; 0: not told
+    tenant: int = 0  # index
+    length_ms: float = 0.0  # estimated; 0: unknown
     moved: bool = False
     repeated: bool = False
     advice: Advice = NO_ADVICE
-    maybe_ran: bool = False  # under an earlier number, at this front or another
-    waited_ms: float = 0.0  # since it was asked for: of the budget for attempts it counts from there
+    maybe_ran: bool = False  # an earlier request for the session, here or at another front, may have run
+    waited_ms: float = 0.0  # since the viewer's request, from which it counts for the budget of retries
 
 
 @dataclass(frozen=True)
 class AdviceChanged:
-    """Other advice for a session that is known: it replaces what was told before."""
+    """New advice for a known session, in place of the earlier advice."""
 
     id: int
     advice: Advice
@@ -193,7 +211,7 @@
 
 @dataclass(frozen=True)
 class FleetChanged:
-    """How many fronts there are now, and this one's rank among them, from 0."""
+    """The number of fronts that now run, and this front's rank among them, from 0."""
 
     fronts: int
     index: int
@@ -201,26 +219,28 @@
 
 @dataclass(frozen=True)
 class HandedOver:
+    """A session that plays and was handed over by the predecessor."""
+
     session: NewSession
     server: int
 
 
 @dataclass(frozen=True)
 class LearnedServerState:
-    """What was learned of one server, with the times at which it was; `ready_at` tells its life."""
+    """Learned state of one server. `ready_at` identifies its incarnation."""
 
     server: int
     ready_at: float
     failure_score: float
     ejected_until: float
     failed_at: float
-    other_fronts_kb: float  # asked of its link by other fronts
+    other_fronts_kb: float  # use of its link by other fronts, as reported at `updated_at`
     updated_at: float
 
 
 @dataclass(frozen=True)
 class LearnedState:
-    """What a front has learned, given by `Front.memory` and told to one that takes its place, or its own."""
+    """Learned state of a front, from `Front.memory`: an event for its successor or its own restart."""
 
     recorded_at: float
     mean_session_ms: float
@@ -232,15 +252,19 @@
 
 @dataclass(frozen=True)
 class Playing:
+    """The set-up succeeded after `took_ms`."""
+
     id: int
     attempt: int
     server: int
     took_ms: float
-    report: tuple[float, ...] = ()  # as in `AttemptEnded`, of now
+    report: tuple[float, ...] = ()  # current values of `Settings.report_fields`
 
 
 @dataclass(frozen=True)
 class Note:
+    """A server's report of a value of `NoteKind` while the session plays."""
+
     id: int
     attempt: int
     server: int
@@ -250,27 +274,35 @@
 
 @dataclass(frozen=True)
 class AttemptEnded:
+    """An attempt ended with a value of `Outcome`."""
+
     id: int
     attempt: int
     server: int
     outcome: int
-    closed: bool
+    closed: bool  # the session is over, so there is nothing to decide
     took_ms: float
-    report: tuple[float, ...] = ()
+    report: tuple[float, ...] = ()  # values of `Settings.report_fields`
 
 
 @dataclass(frozen=True)
 class ViewerGone:
+    """The viewer left while an attempt was out."""
+
     id: int
 
 
 @dataclass(frozen=True)
 class TimerDue:
+    """The timer of `SetTimer` with this token expired."""
+
     token: int
 
 
 @dataclass(frozen=True)
 class ProbeEnded:
+    """The result of `Probe`."""
+
     server: int
     outcome: int
     took_ms: float
@@ -279,6 +311,8 @@
 
 @dataclass(frozen=True)
 class PeerMessage:
+    """A message of `SendToPeers` from another front."""
+
     sender: int
     data: bytes
 
@@ -299,35 +333,35 @@
     | PeerMessage
 )
 
-# Reasons: why a decision was as it was, for who asks after the fact. They bind nothing.
+# Reasons explain decisions afterwards and have no effect.
 
 
 class ReasonCode(IntEnum):
-    """`value` in brackets."""
+    """The reason of a decision. The meaning of `Reason.value` is in brackets."""
 
     DRAINING = 1
-    ALREADY_TRIED = 2  # in this session already
-    RECENT_FAILURE = 3  # fresh evidence against it, and the session is paid [evidence]
-    EJECTED = 4  # left alone [ms more]
-    COLD_START = 5  # not its turn yet
-    FULL = 6  # known full [kB of room]
-    AVOIDED = 7  # set aside by advice
-    CANDIDATE = 8  # may be asked [kB of room]
-    NO_ROOM = 9  # no room in its reserve or the pool [kB asked]
-    RESERVE = 10  # taken, in its own reserve [kB]
-    POOL = 11  # taken, in the pool [kB]
-    SUB_RATED = 12  # taken, others were sub-rated for it [kB]
-    NO_SEAT = 13  # no seat left [seats]
-    GIVEN_UP = 14  # nobody has room, or no attempt is left [attempts]
-    RUNG_LOWERED = 15  # to a lower rung: a pipe is over-asked [its fit]
-    RUNG_RAISED = 16  # to a higher one: room stays [kB of it]
-    RUNG_ADJUSTED = 17  # the rung that its set-up's report leaves room for [kB of it]
-    ZONES_BARRED = 18  # all servers that it may be set up on lie in other zones [servers]
+    ALREADY_TRIED = 2  # in this session
+    RECENT_FAILURE = 3  # and the session is paid [failure score]
+    EJECTED = 4  # [ms until it is used again]
+    COLD_START = 5  # its slow start allows no set-up by this front now
+    FULL = 6  # by its last report [room, kB/s]
+    AVOIDED = 7  # by advice
+    CANDIDATE = 8  # may be used [room, kB/s]
+    NO_ROOM = 9  # neither in its reserve nor in the pool [rate, kB/s]
+    RESERVE = 10  # used, in its reserve [rate, kB/s]
+    POOL = 11  # used, in the pool [rate, kB/s]
+    SUB_RATED = 12  # used, after sub-rating of other sessions [rate, kB/s]
+    NO_SEAT = 13  # [seats of the title]
+    GIVEN_UP = 14  # no server has room, or no attempt is left [attempts]
+    RUNG_LOWERED = 15  # a link exceeds its target [target over use]
+    RUNG_RAISED = 16  # [room, kB/s]
+    RUNG_ADJUSTED = 17  # to the room that the set-up's report shows [room, kB/s]
+    ZONES_BARRED = 18  # all servers with the title are in barred zones [servers listed]
 
 
 @dataclass(frozen=True)
 class Reason:
-    """`age_ms`: of what was known of the server's link; `server` 0: of none."""
+    """`age_ms`: age of the last report of the server's link. `server` 0: the reason concerns no server."""
 
     session: int
     server: int
@@ -341,6 +375,8 @@
 
 @dataclass(frozen=True)
 class SetUp:
+    """Set the session up at the server."""
+
     id: int
     server: int
     timeout_ms: float  # 0: until the viewer gives up
@@ -348,61 +384,83 @@
 
 @dataclass(frozen=True)
 class SetRung:
+    """Set the rung of the session."""
+
     id: int
     rung: int
 
 
 @dataclass(frozen=True)
 class Refuse:
+    """Refuse the request and advise the viewer to retry after the pause."""
+
     id: int
     pause_ms: float
 
 
 @dataclass(frozen=True)
 class Fail:
+    """Fail the request: a paid session that may have run must not be retried."""
+
     id: int
 
 
 @dataclass(frozen=True)
 class Move:
+    """Move the session to another server."""
+
     id: int
 
 
 @dataclass(frozen=True)
 class Cancel:
+    """Cancel the attempt."""
+
     id: int
     attempt: int
 
 
 @dataclass(frozen=True)
 class SetTimer:
+    """Send `TimerDue` with this token after so long."""
+
     token: int
     after_ms: float
 
 
 @dataclass(frozen=True)
 class Probe:
+    """Probe the server; `ProbeEnded` follows."""
+
     server: int
 
 
 @dataclass(frozen=True)
 class SendToPeers:
+    """Send a message to one front, or to all others."""
+
     data: bytes
     to: int | None = None  # None: all
 
 
 @dataclass(frozen=True)
 class Subscribe:
+    """Subscribe to the server list or cancel the subscription."""
+
     on: bool
 
 
 @dataclass(frozen=True)
 class Reload:
+    """Load the server list again."""
+
     pass
 
 
 @dataclass(frozen=True)
 class LogMessage:
+    """Write the text to the log."""
+
     text: str
 
 
--- a/lemonhall/layout.py
+++ b/lemonhall/layout.py
@@ -1,30 +1,30 @@
-"""Where comments and empty lines go when a document is written anew. Shared by the formatters."""
+"""Placement of comments and empty lines in formatted documents. Used by all formatters."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-Comment = tuple[int, bool, str]  # line, whether nothing stands before it, the text
+Comment = tuple[int, bool, str]  # line, whether it is the first token of its line, the text
 
 
 class Layout:
-    """Lines written so far. Comments come out once, in order: before or behind what they stood at."""
+    """The lines of the output. Each comment is written once, in order, before or after its element."""
 
     def __init__(self, comments: Iterable[Comment], blank: frozenset[int]) -> None:
         self.comments, self.blank = list(comments), blank
         self.lines: list[str] = []
-        self.last = 0  # line of the source up to which all is written
+        self.last = 0  # last line of the source that was written
 
     @property
     def opens(self) -> bool:
-        """Whether nothing or the beginning of a block was written last."""
+        """Whether the output is empty or ends with the start of a block."""
         return not self.lines or self.lines[-1].endswith("{")
 
     def put(self, line: str) -> None:
         self.lines.append(line)
 
     def gap(self, line: int) -> None:
-        """An empty line, if the source had one between what was written last and this line."""
+        """Adds an empty line if the source has one between the last line written and this line."""
         if not self.opens and self.lines[-1] and any(n in self.blank for n in range(self.last + 1, line)):
             self.put("")
 
@@ -36,12 +36,12 @@
             self.last = at + text.count("\n")
 
     def before(self, line: int, indent: str) -> None:
-        """Comments and the empty line that stand before a line of the source."""
+        """Writes the comments and the empty line that precede a line of the source."""
         self.comments_before(line, indent)
         self.gap(line)
 
     def after(self, line: int) -> None:
-        """The comment behind what was just written."""
+        """Appends the trailing comment of the line that was just written."""
         while self.comments and self.comments[0][0] == line and not self.comments[0][1]:
             if "\n" in self.comments[0][2]:
                 break
@@ -49,12 +49,12 @@
         self.last = max(self.last, line)
 
     def close(self, line: int, indent: str) -> None:
-        """Comments that stand before the end of a block."""
+        """Writes the comments that precede the end of a block."""
         self.comments_before(line, indent)
         self.last = max(self.last, line)
 
     def text(self) -> str:
-        """All of it, with what comments are left at the end."""
+        """The whole output, with the remaining comments at its end."""
         self.comments_before(1 << 60, "")
         while self.lines and not self.lines[-1]:
             self.lines.pop()
@@ -62,6 +62,6 @@
 
 
 def quoted(text: str) -> str:
-    """A quoted string of KDL 2."""
-    short = {"\\": "\\\\", '"': '\\"', "\n": "\\n", "\r": "\\r", "\t": "\\t"}
-    return '"' + "".join(short.get(c, f"\\u{{{ord(c):x}}}" if ord(c) < 32 else c) for c in text) + '"'
+    """The text as a quoted string of KDL 2."""
+    escapes = {"\\": "\\\\", '"': '\\"', "\n": "\\n", "\r": "\\r", "\t": "\\t"}
+    return '"' + "".join(escapes.get(c, f"\\u{{{ord(c):x}}}" if ord(c) < 32 else c) for c in text) + '"'
--- a/lemonhall/logs.py
+++ b/lemonhall/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard error."""
+"""Structured logging to standard error."""
 
 from __future__ import annotations
 
@@ -10,7 +10,8 @@
 
 
 def configure(form: str) -> None:
-    last = (
+    """Configures structlog; `form` is "json", or anything else for readable lines."""
+    renderer = (
         structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
     )
     processors: list[Any] = [
@@ -19,8 +20,10 @@
         *([structlog.processors.dict_tracebacks] if form == "json" else []),
     ]
     structlog.configure(
-        processors=[*processors, last],
+        processors=[*processors, renderer],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.WriteLoggerFactory(sys.stderr),  # processes share it: a line a write
+        logger_factory=structlog.WriteLoggerFactory(
+            sys.stderr
+        ),  # processes share it, so each line is one write
         cache_logger_on_first_use=True,
     )
--- a/lemonhall/problem.py
+++ b/lemonhall/problem.py
@@ -1,4 +1,4 @@
-"""What is wrong with an input, with its place; all of it at once."""
+"""Problems found in an input file, with their places; all are collected before they are reported."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """File, line and column (from 1; 0: of the file as a whole), what is wrong, what would be right."""
+    """Place (line and column from 1; 0 for the whole file), description and correction of a problem."""
 
     file: str
     line: int
     column: int
     what: str
     fix: str = ""
-    chain: tuple[str, ...] = ()  # files that include this one, the nearest first
+    chain: tuple[str, ...] = ()  # files that include this one, innermost first
 
     def __str__(self) -> str:
         place = f"{self.file}:{self.line}:{self.column}" if self.line else self.file
         fix = f" ({self.fix})" if self.fix else ""
-        via = f" [included from {', from '.join(self.chain)}]" if self.chain else ""
-        return f"{place}: {self.what}{fix}{via}"
+        included = f" [included from {', from '.join(self.chain)}]" if self.chain else ""
+        return f"{place}: {self.what}{fix}{included}"
 
 
 class BadInput(Exception):
-    """Input that cannot be used, with every problem that was found. `BadInput(where, what)` makes one."""
+    """Input that cannot be used, with all problems found. `BadInput(file, what)` holds a single problem."""
 
     def __init__(self, problems: Iterable[Problem] | str, what: str = "") -> None:
         listed = [Problem(problems, 0, 0, what)] if isinstance(problems, str) else list(problems)
@@ -35,7 +35,7 @@
 
 
 def nearest(name: str, known: Iterable[str]) -> str:
-    """A fix for a name that is none: the nearest by letters, else what there is."""
+    """A correction for an unknown name: the most similar known name, else the list if it is short."""
     names = list(dict.fromkeys(known))
     if close := get_close_matches(name, names, 1, 0.6):
         return f"did you mean {close[0]}?"
--- a/lemonhall/wire.py
+++ b/lemonhall/wire.py
@@ -1,11 +1,11 @@
-"""The codec of the wire: frames of big-endian records. Nothing here decides anything."""
+"""Codec of the adapter's protocol: frames of big-endian records."""
 
 from __future__ import annotations
 
 import struct
 from dataclasses import dataclass
 
-from lemonhall import interface as i
+from lemonhall import interface
 
 EVENT_SIZE = 64
 ACTION_SIZE = 24
@@ -14,8 +14,10 @@
 ENTRY = struct.Struct(">HfIHHdB")
 ALL_PEERS = 0xFFFF
 
+# Codes of action records.
 NOTIFY, TEST, TRANSFER, ISSUE, DROP_CONNS, LISTEN, BUSY = 1, 2, 3, 4, 5, 6, 7
 CHOOSE_RATE, BUG, RESPOND_ERROR, RELOAD, REMARK, SCHEDULE, ABANDON = 8, 9, 10, 11, 12, 13, 14
+# Codes of event records.
 MAIL, POOL, PING_RESULT, NOTE, ABANDONED, HANDOVER, TARGETS = 1, 2, 3, 4, 5, 6, 7
 DEADLINE_HIT, NEW_REQUEST, REPORT_BACK, BORN, RETIRE, HEAD_RECEIVED = 8, 9, 10, 11, 12, 13
 
@@ -48,48 +50,60 @@
 
 
 class WireError(Exception):
-    """A frame or the settings cannot be read; the text says what and where."""
+    """A frame or the settings cannot be read. The text names the place and the fault."""
 
 
 @dataclass(frozen=True)
 class Born:
+    """An instance starts."""
+
     seed: int
-    settings: i.Settings
+    settings: interface.Settings
 
 
 @dataclass(frozen=True)
 class Retired:
+    """An instance ends."""
+
     pass
 
 
 @dataclass(frozen=True)
 class Bug:
+    """An exception in an instance, reported in place of its actions."""
+
     text: str
 
 
 @dataclass(frozen=True)
 class Batch:
+    """A frame of events, each with the number of its instance."""
+
     now: float
     number: int
-    events: list[tuple[int, i.Event | Born | Retired]]
+    events: list[tuple[int, interface.Event | Born | Retired]]
 
 
 def frame_length(header: bytes) -> int:
+    """Bytes of the whole frame. Raises `WireError`."""
     length: int = HEADER.unpack(header)[1]
     if length < HEADER.size:
         raise WireError(f"frame length {length} is shorter than its header of {HEADER.size} bytes")
     return length
 
 
-def decode_batch(frame: bytes, banks: dict[int, tuple[i.Server, ...]]) -> Batch:
-    """Read one frame. `banks` holds the numbered server lists and is updated in event order."""
+def decode_batch(frame: bytes, server_lists: dict[int, tuple[interface.Server, ...]]) -> Batch:
+    """Reads one frame. `server_lists` holds the numbered server lists and is updated in the order of records.
+
+    Raises `WireError`.
+    """
     now, length, count, number = HEADER.unpack_from(frame)
     if length != len(frame):
         raise WireError(f"batch {number}: length field says {length}, frame has {len(frame)} bytes")
     tail = HEADER.size + count * EVENT_SIZE
     if tail > length:
         raise WireError(f"batch {number}: {count} records do not fit into {length} bytes")
-    events: list[tuple[int, i.Event | Born | Retired]] = []
+    events: list[tuple[int, interface.Event | Born | Retired]] = []
     for n in range(count):
         offset = HEADER.size + n * EVENT_SIZE
         code = frame[offset]
@@ -99,9 +113,9 @@
             raise WireError(f"{where}: unknown record code {code}")
         fields = layout.unpack_from(frame, offset)
         if code == POOL:
-            banks[fields[0]] = _entries(frame, tail, fields[1], fields[2], where)
+            server_lists[fields[0]] = _entries(frame, tail, fields[1], fields[2], where)
         else:
-            events.append((fields[0], _event(code, fields, frame, tail, banks, where)))
+            events.append((fields[0], _event(code, fields, frame, tail, server_lists, where)))
     return Batch(now, number, events)
 
 
@@ -112,12 +126,14 @@
     return frame[start : start + size]
 
 
-def _entries(frame: bytes, tail: int, offset: int, count: int, where: str) -> tuple[i.Server, ...]:
+def _entries(frame: bytes, tail: int, offset: int, count: int, where: str) -> tuple[interface.Server, ...]:
     data = _slice(frame, tail, offset, count * ENTRY.size, where)
     servers = []
     for kind, weight, server, zone, cell, ready_at, state in ENTRY.iter_unpack(data):
         try:
-            servers.append(i.Server(server, kind, weight, zone, cell, ready_at, i.ServerState(state)))
+            servers.append(
+                interface.Server(server, kind, weight, zone, cell, ready_at, interface.ServerState(state))
+            )
         except ValueError:
             raise WireError(f"{where}: unknown state {state} of server {server}") from None
     return tuple(servers)
@@ -125,130 +141,136 @@
 
 def _event(
     code: int,
-    f: tuple,  # type: ignore[type-arg]
+    fields: tuple,  # type: ignore[type-arg]
     frame: bytes,
     tail: int,
-    banks: dict[int, tuple[i.Server, ...]],
+    server_lists: dict[int, tuple[interface.Server, ...]],
     where: str,
-) -> i.Event | Born | Retired:
+) -> interface.Event | Born | Retired:
     if code == NEW_REQUEST:
-        _, ref, viewer, title, left, opts, work, cells, tenant, cls, top, first = f
-        return _session(ref, cls, viewer, title, left, top, first, cells, tenant, work, opts)
+        _, number, viewer, title, left_ms, flags, length_ms, cells, tenant, cls, top, first_cell = fields
+        return _session(number, cls, viewer, title, left_ms, top, first_cell, cells, tenant, length_ms, flags)
     if code == REPORT_BACK:
-        _, ref, closed, attempt, server, took, status, n, *load = f
-        return i.AttemptEnded(ref, attempt, server, status, closed != 0, took, tuple(load[:n]))
+        _, number, closed, attempt, server, took_ms, status, count, *report = fields
+        return interface.AttemptEnded(
+            number, attempt, server, status, closed != 0, took_ms, tuple(report[:count])
+        )
     if code == NOTE:
-        return i.Note(*f[1:])
+        return interface.Note(*fields[1:])
     if code == HEAD_RECEIVED:
-        return i.Playing(*f[1:])
+        return interface.Playing(*fields[1:])
     if code == DEADLINE_HIT:
-        return i.TimerDue(f[1])
+        return interface.TimerDue(fields[1])
     if code == ABANDONED:
-        return i.ViewerGone(f[1])
+        return interface.ViewerGone(fields[1])
     if code == TARGETS:
         try:
-            kind = i.ListKind(f[1])
+            kind = interface.ListKind(fields[1])
         except ValueError:
-            raise WireError(f"{where}: unknown kind {f[1]} of server list") from None
-        if kind == i.ListKind.FAILED:
-            return i.ServerList(kind, f[2], ())
-        if f[3] not in banks:
-            raise WireError(f"{where}: no server list number {f[3]}")
-        return i.ServerList(kind, f[2], banks[f[3]])
+            raise WireError(f"{where}: unknown kind {fields[1]} of server list") from None
+        if kind == interface.ListKind.FAILED:
+            return interface.ServerList(kind, fields[2], ())
+        if fields[3] not in server_lists:
+            raise WireError(f"{where}: no server list number {fields[3]}")
+        return interface.ServerList(kind, fields[2], server_lists[fields[3]])
     if code == HANDOVER:
-        _, ref, cls, tenant, viewer, title, left, work, first, cells, top, opts, server = f
-        return i.HandedOver(
-            _session(ref, cls, viewer, title, left, top, first, cells, tenant, work, opts), server
+        _, number, cls, tenant, viewer, title, left_ms, length_ms, first_cell, cells, top, flags, server = (
+            fields
+        )
+        return interface.HandedOver(
+            _session(number, cls, viewer, title, left_ms, top, first_cell, cells, tenant, length_ms, flags),
+            server,
         )
     if code == PING_RESULT:
-        _, status, server, took, n, *load = f
-        return i.ProbeEnded(server, status, took, tuple(load[:n]))
+        _, status, server, took_ms, count, *report = fields
+        return interface.ProbeEnded(server, status, took_ms, tuple(report[:count]))
     if code == MAIL:
-        return i.PeerMessage(f[1], _slice(frame, tail, f[2], f[3], where))
+        return interface.PeerMessage(fields[1], _slice(frame, tail, fields[2], fields[3], where))
     if code == BORN:
-        text = _slice(frame, tail, f[2], f[3], where).decode("utf-8", "replace")
-        return Born(f[1], read_settings(text))
+        text = _slice(frame, tail, fields[2], fields[3], where).decode("utf-8", "replace")
+        return Born(fields[1], read_settings(text))
     return Retired()
 
 
 def _session(
-    ref: int,
+    number: int,
     cls: int,
     viewer: int,
     title: int,
-    left: float,
+    left_ms: float,
     top: float,
-    first: float,
+    first_cell: float,
     cells: float,
     tenant: int,
-    work: float,
-    opts: int,
-) -> i.NewSession:
-    return i.NewSession(
-        ref,
+    length_ms: float,
+    flags: int,
+) -> interface.NewSession:
+    return interface.NewSession(
+        number,
         cls,
         viewer,
         title,
-        left,
+        left_ms,
         int(top),
-        int(first),
+        int(first_cell),
         int(cells),
         tenant,
-        work,
-        bool(opts & _MOVED),
-        bool(opts & _AGAIN),
+        length_ms,
+        bool(flags & _MOVED),
+        bool(flags & _AGAIN),
     )
 
 
-def encode_reply(number: int, actions: list[tuple[int, i.Action | Bug]]) -> bytes:
+def encode_reply(number: int, actions: list[tuple[int, interface.Action | Bug]]) -> bytes:
+    """The reply to batch `number`: actions with the numbers of their instances."""
     records: list[bytes] = []
     tail = bytearray()
-    for inst, action in actions:
-        records.append(_record(inst, action, tail))
+    for instance, action in actions:
+        records.append(_record(instance, action, tail))
     length = REPLY_HEADER.size + ACTION_SIZE * len(records) + len(tail)
     return b"".join([REPLY_HEADER.pack(len(records), length, number), *records, tail])
 
 
-def _record(inst: int, a: i.Action | Bug, tail: bytearray) -> bytes:
-    if isinstance(a, i.SetUp):
-        return _ISSUE.pack(ISSUE, inst, a.id, a.server, a.timeout_ms)
-    if isinstance(a, i.SetRung):
-        return _CHOOSE_RATE.pack(CHOOSE_RATE, inst, a.id, a.rung)
-    if isinstance(a, i.SetTimer):
-        return _SCHEDULE.pack(SCHEDULE, inst, a.token, a.after_ms)
-    if isinstance(a, i.Refuse):
-        return _BUSY.pack(BUSY, inst, a.id, a.pause_ms)
-    if isinstance(a, i.Fail):
-        return _REF.pack(RESPOND_ERROR, inst, a.id)
-    if isinstance(a, i.Move):
-        return _REF.pack(TRANSFER, inst, a.id)
-    if isinstance(a, i.Probe):
-        return _REF.pack(TEST, inst, a.server)
-    if isinstance(a, i.Cancel):
-        return _ABANDON.pack(ABANDON, inst, a.id, a.attempt)
-    if isinstance(a, i.Subscribe):
-        return _LISTEN.pack(LISTEN, inst, a.on)
-    if isinstance(a, i.Reload):
-        return _RELOAD.pack(RELOAD, inst)
+def _record(instance: int, action: interface.Action | Bug, tail: bytearray) -> bytes:
+    if isinstance(action, interface.SetUp):
+        return _ISSUE.pack(ISSUE, instance, action.id, action.server, action.timeout_ms)
+    if isinstance(action, interface.SetRung):
+        return _CHOOSE_RATE.pack(CHOOSE_RATE, instance, action.id, action.rung)
+    if isinstance(action, interface.SetTimer):
+        return _SCHEDULE.pack(SCHEDULE, instance, action.token, action.after_ms)
+    if isinstance(action, interface.Refuse):
+        return _BUSY.pack(BUSY, instance, action.id, action.pause_ms)
+    if isinstance(action, interface.Fail):
+        return _REF.pack(RESPOND_ERROR, instance, action.id)
+    if isinstance(action, interface.Move):
+        return _REF.pack(TRANSFER, instance, action.id)
+    if isinstance(action, interface.Probe):
+        return _REF.pack(TEST, instance, action.server)
+    if isinstance(action, interface.Cancel):
+        return _ABANDON.pack(ABANDON, instance, action.id, action.attempt)
+    if isinstance(action, interface.Subscribe):
+        return _LISTEN.pack(LISTEN, instance, action.on)
+    if isinstance(action, interface.Reload):
+        return _RELOAD.pack(RELOAD, instance)
     offset = len(tail)
-    if isinstance(a, i.SendToPeers):
-        tail += a.data
-        to = ALL_PEERS if a.to is None else a.to
-        return _NOTIFY.pack(NOTIFY, inst, to, offset, len(a.data))
-    text = a.text.encode()
+    if isinstance(action, interface.SendToPeers):
+        tail += action.data
+        to = ALL_PEERS if action.to is None else action.to
+        return _NOTIFY.pack(NOTIFY, instance, to, offset, len(action.data))
+    text = action.text.encode()
     tail += text
-    return _TEXT.pack(BUG if isinstance(a, Bug) else REMARK, inst, offset, len(text))
+    return _TEXT.pack(BUG if isinstance(action, Bug) else REMARK, instance, offset, len(text))
 
 
 _REPEATS = {
-    "idempotent": i.Repeat.SAFE,
-    "deduplicated": i.Repeat.KEYED,
-    "at_most_once": i.Repeat.PAID,
+    "idempotent": interface.Repeat.SAFE,
+    "deduplicated": interface.Repeat.KEYED,
+    "at_most_once": interface.Repeat.PAID,
 }
 
 
 class Pairs:
-    """The settings' pairs as typed look-ups; unknown keys are never asked for."""
+    """Typed access to the settings. Unknown keys are ignored; each method raises `WireError`."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self.pairs = pairs
@@ -282,36 +304,36 @@
             raise WireError(f"settings: {key} is not a list of numbers: {value}") from None
 
 
-def read_settings(text: str) -> i.Settings:
-    """Of the first message: a pair a line."""
+def read_settings(text: str) -> interface.Settings:
+    """The settings of the first message, with one `key=value` per line. Raises `WireError`."""
     return settings_of(dict(line.split("=", 1) for line in text.splitlines() if "=" in line))
 
 
-def settings_of(pairs: dict[str, str]) -> i.Settings:
-    """Settings by their paths, wherever they were written. Raises `WireError`."""
-    p = Pairs(pairs)
-    rates = p.numbers("specifics.ratesKb", required=True)
-    worths = p.numbers("specifics.levelWorth", required=True)
+def settings_of(pairs: dict[str, str]) -> interface.Settings:
+    """Settings from their keys, whatever file they come from. Raises `WireError`."""
+    values = Pairs(pairs)
+    rates = values.numbers("specifics.ratesKb", required=True)
+    worths = values.numbers("specifics.levelWorth", required=True)
     if len(rates) != len(worths) or not rates:
         raise WireError("settings: specifics.ratesKb and specifics.levelWorth differ in length")
-    floors = p.numbers("specifics.classFloor")
-    tops = p.numbers("specifics.classTop")
-    scales = p.numbers("specifics.scaleByClass")
-    seats = p.numbers("specifics.classSeats")
+    floors = values.numbers("specifics.classFloor")
+    tops = values.numbers("specifics.classTop")
+    scales = values.numbers("specifics.scaleByClass")
+    seats = values.numbers("specifics.classSeats")
     classes = []
-    for n in range(p.whole("classes.count")):
+    for n in range(values.whole("classes.count")):
         key = f"classes.{n}."
-        repeat = p.text(key + "semantics")
+        repeat = values.text(key + "semantics")
         if repeat not in _REPEATS:
             raise WireError(f"settings: {key}semantics is unknown: {repeat}")
         classes.append(
-            i.SessionClass(
-                worth=p.number(key + "worth"),
+            interface.SessionClass(
+                worth=values.number(key + "worth"),
                 repeat=_REPEATS[repeat],
-                aim_ms=p.number(key + "promise"),
-                deadline_ms=p.number(key + "hardLimit"),
-                keyed_group=p.text(key + "group", "all"),
-                keyed_window_ms=p.number(key + "keyTtl", 0.0),
+                aim_ms=values.number(key + "promise"),
+                deadline_ms=values.number(key + "hardLimit"),
+                keyed_group=values.text(key + "group", "all"),
+                keyed_window_ms=values.number(key + "keyTtl", 0.0),
                 floor=int(_at(floors, n, 0)),
                 top=min(int(_at(tops, n, len(rates) - 1)), len(rates) - 1),
                 scale=_at(scales, n, 1.0),
@@ -319,49 +341,50 @@
             )
         )
     tenants = tuple(
-        i.Tenant(p.number(f"customers.{n}.quotaRps", 0.0)) for n in range(p.whole("customers.count", 0))
+        interface.Tenant(values.number(f"customers.{n}.quotaRps", 0.0))
+        for n in range(values.whole("customers.count", 0))
     )
-    rationed = "rules.budgetFree" in p.pairs or "rules.resendRatio" in p.pairs
-    return i.Settings(
+    has_retry_budget = "rules.budgetFree" in values.pairs or "rules.resendRatio" in values.pairs
+    return interface.Settings(
         classes=tuple(classes),
         ladder_kb=rates,
         ladder_worth=worths,
-        places_by_kind=tuple(int(v) for v in p.numbers("specifics.placesByKind", required=True)),
-        link_kb_per_weight=p.number("specifics.kbPerWeight"),
-        cells=p.whole("specifics.positions"),
-        fronts=p.whole("replicasOfMe", 1),
-        index=p.whole("selfIndex", 0),
-        zone=p.whole("myZone", 0),
-        racks=p.whole("specifics.racks", 0),
-        uplink_kb=p.number("specifics.uplinkKb", 0.0),
-        all_links_kb=p.number("specifics.fleetKb", 0.0),
-        weights_are_sizes=p.text("weightSource", "none") != "none",
+        places_by_kind=tuple(int(v) for v in values.numbers("specifics.placesByKind", required=True)),
+        link_kb_per_weight=values.number("specifics.kbPerWeight"),
+        cells=values.whole("specifics.positions"),
+        fronts=values.whole("replicasOfMe", 1),
+        index=values.whole("selfIndex", 0),
+        zone=values.whole("myZone", 0),
+        racks=values.whole("specifics.racks", 0),
+        uplink_kb=values.number("specifics.uplinkKb", 0.0),
+        all_links_kb=values.number("specifics.fleetKb", 0.0),
+        weights_are_sizes=values.text("weightSource", "none") != "none",
         tenants=tenants,
-        over_share_worth=p.number("overShareWorth", 1.0),
-        full_from=p.number("specifics.fullFrom", 0.0),
-        report_delay_ms=p.number("specifics.toldLate", 1000.0),
-        reports_every_ms=p.number("specifics.reportsEvery", 0.0),
-        report_fields=tuple(v for v in p.text("report.fields", "").split(",") if v),
-        stall_cost=p.number("specifics.stallCost", 0.0),
-        switch_cost_s=p.number("specifics.switchCostS", 0.0),
-        move_cost=p.number("costs.moves", 0.0),
-        cross_zone_cost=p.number("costs.crossZone", 0.0),
-        may_probe=p.flag("caps.probing"),
-        may_message_peers=p.flag("caps.peerMessages"),
-        subscribes=p.text("discovery", "automatic") == "subscribe",
-        pause_advice=p.flag("caps.retryAfter"),
-        max_pause_ms=p.number("caps.maxRetryAfter", 0.0),
-        max_attempts=p.whole("caps.maxAttempts", 1),
-        connect_timeout_ms=p.number("caps.connectTimeout", 250.0),
-        cold_from=p.number("rules.coldFrom", 1.0),
-        warm_up_ms=p.number("rules.warmWithin", 0.0),
-        overload_factor=p.number("rules.overloadFactor", 1.0),
-        tip_after_ms=p.number("rules.tipAfter", 0.0),
-        retry_free=p.number("rules.budgetFree", 0.0) if rationed else None,
-        retry_share=p.number("rules.resendRatio", 0.0),
-        retry_span_ms=p.number("rules.resendSpan", 0.0),
+        over_share_worth=values.number("overShareWorth", 1.0),
+        full_from=values.number("specifics.fullFrom", 0.0),
+        report_delay_ms=values.number("specifics.toldLate", 1000.0),
+        reports_every_ms=values.number("specifics.reportsEvery", 0.0),
+        report_fields=tuple(v for v in values.text("report.fields", "").split(",") if v),
+        stall_cost=values.number("specifics.stallCost", 0.0),
+        switch_cost_s=values.number("specifics.switchCostS", 0.0),
+        move_cost=values.number("costs.moves", 0.0),
+        cross_zone_cost=values.number("costs.crossZone", 0.0),
+        may_probe=values.flag("caps.probing"),
+        may_message_peers=values.flag("caps.peerMessages"),
+        subscribes=values.text("discovery", "automatic") == "subscribe",
+        pause_advice=values.flag("caps.retryAfter"),
+        max_pause_ms=values.number("caps.maxRetryAfter", 0.0),
+        max_attempts=values.whole("caps.maxAttempts", 1),
+        connect_timeout_ms=values.number("caps.connectTimeout", 250.0),
+        cold_from=values.number("rules.coldFrom", 1.0),
+        warm_up_ms=values.number("rules.warmWithin", 0.0),
+        overload_factor=values.number("rules.overloadFactor", 1.0),
+        tip_after_ms=values.number("rules.tipAfter", 0.0),
+        retry_free=values.number("rules.budgetFree", 0.0) if has_retry_budget else None,
+        retry_share=values.number("rules.resendRatio", 0.0),
+        retry_span_ms=values.number("rules.resendSpan", 0.0),
     )
 
 
-def _at(values: tuple[float, ...], n: int, default: float) -> float:
-    return values[n] if n < len(values) else default
+def _at(listed: tuple[float, ...], n: int, default: float) -> float:
+    return listed[n] if n < len(listed) else default
