--- a/lemonhall/adapter.py
+++ b/lemonhall/adapter.py
@@ -1,4 +1,4 @@
-"""Runs a decision module for each front instance; reads events on standard input, writes actions to output."""
+"""Runs a decision module for each front: events on standard input, actions on standard output."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
-    """The next frame, or None at the end of the input. Raises `WireError` if the input ends within a frame."""
+    """The next frame, or None at the end of the input. Raises `WireError` if it ends within a frame."""
     header = source.read(wire.HEADER.size)
     if not header:
         return None
@@ -37,7 +37,10 @@
         self.server_lists: dict[int, tuple[Server, ...]] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to a frame of events. An exception in an instance becomes its action. Raises `WireError`."""
+        """The reply to a frame of events. An exception in an instance is sent as an action of it.
+
+        Raises `WireError`.
+        """
         batch = wire.decode_batch(frame, self.server_lists)
         pending: dict[int, list[Event]] = {}
         actions: list[tuple[int, Action | wire.Bug]] = []
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -25,19 +25,20 @@
     return subprocess.run(command, cwd=ROOT, input=data, capture_output=True, timeout=60, env=env)
 
 
-def test_starts_by_the_deploy_file_and_ends_with_its_input() -> None:
+def test_it_starts_by_the_deploy_file_and_ends_with_its_input() -> None:
     done = start(EMPTY)
     assert (done.returncode, done.stdout) == (0, bytes.fromhex("00000000 0000000c 00000001"))
 
 
 @pytest.mark.parametrize(
-    ("data", "says"), [(EMPTY[:7], b"within a frame header"), (EMPTY[:15] + b"\x01" + EMPTY[16:], b"record")]
+    ("data", "reason"),
+    [(EMPTY[:7], b"within a frame header"), (EMPTY[:15] + b"\x01" + EMPTY[16:], b"record")],
 )
-def test_bad_input_ends_it_with_one_line(data: bytes, says: bytes) -> None:
+def test_malformed_input_ends_it_with_one_line_on_standard_error(data: bytes, reason: bytes) -> None:
     done = start(data if len(data) < 20 else data[:12] + b"\0\0\0\x01" + data[16:])
     assert done.returncode != 0
     assert done.stderr.count(b"\n") == 1
-    assert says in done.stderr
+    assert reason in done.stderr
 
 
 def undocumented(tree: ast.Module) -> list[str]:
@@ -67,7 +68,7 @@
     assert undocumented(ast.parse(text)) == ["d", "E", "b"]
 
 
-def test_exception_in_the_module_becomes_the_fault_action(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_the_module_is_sent_as_an_action(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(*_: object) -> list[object]:
         raise ValueError("no such thing")
 
@@ -81,6 +82,6 @@
     assert reply.endswith(b"ValueError: no such thing")
 
 
-def test_names_in_the_settings_change_nothing() -> None:
+def test_names_in_the_settings_have_no_effect() -> None:
     renamed = SETTINGS + "classes.0.name=other\nareas=x,y\nmachineTypes=m\ncustomers.0.name=z\n"
     assert wire.read_settings(renamed) == wire.read_settings(SETTINGS)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Method II against the paper's equations written out term by term, and its limit cases."""
+"""Method II compared with the equations of the paper, written out term by term, and its limit cases."""
 
 from math import factorial
 
@@ -42,7 +42,7 @@
         (12, 15.0, 10.0, 5.0),
     ],
 )
-def test_split_is_the_best_of_all_by_the_written_out_equations(
+def test_reserves_have_the_best_pay_off_of_all_by_the_equations(
     slots: int, high: float, low: float, v_high: float
 ) -> None:
     splits = [(h, n) for h in range(slots + 1) for n in range(slots + 1 - h)]
@@ -51,15 +51,15 @@
     assert pay_off(*chosen, slots, high, low, v_high, 1.0) == pytest.approx(best, abs=1e-7)
 
 
-def test_no_traffic_or_no_premium_traffic_reserves_nothing_for_premium() -> None:
+def test_without_premium_traffic_nothing_is_reserved_for_it() -> None:
     assert best_reserves(10, 0.0, 0.0, 3.0, 1.0) == (0, 0)
     assert best_reserves(10, 0.0, 8.0, 3.0, 1.0)[0] == 0
 
 
-def test_flood_of_premium_takes_every_slot() -> None:
+def test_under_a_surge_of_premium_traffic_all_slots_are_reserved_for_it() -> None:
     assert best_reserves(8, 60.0, 8.0, 10.0, 1.0)[0] == 8
 
 
-def test_blocking_matches_its_closed_form() -> None:
+def test_blocking_matches_the_closed_form() -> None:
     assert erlang_blocking(3.0, 5)[5] == pytest.approx(state(3.0, 5, 5))
     assert erlang_blocking(0.0, 3) == [1.0, 0.0, 0.0, 0.0]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec on the examples of the wire page, and what malformed input gives."""
+"""The codec with the examples of the page on the protocol, and with malformed input."""
 
 import struct
 
@@ -50,7 +50,7 @@
     assert wire.encode_reply(1, []) == bytes.fromhex("00000000 0000000c 00000001")
 
 
-def test_events_of_the_wire_page() -> None:
+def test_events_of_the_page_are_decoded() -> None:
     got = events(
         REQUEST,
         "08 0003 000000000000004d",
@@ -78,7 +78,7 @@
     assert got[7].took_ms == pytest.approx(1.4)
 
 
-def test_list_and_mail_read_their_tail() -> None:
+def test_lists_and_messages_are_read_from_the_tail() -> None:
     entries = bytes.fromhex(
         "0000 3f800000 03124a07 0000 0000 0000000000000000 01"
         "0000 3fc00000 2c9011f2 0001 0000 40b7d40000000000 01"
@@ -90,7 +90,7 @@
     assert events("01 0003 0002 00000000 00000004", tail=b"hi 7") == [PeerMessage(2, b"hi 7")]
 
 
-def test_reply_of_the_wire_page() -> None:
+def test_the_reply_of_the_page_is_encoded() -> None:
     reply = wire.encode_reply(
         12,
         [
@@ -111,16 +111,16 @@
     )
 
 
-def test_other_actions() -> None:
+def test_other_actions_are_encoded() -> None:
     reply = wire.encode_reply(1, [(3, SetRung(0x5D3A91C4, 2)), (3, Refuse(0x0E6F2B19, 250.0))])
     assert reply[12:36] == bytes.fromhex("08 0003 5d3a91c4 02" + "00" * 16)
     assert reply[36:60] == bytes.fromhex("07 0003 0e6f2b19 406f400000000000" + "00" * 9)
-    told = wire.encode_reply(1, [(3, SendToPeers(b"hi 7"))])
-    assert told[12:36] == bytes.fromhex("01 0003 ffff 00000000 00000004" + "00" * 11)
+    reply = wire.encode_reply(1, [(3, SendToPeers(b"hi 7"))])
+    assert reply[12:36] == bytes.fromhex("01 0003 ffff 00000000 00000004" + "00" * 11)
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "reason"),
     [
         (frame("63 0003"), "unknown record code 99"),
         (frame(REQUEST)[:-10], "length field"),
@@ -129,8 +129,8 @@
         (frame("01 0003 0002 00000000 00000004"), "beyond the frame"),
     ],
 )
-def test_malformed_frames_are_named(data: bytes, says: str) -> None:
-    with pytest.raises(wire.WireError, match=says):
+def test_malformed_frames_are_refused_with_a_reason(data: bytes, reason: str) -> None:
+    with pytest.raises(wire.WireError, match=reason):
         wire.decode_batch(data, {})
 
 
@@ -148,7 +148,7 @@
 """
 
 
-def test_settings_skip_the_unknown_and_name_the_missing() -> None:
+def test_unknown_settings_are_ignored_and_missing_ones_are_named() -> None:
     read = wire.read_settings(SETTINGS)
     assert (read.classes[0].repeat, read.classes[0].top, read.fronts) == (Repeat.PAID, 1, 1)
     assert read.retry_free is None
