--- a/lemonhall/model/played/limited.py
+++ b/lemonhall/model/played/limited.py
@@ -7,11 +7,11 @@
 from typing import Any, Protocol
 
 from lemonhall import interface as i
-from lemonhall.limits import Limits, Plan, Ruling
-from lemonhall.limits.escrow import TICKS
+from lemonhall.limits import AdmissionDecision, FleetLimits, LimitSettings
+from lemonhall.limits.escrow import TICKS_PER_PERIOD
 
 PERIOD_MS = 500.0  # of members, as days on sockets have it
-MOVES = Ruling()
+MOVES = AdmissionDecision()
 
 
 class Front(Protocol):
@@ -36,10 +36,10 @@
         world = front.world
         self.front, self.world, self.hop_ms, self.loss = front, world, hop_ms, loss
         self.life = front.life
-        plan = Plan.of(world.day.terms, PERIOD_MS)
+        plan = LimitSettings.of(world.day.terms, PERIOD_MS)
         random = Random(world.seed * 1000 + front.index + 7 * front.life)
         fronts, now = len(world.day.fronts), world.sim.now
-        self.machine = Limits(plan, front.index, fronts, front.hall, front.life, random, now)
+        self.machine = FleetLimits(plan, front.index, fronts, front.hall, front.life, random, now)
         self.machine.escrow.members = tuple(range(fronts))
         self.bytes = 0
         self.tick()
@@ -53,7 +53,7 @@
         if self.front.limits in (None, self) and self.front.life == self.life:
             if self.runs:
                 self.say()
-            self.world.sim.after(self.machine.plan.period_ms / TICKS, self.tick)
+            self.world.sim.after(self.machine.settings.period_ms / TICKS_PER_PERIOD, self.tick)
 
     def say(self) -> None:
         for out in self.machine.tick(self.world.sim.now):
@@ -68,13 +68,13 @@
 
     def hear(self, sender: int, data: bytes) -> None:
         if self.runs:
-            self.machine.hear(self.world.sim.now, sender, data)
-            if self.machine.escrow.answer or self.machine.escrow.recalled:
+            self.machine.receive(self.world.sim.now, sender, data)
+            if self.machine.escrow.pending_replies or self.machine.escrow.pending_recalls:
                 self.say()
             self.obey()
 
     def obey(self) -> None:
-        ends, self.machine.ends = self.machine.ends, []
+        ends, self.machine.sessions_to_end = self.machine.sessions_to_end, []
         for number in ends:
             ask = self.front.asks.get(number)
             if ask and ask.attempt:
@@ -83,27 +83,27 @@
 
     def advise(self, ask: Any, advice: i.Advice) -> i.Advice:
         wish, now = ask.viewer.wish, self.world.sim.now
-        if ask.moved and self.machine.unpark(now, ask.number, str(wish.number)):
+        if ask.moved and self.machine.resume_after_move(now, ask.number, str(wish.number)):
             return advice
-        ruling = self.machine.ask(
+        ruling = self.machine.admit(
             now, ask.number, wish.tenant, wish.cls, f"{wish.path}{wish.title}", wish.top
         )
         self.obey()
-        if ruling.refused:
+        if ruling.refused_by:
             self.world.count("over_limit")
-            return replace(advice, refuse=True, pause_ms=max(1.0, ruling.pause_ms))
-        return replace(advice, cap=min(advice.cap, ruling.cap))
+            return replace(advice, refuse=True, pause_ms=max(1.0, ruling.retry_after_ms))
+        return replace(advice, cap=min(advice.cap, ruling.rung_cap))
 
     def may(self, ask: Any) -> bool:
-        fine = self.machine.may(self.world.sim.now, ask.number)
+        fine = self.machine.may_start_set_up(self.world.sim.now, ask.number)
         self.obey()
         return fine
 
     def over(self, ask: Any) -> None:
         if ask.viewer.moving and not ask.gone:
-            self.machine.park(self.world.sim.now, ask.number, str(ask.viewer.wish.number))
+            self.machine.hold_for_move(self.world.sim.now, ask.number, str(ask.viewer.wish.number))
         else:
-            self.machine.over(self.world.sim.now, ask.number)
+            self.machine.release(self.world.sim.now, ask.number)
 
 
 def hear(front: Front, sender: int, data: bytes) -> None:
