--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""Imports go down only, and the pure parts touch neither sockets nor clocks. Read from the source itself."""
+"""Modules import lower layers only, and pure modules use neither sockets nor clocks, by their source."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1] / "lemonhall"
-FLOORS = {
+LAYERS = {
     "cli": 7,
     "day": 6,
     "ipc": 3,
@@ -18,8 +18,8 @@
     "node": 3,
     "front": 4,
     "standins": 4,
-    "links": 5,  # a stand-in like those below it, with their tap and their commands
-    "model": 5,  # it plays days and holds them against the audit; nobody imports it but the command line
+    "links": 5,  # a stand-in that uses the tap and the commands of `standins`
+    "model": 5,  # plays days and audits them; only the command line imports it
     "audit": 4,
     "hooks": 3,
     "config": 3,
@@ -36,7 +36,7 @@
     "layout": 0,
     "logs": 0,
 }
-BESIDE = ("adapter", "wire", "__init__", "__main__")
+UNLAYERED = ("adapter", "wire", "__init__", "__main__")
 PURE = (
     "decide.py",
     "interface.py",
@@ -78,7 +78,7 @@
 
 
 def imports(tree: ast.AST) -> set[str]:
-    """Modules imported, also those for type checkers alone: they bind a reader as well."""
+    """Imported modules, including those that only type checkers import."""
     found: set[str] = set()
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
@@ -88,46 +88,46 @@
     return found
 
 
-def part(name: str) -> str:
+def package_of(name: str) -> str:
     return name.split(".")[1] if name.startswith("lemonhall.") else ""
 
 
-def wrong_arrows(own: str, tree: ast.AST) -> list[str]:
-    wrong = []
+def upward_imports(own: str, tree: ast.AST) -> list[str]:
+    found = []
     for name in imports(tree):
-        other = part(name)
-        if other in FLOORS and other != own and FLOORS[other] >= FLOORS[own]:
-            wrong.append(f"{own} imports {name}")
-    return wrong
+        other = package_of(name)
+        if other in LAYERS and other != own and LAYERS[other] >= LAYERS[own]:
+            found.append(f"{own} imports {name}")
+    return found
 
 
 @pytest.mark.parametrize("path", SOURCES, ids=lambda p: str(p.relative_to(ROOT)))
-def test_imports_go_down_only(path: Path) -> None:
+def test_modules_import_lower_layers_only(path: Path) -> None:
     own = path.relative_to(ROOT).parts[0].removesuffix(".py")
     tree = ast.parse(path.read_text(encoding="utf-8"))
     assert "asyncio" not in imports(tree)
-    if own in BESIDE:
+    if own in UNLAYERED:
         return
-    assert own in FLOORS, f"{own} stands on no floor"
-    assert wrong_arrows(own, tree) == []
+    assert own in LAYERS, f"{own} has no layer"
+    assert upward_imports(own, tree) == []
 
 
 @pytest.mark.parametrize("pattern", PURE)
-def test_pure_parts_touch_no_socket_and_no_clock(pattern: str) -> None:
+def test_pure_modules_use_no_socket_and_no_clock(pattern: str) -> None:
     paths = list(ROOT.glob(pattern))
     assert paths
     for path in paths:
         tree = ast.parse(path.read_text(encoding="utf-8"))
         names = {n.split(".")[0] for n in imports(tree)}
-        allowed = {"datetime"} if path.name == "clock.py" else set()  # conversions, from a time passed in
+        allowed = {"datetime"} if path.name == "clock.py" else set()  # converts times that are passed in
         assert not names & (IMPURE - allowed), path
         if allowed:
             read = {n.attr for n in ast.walk(tree) if isinstance(n, ast.Attribute)}
             assert not read & {"now", "utcnow", "today"}, path
 
 
-def circles(arrows: dict[str, set[str]]) -> list[list[str]]:
-    """Groups of names that reach one another (Tarjan, "Depth-first search and linear graph algorithms")."""
+def cycles(imports_of: dict[str, set[str]]) -> list[list[str]]:
+    """Groups of names that import each other (Tarjan, "Depth-first search and linear graph algorithms")."""
     index: dict[str, int] = {}
     low: dict[str, int] = {}
     stack: list[str] = []
@@ -136,7 +136,7 @@
     def visit(name: str) -> None:
         index[name] = low[name] = len(index)
         stack.append(name)
-        for other in arrows.get(name, ()):
+        for other in imports_of.get(name, ()):
             if other not in index:
                 visit(other)
                 low[name] = min(low[name], low[other])
@@ -149,49 +149,49 @@
             if len(group) > 1:
                 found.append(sorted(group))
 
-    for name in sorted(arrows):
+    for name in sorted(imports_of):
         if name not in index:
             visit(name)
     return found
 
 
-def file_arrows() -> dict[str, set[str]]:
-    """From each file to the files that it imports, by their modules' names."""
+def file_imports() -> dict[str, set[str]]:
+    """For each module of the package, the modules of the package that it imports."""
     names = {".".join(["lemonhall", *p.relative_to(ROOT).with_suffix("").parts]): p for p in SOURCES}
-    arrows: dict[str, set[str]] = {}
+    imports_of: dict[str, set[str]] = {}
     for name, path in names.items():
-        told = imports(ast.parse(path.read_text(encoding="utf-8")))
-        arrows[name] = {n for n in told if n in names and n != name}
-    return arrows
+        imported = imports(ast.parse(path.read_text(encoding="utf-8")))
+        imports_of[name] = {n for n in imported if n in names and n != name}
+    return imports_of
 
 
-def test_no_files_import_one_another_in_a_circle() -> None:
-    assert circles(file_arrows()) == []
+def test_files_have_no_import_cycle() -> None:
+    assert cycles(file_imports()) == []
 
 
-def test_no_folders_of_the_front_import_one_another_in_a_circle() -> None:
+def test_folders_of_the_front_have_no_import_cycle() -> None:
     folders: dict[str, set[str]] = {}
-    for name, others in file_arrows().items():
+    for name, others in file_imports().items():
         if name.startswith("lemonhall.front."):
             own = name.split(".")[2]
             into = {o.split(".")[2] for o in others if o.startswith("lemonhall.front.")}
             folders.setdefault(own, set()).update(into - {own})
-    assert len(folders) > 5 and circles(folders) == []
+    assert len(folders) > 5 and cycles(folders) == []
 
 
-def test_no_benchmarks_import_one_another_in_a_circle() -> None:
-    arrows: dict[str, set[str]] = {}
+def test_benchmarks_have_no_import_cycle() -> None:
+    imports_of: dict[str, set[str]] = {}
     for path in sorted((ROOT.parent / "benchmarks").glob("*.py")):
-        told = imports(ast.parse(path.read_text(encoding="utf-8")))
-        arrows[f"benchmarks.{path.stem}"] = {n for n in told if n.startswith("benchmarks.")}
-    assert len(arrows) > 5 and circles(arrows) == []
+        imported = imports(ast.parse(path.read_text(encoding="utf-8")))
+        imports_of[f"benchmarks.{path.stem}"] = {n for n in imported if n.startswith("benchmarks.")}
+    assert len(imports_of) > 5 and cycles(imports_of) == []
 
 
-def test_the_search_for_circles_finds_one() -> None:
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == [["b", "c"]]
+def test_the_search_for_cycles_finds_one() -> None:
+    assert cycles({"a": {"b"}, "b": {"c"}, "c": {"b"}, "d": {"a"}}) == [["b", "c"]]
 
 
-def test_the_module_and_the_adapter_need_the_standard_library_alone() -> None:
+def test_the_module_and_the_adapter_need_only_the_standard_library() -> None:
     import sys
 
     for name in ("decide", "interface", "adapter", "wire", "__init__"):
@@ -200,7 +200,7 @@
         assert tops <= {*sys.stdlib_module_names, "lemonhall"}, name
 
 
-def test_the_check_sees_an_arrow_that_goes_up() -> None:
-    assert wrong_arrows("config", ast.parse("from lemonhall.front import daemon")) != []
-    assert wrong_arrows("audit", ast.parse("import lemonhall.standins.tap")) != []
-    assert wrong_arrows("front", ast.parse("from lemonhall.rtsp import Parser")) == []
+def test_the_check_finds_an_import_of_a_higher_layer() -> None:
+    assert upward_imports("config", ast.parse("from lemonhall.front import daemon")) != []
+    assert upward_imports("audit", ast.parse("import lemonhall.standins.tap")) != []
+    assert upward_imports("front", ast.parse("from lemonhall.rtsp import Parser")) == []
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example of the README runs as it stands."""
+"""The example in the README runs unchanged."""
 
 from pathlib import Path
 
