--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -192,6 +192,8 @@
     replay = Replay()
     assert all(s.same for s in replay.run(read_capture(day.data).records) if isinstance(s, Step))
     present, loaded = attribute_names(replay.module), attribute_names(thaw(snapshot.module))
+    for cls, renamed in RENAMED_ATTRIBUTES.items():
+        assert not present.get(cls, set()) & set(renamed), "an earlier name has a new meaning"
     for cls in loaded:
         assert loaded[cls] == ({f.name for f in fields(cls)} if is_dataclass(cls) else present[cls])
     assert {
