--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -362,7 +362,7 @@
             self.set_up_requests.recovery.update_members(view)
         if self.capture:
             there = " ".join(map(str, view.members))
-            words = f"there are {there}" + (", this one may be cut off" if view.cut_off else "")
+            words = f"there are {there}" + (", this one may be cut off" if view.isolated else "")
             self.capture.add_note(self.now_ms(), "members", words)
 
     # change of guard
