--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -233,11 +233,11 @@
     ref, server, connection = world.establish_session()
     node_connection = world.node.servers.by_id[server.name].connections[0]
     node_connection.stream.sock.shutdown(1)  # the kernel takes no more bytes
-    again = world.request_set_up("premium")["ref"]
-    _, other, _ = world.wait_for_set_up(again)
+    next_ref = world.request_set_up("premium")["ref"]
+    _, other, _ = world.wait_for_set_up(next_ref)
     assert other is not connection
-    other.send_data(up(again))
-    world.run_until(lambda: world.messages_for(again, "up"))
+    other.send_data(up(next_ref))
+    world.run_until(lambda: world.messages_for(next_ref, "up"))
 
 
 def test_a_draining_server_gets_no_set_ups_and_a_removed_one_loses_its_sessions(world: World) -> None:
--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -293,8 +293,8 @@
     end_set_up(world, viewer, ref, how)
     world.pump()
     world.advance(1.0)
-    gone = [m for m in connection.received if m["t"] == "down" and m["ref"] == ref]
-    assert len(gone) == 1 and no_state_left(world)
+    releases = [m for m in connection.received if m["t"] == "down" and m["ref"] == ref]
+    assert len(releases) == 1 and no_state_left(world)
 
 
 def test_an_answer_that_cannot_be_written_is_given_up_at_its_server(
@@ -412,13 +412,15 @@
     ref, server, connection = world.establish_session()
     connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
-    again = world.request_set_up("premium")["ref"]
+    next_ref = world.request_set_up("premium")["ref"]
     act_during_decision(world, connection.close)
     world.run_until(
-        lambda: [m for k, m in server.received_messages("new") if m["ref"] == again and k is not connection]
+        lambda: [
+            m for k, m in server.received_messages("new") if m["ref"] == next_ref and k is not connection
+        ]
     )
-    server.connections[-1].send_data(up(again))
-    world.run_until(lambda: world.messages_for(again, "up"))
+    server.connections[-1].send_data(up(next_ref))
+    world.run_until(lambda: world.messages_for(next_ref, "up"))
 
 
 def one_set_up_per_connection() -> dict[str, Any]:
@@ -460,7 +462,7 @@
 ) -> None:
     """The new process was reached before the list reported it: its sessions were taken for the old one's."""
     world = worlds(servers=1)
-    old, server, connection = world.establish_session()
+    old_ref, server, connection = world.establish_session()
     world.advance(0.1)
     connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     connection.close()
@@ -469,7 +471,7 @@
     ref, _, _ = world.establish_session("premium", extras="home:0;copies:4;viewer:00000000000000ac")
     world.fake_resolver.list_number = 2
     world.advance(1.0)
-    assert [m["c"] for m in world.messages_for(old, "down")] == [41]
+    assert [m["c"] for m in world.messages_for(old_ref, "down")] == [41]
     assert world.messages_for(ref, "down") == [] and world.node.sessions.established_count == 1
 
 
@@ -502,11 +504,11 @@
     """The server releases on any open connection, also before this front has received the session."""
     _, server, connection = world.establish_session()
     ref = "c" * 16
-    asked = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
+    handover = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
     if first == "end":
         connection.send_data(down(ref, 16))
         world.pump()
-    world.viewer.send_data(asked)
+    world.viewer.send_data(handover)
     world.pump()
     if first != "end":
         connection.send_data(down(ref, 16))
@@ -518,11 +520,11 @@
 def test_a_viewers_release_crosses_the_hand_over(world: World, first: str) -> None:
     _, server, connection = world.establish_session()
     ref, other = "c" * 16, world.connect_viewer()
-    asked = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
+    handover = world.make_set_up(ref=ref, extras=f"viewer:00000000000000aa;at:{server.name}")
     if first == "end":
         other.send_data(down(ref, 16))
         world.pump()
-    world.viewer.send_data(asked)
+    world.viewer.send_data(handover)
     world.pump()
     if first != "end":
         other.send_data(down(ref, 16))
@@ -568,15 +570,15 @@
 
 def test_connections_and_set_ups_in_the_kernel_at_shutdown_are_answered(world: World) -> None:
     """When the listener closes, one connection is queued and one set-up is unread on an open connection."""
-    old = world.connect_viewer()
-    old.send_data({"t": "hb", "f": {}, "c": 0})
+    open_viewer = world.connect_viewer()
+    open_viewer.send_data({"t": "hb", "f": {}, "c": 0})
     end = stop_node(world)
     late: list[Peer] = []
 
     def arrive() -> None:  # from a timer before the node's own, after all reads of that pass
         late.append(Peer(socket.create_connection(world.address)))
         late[0].send_data(world.make_set_up(ref="a" * 16))
-        old.send_data(world.make_set_up(ref="b" * 16))
+        open_viewer.send_data(world.make_set_up(ref="b" * 16))
 
     world.loop.call_at(end - 1e-6, arrive)
     world.now = end
@@ -827,34 +829,34 @@
     world.establish_session(
         extras="home:0;copies:4;viewer:00000000000000ac"
     )  # the other connection is proven
-    own = world.connect_viewer()
-    ref, _, connection = world.establish_session(viewer=own)
-    world.viewers.remove(own)  # not read from here on
+    own_viewer = world.connect_viewer()
+    ref, _, connection = world.establish_session(viewer=own_viewer)
+    world.viewers.remove(own_viewer)  # not read from here on
     if when == "after":
         connection.send_data(down(ref, 16))
         world.run_until(lambda: world.node.sessions.established_count == 1)
-    end_set_up(world, own, ref, how)
+    end_set_up(world, own_viewer, ref, how)
     if when == "before":
         connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
     world.advance(1.0)
     assert len([m for m in world.viewer.received if m.get("ref") == ref]) == 1
-    world.viewers.append(own)
+    world.viewers.append(own_viewer)
 
 
 @pytest.mark.parametrize("case", ["ack", "late"])
 def test_a_release_that_has_arrived_is_sent_once(world: World, case: str) -> None:
     world.establish_session(extras="home:0;copies:4;viewer:00000000000000ac")
-    own = world.connect_viewer()
-    ref, _, connection = world.establish_session(viewer=own)
+    own_viewer = world.connect_viewer()
+    ref, _, connection = world.establish_session(viewer=own_viewer)
     connection.send_data(down(ref, 16))
     world.run_until(lambda: world.messages_for(ref, "down"))
     if case == "ack":
-        own.send_data({"t": "ack", "ref": ref, "f": {}})
+        own_viewer.send_data({"t": "ack", "ref": ref, "f": {}})
         world.pump()
     else:
         world.advance(bounds.RESEND_WINDOW_S + 0.1)
-    own.close()
+    own_viewer.close()
     world.advance(1.0)
     assert not [m for m in world.viewer.received if m.get("ref") == ref]
 
@@ -994,10 +996,10 @@
         send_and_wait(node_connection, connection, down(ref, 16))
 
     act_during_decision(world, act)
-    again = world.request_set_up(viewer=viewer, extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
+    next_ref = world.request_set_up(viewer=viewer, extras="home:0;copies:4;viewer:00000000000000ac")["ref"]
     world.run_until(lambda: world.node.counts["given_up"])
     world.advance(1.0)
-    assert again not in [m["ref"] for _, m in server.received_messages("new")] and no_state_left(world)
+    assert next_ref not in [m["ref"] for _, m in server.received_messages("new")] and no_state_left(world)
 
 
 @pytest.mark.parametrize("how", ["eof", "reset"])
