--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -16,8 +16,8 @@
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.front.servers.attempt import Attempt
 from lemonhall.front.servers.attempt import State as AttemptState
-from lemonhall.front.viewers.routes import Asked
-from lemonhall.front.viewers.session import Ask, Session, State, ViewerTrack
+from lemonhall.front.viewers.routes import RoutingResult
+from lemonhall.front.viewers.session import Session, SetUpRequest, State, ViewerTrack
 from lemonhall.front.viewers.viewer import ViewerConnection
 from lemonhall.interface import Outcome
 from lemonhall.ipc import (
@@ -43,16 +43,16 @@
 def can_hand_over(viewer: ViewerConnection) -> bool:
     """Whether nothing is in progress on the connection that the successor could not continue."""
     stream = viewer.stream
-    if viewer.ending or viewer.slots or viewer.parser.broken or not is_usable(stream):
+    if viewer.closing or viewer.slots or viewer.parser.broken or not is_usable(stream):
         return False
     return all(
         s.state is State.READY
         or (
             s.state is State.PLAYING
-            and s.ask
-            and s.ask.attempt
-            and s.ask.answered
-            and is_playing(s.ask.attempt)
+            and s.set_up_request
+            and s.set_up_request.attempt
+            and s.set_up_request.answered
+            and is_playing(s.set_up_request.attempt)
         )
         for s in viewer.sessions.values()
     )
@@ -68,7 +68,7 @@
 
 def connection_streams(viewer: ViewerConnection) -> list[Stream]:
     """The viewer's stream, then those of its servers in the order of its sessions."""
-    requests = [s.ask for s in viewer.sessions.values() if s.state is State.PLAYING]
+    requests = [s.set_up_request for s in viewer.sessions.values() if s.state is State.PLAYING]
     return [viewer.stream, *(a.attempt.stream for a in requests if a and a.attempt)]
 
 
@@ -87,7 +87,7 @@
 
 
 def pack_track(track: ViewerTrack) -> Packed:
-    rtp = track.rtp
+    rtp = track.rewriter
     return {
         "channels": track.channels,
         "control": track.control,
@@ -118,14 +118,14 @@
     }
 
 
-def pack_request(daemon: Daemon, request: Ask) -> Packed:
+def pack_request(daemon: Daemon, request: SetUpRequest) -> Packed:
     assert request.attempt
     open_request = daemon.set_up_requests.open_requests.get(request.number)
     return {
-        "said": to_base64(encode(request.said)),
+        "said": to_base64(encode(request.message)),
         "memo": to_base64(daemon.set_up_requests.pack_memo(open_request) if open_request else request.memo),
         "rung": request.rung,
-        "claimed": [request.carry.claim_turn, request.carry.claim_attempts],
+        "claimed": [request.request_state.claim_turn, request.request_state.claim_attempts],
         "attempt": pack_attempt(request.attempt),
     }
 
@@ -135,17 +135,17 @@
     return {
         "id": session.id,
         "path": session.path,
-        "there": session.there,
-        "asked": asdict(session.asked),
+        "there": session.server_path,
+        "asked": asdict(session.routing),
         "viewer_name": session.viewer_name,
-        "top": session.top,
+        "top": session.top_rung,
         "tracks": [[n, pack_track(t)] for n, t in session.tracks.items()],
         "position_s": session.position_s,
-        "since": session.since,
-        "again": session.again,
-        "held_back": session.held_back,
+        "since": session.position_at,
+        "again": session.is_repeat,
+        "held_back": session.server_paused,
         "claim": str(session.claim or ""),
-        "ask": pack_request(daemon, session.ask) if playing and session.ask else None,
+        "ask": pack_request(daemon, session.set_up_request) if playing and session.set_up_request else None,
     }
 
 
@@ -153,10 +153,10 @@
     return {
         "peer": str(viewer.peer),
         "kept": to_base64(bytes(viewer.parser.kept)),
-        "last": viewer.last,
-        "last_answer": None if viewer.last_answer is None else to_base64(viewer.last_answer),
+        "last": viewer.last_request,
+        "last_answer": None if viewer.last_response is None else to_base64(viewer.last_response),
         "active_at": viewer.active_at,
-        "asked": viewer.asked,
+        "asked": viewer.sent_requests,
         "stream": pack_stream(viewer.stream),
         "sessions": [pack_session(daemon, s) for s in viewer.sessions.values()],
     }
@@ -186,13 +186,13 @@
 def unpack_track(packed: Packed) -> ViewerTrack:
     first, second = packed["channels"]
     track = ViewerTrack((first, second), packed["control"], packed["clock"])
-    track.rtp.ssrc, track.rtp.resync = packed["ssrc"], packed["joining"]
-    track.rtp.last_sent = None if packed["last"] is None else tuple(packed["last"])
-    track.rtp.offsets = None if packed["offsets"] is None else tuple(packed["offsets"])
+    track.rewriter.ssrc, track.rewriter.resync = packed["ssrc"], packed["joining"]
+    track.rewriter.last_sent = None if packed["last"] is None else tuple(packed["last"])
+    track.rewriter.offsets = None if packed["offsets"] is None else tuple(packed["offsets"])
     return track
 
 
-def unpack_attempt(daemon: Daemon, request: Ask, packed: Packed, fd: int) -> Attempt:
+def unpack_attempt(daemon: Daemon, request: SetUpRequest, packed: Packed, fd: int) -> Attempt:
     attempt = Attempt.__new__(Attempt)
     attempt.loop, attempt.owner = daemon.loop, request
     attempt.number, attempt.server, attempt.url = packed["number"], packed["server"], packed["url"]
@@ -211,17 +211,17 @@
     return attempt
 
 
-def unpack_request(daemon: Daemon, session: Session, packed: Packed, fd: int) -> Ask:
+def unpack_request(daemon: Daemon, session: Session, packed: Packed, fd: int) -> SetUpRequest:
     worker = daemon.worker
     message = MessageDecoder().feed(base64.b64decode(packed["said"]))[0]
     if isinstance(message, MalformedMessage) or not isinstance(message, SetUpRequested):
         raise ValueError("the set-up request of a session is malformed")
-    message.request_id = worker.next_ask
-    worker.next_ask += 1
-    request = Ask(session, message, daemon.settings.terms.max_attempts)
+    message.request_id = worker.next_request_number
+    worker.next_request_number += 1
+    request = SetUpRequest(session, message, daemon.settings.terms.max_attempts)
     request.rung, request.answered, request.memo = packed["rung"], True, base64.b64decode(packed["memo"])
-    request.carry.stage, request.carry.attempts_made = RequestStage.PLAYING, 1
-    request.carry.claim_turn, request.carry.claim_attempts = packed["claimed"]
+    request.request_state.stage, request.request_state.attempts_made = RequestStage.PLAYING, 1
+    request.request_state.claim_turn, request.request_state.claim_attempts = packed["claimed"]
     request.attempt = unpack_attempt(daemon, request, packed["attempt"], fd)
     return request
 
@@ -237,10 +237,10 @@
     viewer.parser = restore_parser(packed["kept"])
     viewer.sessions, viewer.slots = {}, deque()
     last = packed["last"]
-    viewer.last = None if last is None else (last[0], last[1], last[2])
-    viewer.last_answer = None if packed["last_answer"] is None else base64.b64decode(packed["last_answer"])
-    viewer.ending, viewer.head_timer, viewer.active_at = False, None, packed["active_at"]
-    viewer.asked = packed["asked"]
+    viewer.last_request = None if last is None else (last[0], last[1], last[2])
+    viewer.last_response = None if packed["last_answer"] is None else base64.b64decode(packed["last_answer"])
+    viewer.closing, viewer.message_timer, viewer.active_at = False, None, packed["active_at"]
+    viewer.sent_requests = packed["asked"]
     viewer.stream = unpack_stream(daemon, packed["stream"], fds.pop(0), viewer, viewer.limits.viewer_backlog)
     viewer.idle_timer = daemon.loop.call_later(0, lambda: None)
     for session_data in packed["sessions"]:
@@ -253,17 +253,17 @@
             viewer,
             session_data["path"],
             session_data["there"],
-            Asked(**routed),
+            RoutingResult(**routed),
             session_data["viewer_name"],
             session_data["top"],
         )
         session.id = session_data["id"]
         session.tracks = {n: unpack_track(t) for n, t in session_data["tracks"]}
-        session.position_s, session.since = session_data["position_s"], session_data["since"]
-        session.again, session.held_back = session_data["again"], session_data["held_back"]
+        session.position_s, session.position_at = session_data["position_s"], session_data["since"]
+        session.is_repeat, session.server_paused = session_data["again"], session_data["held_back"]
         session.claim = Token.parse(session_data["claim"])
         if session_data["ask"]:
-            session.ask = unpack_request(daemon, session, session_data["ask"], fds.pop(0))
+            session.set_up_request = unpack_request(daemon, session, session_data["ask"], fds.pop(0))
             session.state = State.PLAYING
         viewer.sessions[session.id] = session
     return viewer
@@ -274,14 +274,14 @@
     worker = daemon.worker
     worker.viewers.add(viewer)
     for session in viewer.sessions.values():
-        worker.add(session)
-        if request := session.ask:
-            worker.asks[request.number] = request
-            worker.tell(request)
+        worker.add_session(session)
+        if request := session.set_up_request:
+            worker.open_requests[request.number] = request
+            worker.announce_request(request)
     for stream in connection_streams(viewer):
         stream.resume_io()
-    viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
-    viewer.watch_head()
+    viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.check_idle)
+    viewer.update_message_timer()
     if viewer.stream.above_high_watermark:
         daemon.loop.call_later(viewer.limits.stalled_ms / 1000, viewer.check_stalled)
 
@@ -289,8 +289,8 @@
 def discard_viewer(viewer: ViewerConnection) -> None:
     """Closes this process's copies of a connection that the other one owns; nothing is sent."""
     viewer.idle_timer.cancel()
-    if viewer.head_timer:
-        viewer.head_timer.cancel()
+    if viewer.message_timer:
+        viewer.message_timer.cancel()
     for stream in connection_streams(viewer):
         stream.detach()
 
@@ -301,25 +301,25 @@
 def freeze_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
     """Stops all activity on the connection; the decider's messages for its sessions are ignored."""
     viewer.idle_timer.cancel()
-    if viewer.head_timer:
-        viewer.head_timer.cancel()
-        viewer.head_timer = None
+    if viewer.message_timer:
+        viewer.message_timer.cancel()
+        viewer.message_timer = None
     for stream in connection_streams(viewer):
         stream.suspend_io()
     for session in viewer.sessions.values():
-        if session.ask:
-            daemon.worker.asks.pop(session.ask.number, None)
+        if session.set_up_request:
+            daemon.worker.open_requests.pop(session.set_up_request.number, None)
 
 
 def thaw_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
     """Resumes a frozen connection that stays with this process."""
     for session in viewer.sessions.values():
-        if session.ask and session.state is State.PLAYING:
-            daemon.worker.asks[session.ask.number] = session.ask
+        if session.set_up_request and session.state is State.PLAYING:
+            daemon.worker.open_requests[session.set_up_request.number] = session.set_up_request
     for stream in connection_streams(viewer):
         stream.resume_io()
-    viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.idle)
-    viewer.watch_head()
+    viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.check_idle)
+    viewer.update_message_timer()
 
 
 def release_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
@@ -328,13 +328,13 @@
     worker = daemon.worker
     worker.viewers.discard(viewer)
     for session in viewer.sessions.values():
-        worker.by_id.pop(session.id, None)
-        request = session.ask
+        worker.sessions_by_id.pop(session.id, None)
+        request = session.set_up_request
         if request is None or request.attempt is None:
             continue
         attempt = request.attempt
         daemon.set_up_requests.holds.pop((request.number, attempt.number), None)
-        if request.carry.close(worker.link):
-            worker.say(ViewerGone(request.number, True))
+        if request.request_state.close(worker.connection_id):
+            worker.send_to_decider(ViewerGone(request.number, True))
             cancelled = (request.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
-            worker.say(AttemptFinished(*cancelled, True, True, False, True, ()))
+            worker.send_to_decider(AttemptFinished(*cancelled, True, True, False, True, ()))
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -38,7 +38,7 @@
 from lemonhall.front.process.status_pages import StatusPages
 from lemonhall.front.process.subsystems import Subsystems
 from lemonhall.front.servers.descriptions import DescribeCall
-from lemonhall.front.viewers.worker import STOP_S, Worker
+from lemonhall.front.viewers.worker import STOP_TIMEOUT_S, Worker
 from lemonhall.interface import Outcome
 from lemonhall.ipc import VERSION, Message, RedirectViewers, RetireWorker, StoreStatus, Welcome
 from lemonhall.loop import Loop, listen
@@ -153,7 +153,7 @@
         self.decider_queue.on_message = lambda message: self.set_up_requests.on_worker_message(
             self.worker_queue, message
         )
-        self.worker_queue.on_message = self.worker.heard
+        self.worker_queue.on_message = self.worker.on_decider_message
         pools, listed = self.set_up_requests.pool_preferences, self.list_client.server_list
         pools.list_version, pools.server_ids = lambda: listed.version, listed.ids_by_address
         self.path, self.settings_tree = "", b""
@@ -214,7 +214,7 @@
         self.on_settings_changed(tree)
         self.settings = self.set_up_requests.settings = settings
         self.set_up_requests.pool_preferences.reset(settings)
-        self.worker.settle(settings, 1)
+        self.worker.apply_settings(settings, 1)
         if self.workers:
             self.workers.send_settings(settings)
         self.counts["settings_loaded"] += 1
@@ -314,10 +314,10 @@
         if self.workers:
             self.workers.start_accepting()
         else:
-            self.worker.linked(self.decider_queue, self.welcome())
+            self.worker.on_decider_connected(self.decider_queue, self.welcome())
         self.bridge.call_module()
         if settings.limits.memory:
-            self.worker.watch_memory()
+            self.worker.check_memory()
         self.check_overdue_requests()
         pages_at = self.listeners[1].getsockname() if len(self.listeners) > 1 else ""
         status_address = pages_at if isinstance(pages_at, str) else f"{pages_at[0]}:{pages_at[1]}"
@@ -363,7 +363,11 @@
 
     def gauges(self) -> tuple[int, int]:
         """Numbers of viewers and sessions, over all workers."""
-        return self.workers.gauges() if self.workers else (len(self.worker.viewers), len(self.worker.by_id))
+        return (
+            self.workers.gauges()
+            if self.workers
+            else (len(self.worker.viewers), len(self.worker.sessions_by_id))
+        )
 
     def open_status(
         self, accept: Callable[[socket.socket, Any], object], inherited: socket.socket | None
@@ -489,7 +493,7 @@
         self.check_drained()
 
     def check_drained(self) -> None:
-        if not (self.workers.worker_count() if self.workers else self.worker.by_id):
+        if not (self.workers.worker_count() if self.workers else self.worker.sessions_by_id):
             self.stop()
         elif not self.stopping:
             self.loop.call_later(0.1, self.check_drained)
@@ -543,7 +547,7 @@
                 self.loop.watch_socket(sock, 0, self.worker.accept)
                 sock.close()
         self.reader_client.stop()
-        self.loop.call_later(STOP_S, self.shut_down)
+        self.loop.call_later(STOP_TIMEOUT_S, self.shut_down)
         if self.workers:
             self.workers.broadcast(RetireWorker(True))
         else:
@@ -555,7 +559,7 @@
         if (
             self.workers.worker_count()
             if self.workers
-            else self.worker.asks or self.set_up_requests.open_requests
+            else self.worker.open_requests or self.set_up_requests.open_requests
         ):
             self.loop.call_later(0.02, self.finish_stop)
             return
--- a/lemonhall/front/viewers/__init__.py
+++ b/lemonhall/front/viewers/__init__.py
@@ -1,1 +1,1 @@
-"""The carrying side: viewers, their sessions, the worker that has them."""
+"""The worker's side of a front: viewers' connections, their sessions, and the worker that holds them."""
--- a/lemonhall/front/viewers/routes.py
+++ b/lemonhall/front/viewers/routes.py
@@ -1,4 +1,7 @@
-"""From a viewer's URL and headers to what the module is told of the session. Pure."""
+"""Routing of a viewer's request: its URL and headers determine what the module learns of the session.
+
+Pure: no I/O and no clock.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,11 @@
 
 
 @dataclass(frozen=True)
-class Asked:
-    """Class and partner by number, title as the module knows it, the cells that hold it."""
+class RoutingResult:
+    """Class and tenant by number, the title's id for the module, and the cells that hold the title.
+
+    The cells are `cells` consecutive ones from `first_cell`. A handover transfers the fields by name.
+    """
 
     cls: int
     tenant: int
@@ -19,42 +25,45 @@
     first_cell: int
     cells: int
     route: str = ""  # prefix of the route
-    prefer: tuple[tuple[str, int], ...] = ()  # servers of the route's pool, as advice names them
-    pool: str = ""  # a pool of servers by address
-    key: str = ""  # what a pick by hash from it goes by
+    prefer: tuple[tuple[str, int], ...] = ()  # servers of the route's pool, in the form of a preference
+    pool: str = ""  # name of the route's pool of servers by address
+    key: str = ""  # hashed to select a server of the pool
 
 
-def table(terms: Terms) -> Router:
+def build_router(terms: Terms) -> Router:
     return Router(terms.routes, terms.normal_paths)
 
 
-def match(
+def route_request(
     terms: Terms, router: Router, target: str, headers: Headers, host: str
-) -> tuple[Asked, str] | Answered | None:
-    """What is asked for and the path to ask a server for; or the route's own answer; None: no route."""
-    found = router.find(Request(target, host, headers.get))
-    if not isinstance(found, Chosen):
-        return found
-    route = found.route
-    title = title_of(found.path)
-    some = 0 < terms.copies < terms.cells
-    asked = Asked(
+) -> tuple[RoutingResult, str] | Answered | None:
+    """Returns the result and the path to request from a server, or the response that the route itself
+    gives, or None if no route matches."""
+    match = router.find(Request(target, host, headers.get))
+    if not isinstance(match, Chosen):
+        return match
+    route = match.route
+    title = title_of(match.path)
+    in_some_cells = 0 < terms.copies < terms.cells
+    result = RoutingResult(
         route.cls,
         route.tenant,
         title,
-        title % terms.cells if some else 0,
-        terms.copies if some else terms.cells,
+        title % terms.cells if in_some_cells else 0,
+        terms.copies if in_some_cells else terms.cells,
         route.prefix,
         route.prefer,
         route.pool.name if route.pool else "",
-        key_of(route.pool, target, found.path, headers, host) if route.pool else "",
+        pool_hash_key(route.pool, target, match.path, headers, host) if route.pool else "",
     )
-    return asked, found.path
+    return result, match.path
 
 
-def key_of(pool: Pool, target: str, path: str, headers: Headers, host: str) -> str:
-    """What a pick by hash goes by."""
+def pool_hash_key(pool: Pool, target: str, path: str, headers: Headers, host: str) -> str:
+    """Returns the key that a hash-based pool selects a server by; empty for other pools."""
     if pool.pick not in ("hash", "consistent"):
         return ""
-    at = Matched(Request(target, host, headers.get), path.partition("?")[0], path.partition("?")[2], target)
-    return at.expand(pool.key)
+    matched = Matched(
+        Request(target, host, headers.get), path.partition("?")[0], path.partition("?")[2], target
+    )
+    return matched.expand(pool.key)
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -1,12 +1,12 @@
-"""A viewer's session from its first SETUP to its end, in one file.
+"""A viewer's session, from its first SETUP to its end.
 
-States (RFC 2326, appendix A, with the wait for the module's word made plain):
+States (RFC 2326, appendix A, extended by the wait for the decision):
 
-    ready    SETUP was answered here; no server knows of it
-    asked    PLAY was taken: the module has a `NewSession` and owes one answer
-    playing  PLAY was answered 200; media flow
-    moving   off its server, to be asked again as a moved session; the viewer keeps its connection
-    ended    454 to whatever comes
+    ready     SETUP was answered by the front; no server knows the session
+    starting  PLAY was accepted: the module has a `NewSession`, and the viewer is owed one response
+    playing   PLAY was answered with 200; media flow
+    moving    removed from its server; a new set-up request follows, and the viewer keeps its connection
+    ended     every further request is answered with 454
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from lemonhall.front.servers.attempt import Attempt
 from lemonhall.front.servers.attempt import State as AttemptState
 from lemonhall.front.servers.rtp_rewriter import RtpRewriter
-from lemonhall.front.viewers.routes import Asked
-from lemonhall.front.viewers.slot import Slot
+from lemonhall.front.viewers.response_slot import ResponseSlot
+from lemonhall.front.viewers.routes import RoutingResult
 from lemonhall.interface import Outcome
 from lemonhall.ipc import RequestState, SetUpRequested
 from lemonhall.loop import Loop, Timer
@@ -33,50 +33,58 @@
 
 class State(Enum):
     READY = auto()
-    ASKED = auto()
+    STARTING = auto()
     PLAYING = auto()
     MOVING = auto()
     ENDED = auto()
 
 
 class Connection(Protocol):
-    """The viewer's, as its sessions see it."""
+    """The viewer's connection, as its sessions use it."""
 
     sessions: dict[str, Session]
 
-    def answer(self, slot: Slot, data: bytes) -> None: ...
-    def media(self, session: Session, data: memoryview) -> None: ...
-    def url(self, session: Session, track: int) -> str: ...
+    def complete_slot(self, slot: ResponseSlot, response: bytes) -> None: ...
+    def send_media(self, session: Session, data: memoryview) -> None: ...
+    def track_url(self, session: Session, track: int) -> str: ...
 
 
-class Minder(Protocol):
-    """The worker, as its sessions see it."""
+class SessionHost(Protocol):
+    """The worker, as its sessions use it."""
 
     loop: Loop
     counts: Counter[str]
 
-    def new_id(self) -> str: ...
-    def begin_ask(self, session: Session, moved: bool) -> None: ...
-    def viewer_gone(self, session: Session) -> None: ...
-    def forget(self, session: Session) -> None: ...
-    def playing(self, ask: Ask, attempt: Attempt, took_ms: float) -> None: ...
-    def note(self, ask: Ask, attempt: Attempt, kind: int, value: float) -> None: ...
-    def attempt_ended(
-        self, ask: Ask, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]
+    def new_session_id(self) -> str: ...
+    def open_request(self, session: Session, moved: bool) -> None: ...
+    def on_viewer_gone(self, session: Session) -> None: ...
+    def remove_session(self, session: Session) -> None: ...
+    def on_attempt_playing(self, request: SetUpRequest, attempt: Attempt, took_ms: float) -> None: ...
+    def on_server_note(self, request: SetUpRequest, attempt: Attempt, kind: int, value: float) -> None: ...
+    def on_attempt_finished(
+        self, request: SetUpRequest, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]
     ) -> None: ...
 
 
-class Ask:
-    """One session of the module's, and what its attempts tell. `said`: as the decider is told of it."""
+class SetUpRequest:
+    """A set-up request, which is one session for the module, and the owner of its attempts.
 
-    def __init__(self, session: Session, said: SetUpRequested, most: int) -> None:
-        self.session, self.said, self.number, self.deadline = session, said, said.request_id, said.deadline
-        self.carry = RequestState(most)
+    A session has a new one for each PLAY and each move. `message` reports the request to the decider.
+    """
+
+    def __init__(self, session: Session, message: SetUpRequested, max_attempts: int) -> None:
+        self.session, self.message, self.number, self.deadline = (
+            session,
+            message,
+            message.request_id,
+            message.deadline,
+        )
+        self.request_state = RequestState(max_attempts)
         self.rung = 0
         self.attempt: Attempt | None = None
         self.answered = False
-        self.backstop: Timer | None = None
-        self.memo = b""  # what its decider wishes to be remembered
+        self.deadline_timer: Timer | None = None
+        self.memo = b""  # opaque data of the decider, returned to the next decider
         self.attempt_media = session.attempt_media
         self.attempt_rtcp = session.attempt_rtcp
 
@@ -84,178 +92,196 @@
         self.session.attempt_playing(self, attempt, took_ms)
 
     def attempt_note(self, attempt: Attempt, kind: int, value: float) -> None:
-        self.session.worker.note(self, attempt, kind, value)
+        self.session.worker.on_server_note(self, attempt, kind, value)
 
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]) -> None:
-        self.session.worker.attempt_ended(self, attempt, outcome, report)
+        self.session.worker.on_attempt_finished(self, attempt, outcome, report)
 
 
 class ViewerTrack:
-    """One track as the viewer has it: channels on its connection, and RTP continuity."""
+    """One track as the viewer receives it: channels on the viewer's connection, and continuity of RTP."""
 
     def __init__(self, channels: tuple[int, int], control: str, clock_rate: int) -> None:
-        self.channels, self.control, self.rtp = channels, control, RtpRewriter(clock_rate)
+        self.channels, self.control, self.rewriter = channels, control, RtpRewriter(clock_rate)
 
 
 class Session:
+    """One session on a viewer's connection. `server_path`, which a route may rewrite, is sent to servers."""
+
     def __init__(
         self,
-        worker: Minder,
+        worker: SessionHost,
         viewer: Connection,
         path: str,
-        there: str,
-        asked: Asked,
+        server_path: str,
+        routing: RoutingResult,
         viewer_name: str,
-        top: int,
+        top_rung: int,
     ) -> None:
-        self.worker, self.viewer, self.path, self.asked = worker, viewer, path, asked
-        self.there = there  # the path at the servers; most often the same
-        self.viewer_name, self.top = viewer_name, top
-        self.viewer_id = title_of(viewer_name)  # what the module knows the viewer by
-        self.id = worker.new_id()
+        self.worker, self.viewer, self.path, self.routing = worker, viewer, path, routing
+        self.server_path = server_path
+        self.viewer_name, self.top_rung = viewer_name, top_rung
+        self.viewer_id = title_of(viewer_name)  # identifies the viewer to the module
+        self.id = worker.new_session_id()
         self.state = State.READY
         self.tracks: dict[int, ViewerTrack] = {}
-        self.ask: Ask | None = None
-        self.slot: Slot | None = None  # where the answer to PLAY goes
-        self.cseq = ""
-        self.position_s, self.since = 0.0, 0.0  # of the media at time `since` of the loop
-        self.again = False
-        self.claim: Token | None = None  # of a paid session, where a ledger is kept
-        self.held_back = False  # its server, while the viewer's buffer is full or the answer waits its turn
-
-    # asked for by the viewer
-
-    def play(self, slot: Slot, cseq: str, start_s: float | None) -> None:
-        """PLAY while ready: the module is asked, once."""
+        self.set_up_request: SetUpRequest | None = None
+        self.play_slot: ResponseSlot | None = None  # for the response to PLAY
+        self.play_cseq = ""
+        # position in the media at loop time `position_at`, which is 0 until media flow
+        self.position_s, self.position_at = 0.0, 0.0
+        self.is_repeat = False  # the viewer states that it has requested this before
+        self.claim: Token | None = None  # of a paid session, if the front has a ledger
+        # the viewer's send buffer is full or its PLAY response is queued, so the server is not read
+        self.server_paused = False
+
+    # requests of the viewer
+
+    def play(self, slot: ResponseSlot, cseq: str, start_s: float | None) -> None:
+        """Handles PLAY of a ready session: opens one set-up request."""
         if start_s is not None:
             self.position_s = start_s
-        self.state, self.slot, self.cseq = State.ASKED, slot, cseq
-        self.worker.begin_ask(self, moved=False)
+        self.state, self.play_slot, self.play_cseq = State.STARTING, slot, cseq
+        self.worker.open_request(self, moved=False)
 
-    def position(self) -> float:
+    def current_position_s(self) -> float:
         playing = self.state in (State.PLAYING, State.MOVING)
-        return self.position_s + (self.worker.loop.now() - self.since if playing else 0.0)
+        return self.position_s + (self.worker.loop.now() - self.position_at if playing else 0.0)
 
     def teardown(self) -> None:
-        """The viewer wants no more: the server is told, an answer that is still owed becomes 454."""
-        was = self.state
+        """Ends the session for the viewer: the server receives TEARDOWN, a PLAY without response gets 454."""
+        previous = self.state
         self.state = State.ENDED
-        if was is State.ASKED:
-            self.answer(answer(454, self.cseq))
-        if self.ask:
-            self.worker.viewer_gone(self)
-        self.worker.forget(self)
-
-    def viewer_lost(self) -> None:
-        """The viewer's connection is gone: nobody is left to answer."""
+        if previous is State.STARTING:
+            self.respond(answer(454, self.play_cseq))
+        if self.set_up_request:
+            self.worker.on_viewer_gone(self)
+        self.worker.remove_session(self)
+
+    def on_viewer_lost(self) -> None:
+        """Ends the session after its viewer's connection has closed; no response is sent."""
         if self.state is State.ENDED:
             return
         self.state = State.ENDED
-        self.slot = None
-        if self.ask:
-            self.worker.viewer_gone(self)
-        self.worker.forget(self)
+        self.play_slot = None
+        if self.set_up_request:
+            self.worker.on_viewer_gone(self)
+        self.worker.remove_session(self)
 
-    # decided by the module
+    # decisions of the module
 
-    def answer(self, data: bytes) -> None:
-        """The one answer to PLAY. A second is refused here: the viewer never sees it."""
-        slot, self.slot = self.slot, None
+    def respond(self, response: bytes) -> None:
+        """Sends the response to PLAY. A second response is dropped, so the viewer receives only one."""
+        slot, self.play_slot = self.play_slot, None
         if slot:
-            self.viewer.answer(slot, data)
+            self.viewer.complete_slot(slot, response)
 
-    def refused(self, pause_ms: float, reason: str = "") -> None:
-        """503 with the pause that is advised, in whole seconds, else 453 (RFC 2326, 11.3.8 and 7.1.1).
+    def refuse(self, pause_ms: float, reason: str = "") -> None:
+        """Responds with 503 and the advised pause in whole seconds, or with 453 if the pause is 0
+        (RFC 2326, 11.3.8 and 7.1.1).
 
-        A hook's reason takes the place of the reason phrase, which is for people (7.1).
+        A hook's reason replaces the reason phrase, which is intended for people (7.1).
         """
         pause = ("Retry-After", str(math.ceil(pause_ms / 1000)))
-        made = make_response(503, self.cseq, pause) if pause_ms > 0 else make_response(453, self.cseq)
-        made.reason = reason
-        self.over(made.encode(), "refused")
-
-    def failed(self, status: int = 502) -> None:
-        self.over(answer(status, self.cseq), "failed")
-
-    def over(self, data: bytes, why: str) -> None:
-        """No more of this ask: an answer where one is owed, else the end of the stream."""
-        if self.state is State.ASKED:
-            self.answer(data)
+        response = (
+            make_response(503, self.play_cseq, pause) if pause_ms > 0 else make_response(453, self.play_cseq)
+        )
+        response.reason = reason
+        self.respond_or_end(response.encode(), "refused")
+
+    def fail(self, status: int = 502) -> None:
+        self.respond_or_end(answer(status, self.play_cseq), "failed")
+
+    def respond_or_end(self, response: bytes, bye_reason: str) -> None:
+        """Gives up the set-up request: sends the response if PLAY waits for it, otherwise ends the stream."""
+        if self.state is State.STARTING:
+            self.respond(response)
             self.state = State.READY
-            self.ask = None
+            self.set_up_request = None
         elif self.state is not State.ENDED:
-            self.end(why)
+            self.end(bye_reason)
 
-    def end(self, why: str) -> None:
-        """The stream is over: BYE on each RTCP channel (RFC 3550, 6.6), then the session is no more."""
+    def end(self, bye_reason: str) -> None:
+        """Ends the stream with BYE on each RTCP channel (RFC 3550, 6.6) and removes the session."""
         if self.state is State.ENDED:
             return
         self.state = State.ENDED
         for track in self.tracks.values():
-            if track.rtp.ssrc is not None:
-                bye = frame(track.channels[1], rtp.build_bye(track.rtp.ssrc, why))
-                self.viewer.media(self, memoryview(bye))
-        self.worker.forget(self)
+            if track.rewriter.ssrc is not None:
+                bye = frame(track.channels[1], rtp.build_bye(track.rewriter.ssrc, bye_reason))
+                self.viewer.send_media(self, memoryview(bye))
+        self.worker.remove_session(self)
 
-    # told by an attempt
+    # events of an attempt
 
-    def attempt_playing(self, ask: Ask, attempt: Attempt, took_ms: float) -> None:
-        if self.ask is not ask or ask.attempt is not attempt:
+    def attempt_playing(self, request: SetUpRequest, attempt: Attempt, took_ms: float) -> None:
+        if self.set_up_request is not request or request.attempt is not attempt:
             return
         moved = self.state is State.MOVING
-        self.worker.playing(ask, attempt, took_ms)
+        self.worker.on_attempt_playing(request, attempt, took_ms)
         if not moved:
-            self.since = self.worker.loop.now()
+            self.position_at = self.worker.loop.now()
         self.state = State.PLAYING
         if not moved:
             headers = [
                 ("Session", f"{self.id};timeout=60"),
                 ("Range", f"npt={self.position_s:.3f}-"),
-                ("RTP-Info", ",".join(f"url={self.viewer.url(self, n)}" for n in sorted(self.tracks))),
+                (
+                    "RTP-Info",
+                    ",".join(f"url={self.viewer.track_url(self, number)}" for number in sorted(self.tracks)),
+                ),
             ]
-            self.answer(answer(200, self.cseq, *headers))
-        if self.held_back:
+            self.respond(answer(200, self.play_cseq, *headers))
+        if self.server_paused:
             attempt.stream.pause_reading()
 
     def attempt_media(self, attempt: Attempt, run: Frames) -> None:
-        if self.state is not State.PLAYING or self.ask is None or self.ask.attempt is not attempt:
+        if (
+            self.state is not State.PLAYING
+            or self.set_up_request is None
+            or self.set_up_request.attempt is not attempt
+        ):
             return
-        track = next((t.rtp for t in self.tracks.values() if t.channels[0] == run.channel), None)
-        if track is None:  # a channel that is not this session's: it may be a neighbour's
+        rewriter = next((t.rewriter for t in self.tracks.values() if t.channels[0] == run.channel), None)
+        if rewriter is None:  # may be a channel of another session on the viewer's connection
             self.worker.counts["stray_frames"] += 1
             return
         now = self.worker.loop.now()
-        if track.offsets is None and not track.resync:
-            track.observe(run.data[run.last + 4 :], now)
-            self.viewer.media(self, run.data)
+        if rewriter.offsets is None and not rewriter.resync:
+            rewriter.observe(run.data[run.last + 4 :], now)
+            self.viewer.send_media(self, run.data)
             return
         copy = memoryview(bytearray(run.data))
         for _, packet in split_frames(copy):
-            track.rewrite(packet, now)
-        self.viewer.media(self, copy)
+            rewriter.rewrite(packet, now)
+        self.viewer.send_media(self, copy)
 
     def attempt_rtcp(self, attempt: Attempt, channel: int, packet: rtp.RtcpPacket) -> None:
         for track in self.tracks.values():
             if track.channels[1] == channel and packet.kind != rtp.BYE:
-                self.viewer.media(self, memoryview(frame(channel, track.rtp.rewrite_rtcp(packet))))
+                self.viewer.send_media(self, memoryview(frame(channel, track.rewriter.rewrite_rtcp(packet))))
 
-    def to_server(self, channel: int, payload: memoryview) -> None:
-        """A viewer's receiver report goes on to its server while SSRCs are the same on both sides."""
-        ask = self.ask
-        if self.state is not State.PLAYING or ask is None or ask.attempt is None:
+    def forward_rtcp(self, channel: int, payload: memoryview) -> None:
+        """Forwards a viewer's receiver report to its server as long as both sides use the same SSRC."""
+        request = self.set_up_request
+        if self.state is not State.PLAYING or request is None or request.attempt is None:
             return
-        if all(t.rtp.offsets is None for t in self.tracks.values()) and ask.attempt.stream.backlog_bytes == 0:
-            ask.attempt.stream.write(frame(channel, payload))
+        if (
+            all(t.rewriter.offsets is None for t in self.tracks.values())
+            and request.attempt.stream.backlog_bytes == 0
+        ):
+            request.attempt.stream.write(frame(channel, payload))
 
     # back-pressure
 
-    def hold_back(self) -> None:
-        self.held_back = True
-        attempt = self.ask.attempt if self.ask else None
-        if attempt and attempt.state is AttemptState.PLAYING:  # before that its answers are waited for
+    def pause_server(self) -> None:
+        self.server_paused = True
+        attempt = self.set_up_request.attempt if self.set_up_request else None
+        # Until it plays, an attempt must be read for its responses.
+        if attempt and attempt.state is AttemptState.PLAYING:
             attempt.stream.pause_reading()
 
-    def let_flow(self) -> None:
-        self.held_back = False
-        if self.ask and self.ask.attempt:
-            self.ask.attempt.stream.resume_reading()
+    def resume_server(self) -> None:
+        self.server_paused = False
+        if self.set_up_request and self.set_up_request.attempt:
+            self.set_up_request.attempt.stream.resume_reading()
--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -1,7 +1,7 @@
-"""A viewer's connection: requests answered in the order in which they came, media between the answers.
+"""A viewer's connection: pipelined requests, responses in the order of the requests, media in between.
 
-A request takes a slot; a slot's answer goes out when all before it have (RFC 2326, 9.1). What is asked of a
-session that another slot still waits for is judged at once, by the state that the session has then.
+A request takes a slot; its response is sent once all earlier ones have been (RFC 2326, 9.1). A request for a
+session whose earlier request still waits for a response is handled at once, in the session's current state.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.servers.descriptions import DescriptionCache
 from lemonhall.front.viewers import routes
-from lemonhall.front.viewers.session import Minder, Session, State, ViewerTrack
-from lemonhall.front.viewers.slot import Slot
+from lemonhall.front.viewers.response_slot import ResponseSlot
+from lemonhall.front.viewers.session import Session, SessionHost, State, ViewerTrack
 from lemonhall.interface import Repeat
 from lemonhall.loop import Handler, Stream, Timer
 from lemonhall.rtsp import Frames, Malformed, Parser, Request
@@ -39,13 +39,13 @@
 
 log = structlog.get_logger("lemonhall.front")
 PUBLIC = "OPTIONS, DESCRIBE, SETUP, PLAY, GET_PARAMETER, SET_PARAMETER, TEARDOWN"
-PENDING_MOST = 32  # requests of one connection that wait for their answer
+MAX_PENDING_REQUESTS = 32  # of one connection, without a response
 KNOWN_PARAMETERS = ("position",)
-DOES = {method: f"do_{method.lower()}" for method in METHODS}
+HANDLER_NAMES = {method: f"do_{method.lower()}" for method in METHODS}
 
 
-class Host(Minder, Protocol):
-    """The worker, as a viewer's connection sees it."""
+class ViewerHost(SessionHost, Protocol):
+    """The worker, as a viewer's connection uses it."""
 
     settings: FrontSettings
     descriptions: DescriptionCache
@@ -54,402 +54,435 @@
     stopping: bool
     store_failing: bool
 
-    def no_more(self) -> str: ...
-    def new_token(self) -> Token | None: ...
-    def add(self, session: Session) -> None: ...
-    def viewer_closed(self, viewer: ViewerConnection) -> None: ...
+    def refusal_counter(self) -> str: ...
+    def new_claim_token(self) -> Token | None: ...
+    def add_session(self, session: Session) -> None: ...
+    def on_viewer_closed(self, viewer: ViewerConnection) -> None: ...
 
 
 class ViewerConnection(Handler):
-    def __init__(self, worker: Host, sock: socket.socket, peer: Any) -> None:
+    """The RTSP connection of one viewer, with its sessions by id."""
+
+    def __init__(self, worker: ViewerHost, sock: socket.socket, peer: Any) -> None:
         self.worker, self.peer = worker, peer
         self.limits = worker.settings.limits
         self.parser = Parser()
         self.sessions: dict[str, Session] = {}
-        self.slots: deque[Slot] = deque()
-        self.last: tuple[str, str, str] | None = None  # CSeq, method and URL of the newest request
-        self.last_answer: bytes | None = None
-        self.ending = False
-        self.asked = 0  # requests of ours to the viewer
-        self.head_timer: Timer | None = None
+        self.slots: deque[ResponseSlot] = deque()
+        self.last_request: tuple[str, str, str] | None = None  # CSeq, method and URL
+        self.last_response: bytes | None = None  # to the last request
+        self.closing = False
+        self.sent_requests = 0  # requests of the front to the viewer, which are numbered by CSeq
+        self.message_timer: Timer | None = None
         self.active_at = worker.loop.now()
         self.stream = Stream(worker.loop, sock, self, high_watermark=self.limits.viewer_backlog)
-        self.idle_timer = worker.loop.call_later(self.limits.idle_ms / 1000, self.idle)
+        self.idle_timer = worker.loop.call_later(self.limits.idle_ms / 1000, self.check_idle)
 
-    # bytes
+    # input and connection state
 
     def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
-            if self.ending:
+            if self.closing:
                 return
             if isinstance(event, Request):
                 self.on_request(event)
             elif isinstance(event, Frames):
                 self.on_frames(event)
             elif isinstance(event, Malformed):
-                self.refuse_all(event)
-        self.watch_head()
-
-    def watch_head(self) -> None:
-        """A message that has begun must end in time: a drip of bytes holds a descriptor, no more."""
-        if self.parser.in_message and self.head_timer is None:
-            wait = self.limits.head_ms / 1000
-            self.head_timer = self.worker.loop.call_later(wait, self.too_slow)
-        elif not self.parser.in_message and self.head_timer:
-            self.head_timer.cancel()
-            self.head_timer = None
-
-    def too_slow(self) -> None:
-        self.head_timer = None
+                self.close_with_error(event)
+        self.update_message_timer()
+
+    def update_message_timer(self) -> None:
+        """Limits the time for an incomplete message: a viewer that sends byte by byte only holds a
+        descriptor until the timeout."""
+        if self.parser.in_message and self.message_timer is None:
+            timeout_s = self.limits.head_ms / 1000
+            self.message_timer = self.worker.loop.call_later(timeout_s, self.on_message_timeout)
+        elif not self.parser.in_message and self.message_timer:
+            self.message_timer.cancel()
+            self.message_timer = None
+
+    def on_message_timeout(self) -> None:
+        self.message_timer = None
         if self.stream.open:
-            self.refuse_all(Malformed(408, "a message that does not end"))
+            self.close_with_error(Malformed(408, "message not complete within the time limit"))
 
-    def rest(self) -> None:
-        """Notes that something happened; one timer a connection looks back at it, none is made anew."""
+    def mark_active(self) -> None:
+        """Records activity. The connection's only idle timer compares with it and is not set anew."""
         self.active_at = self.worker.loop.now()
 
-    def idle(self) -> None:
-        """Without a session and without a request a connection is kept for a while, then closed."""
+    def check_idle(self) -> None:
+        """Closes a connection that has had no session and no request for the idle time."""
         if not self.stream.open:
             return
-        wait = self.limits.idle_ms / 1000
-        left = self.active_at + wait - self.worker.loop.now()
-        if left <= 0 and not (self.sessions or self.slots):
+        idle_s = self.limits.idle_ms / 1000
+        remaining_s = self.active_at + idle_s - self.worker.loop.now()
+        if remaining_s <= 0 and not (self.sessions or self.slots):
             self.stream.close()
             return
-        self.idle_timer = self.worker.loop.call_later(left if left > 0 else wait, self.idle)
+        self.idle_timer = self.worker.loop.call_later(
+            remaining_s if remaining_s > 0 else idle_s, self.check_idle
+        )
 
-    def refuse_all(self, what: Malformed) -> None:
-        """Bytes that cannot be read: one answer, then the connection ends. What played on it ends with it."""
+    def close_with_error(self, error: Malformed) -> None:
+        """Responds once to input that cannot be processed, and closes; sessions end with the connection."""
         self.worker.counts["malformed"] += 1
-        log.info("connection closed", peer=str(self.peer), status=what.status, why=what.why)
-        self.ending = True
-        self.stream.write(make_response(what.status, what.cseq, ("Connection", "close")).encode())
+        log.info(
+            "request not processable; connection closed",
+            peer=str(self.peer),
+            status=error.status,
+            reason=error.why,
+        )
+        self.closing = True
+        self.stream.write(make_response(error.status, error.cseq, ("Connection", "close")).encode())
         self.stream.close()
 
     def on_closed(self, reason: str) -> None:
         self.idle_timer.cancel()
-        if self.head_timer:
-            self.head_timer.cancel()
+        if self.message_timer:
+            self.message_timer.cancel()
         for session in list(self.sessions.values()):
-            session.viewer_lost()
-        self.worker.viewer_closed(self)
+            session.on_viewer_lost()
+        self.worker.on_viewer_closed(self)
 
     def on_frames(self, run: Frames) -> None:
-        """Receiver reports of the viewer's; channels that nobody set up are passed over."""
+        """Passes receiver reports to their session; frames of channels without a track are ignored."""
         for channel, payload in split_frames(run.data):
             for session in self.sessions.values():
-                if any(t.channels[1] == channel for t in session.tracks.values()):
-                    session.to_server(channel, payload)
+                if any(track.channels[1] == channel for track in session.tracks.values()):
+                    session.forward_rtcp(channel, payload)
 
-    # answers
+    # responses and media
 
-    def answer(self, slot: Slot, data: bytes) -> None:
-        if slot.answer is not None:
+    def complete_slot(self, slot: ResponseSlot, response: bytes) -> None:
+        """Sets the response of a slot and sends all responses that are next in order."""
+        if slot.response is not None:
             return
-        slot.answer = data
-        if slot.request.cseq == (self.last[0] if self.last else None):
-            self.last_answer = slot.answer
-        while self.slots and self.slots[0].answer is not None:
+        slot.response = response
+        if slot.request.cseq == (self.last_request[0] if self.last_request else None):
+            self.last_response = slot.response
+        while self.slots and self.slots[0].response is not None:
             first = self.slots.popleft()
-            assert first.answer is not None
-            self.stream.write(b"".join([first.answer, *first.tail]))
+            assert first.response is not None
+            self.stream.write(b"".join([first.response, *first.queued_media]))
             for session in self.sessions.values():
                 if (
-                    session.held_back
+                    session.server_paused
                     and not self.stream.above_high_watermark
-                    and self.slot_of(session) is None
+                    and self.find_play_slot(session) is None
                 ):
-                    session.let_flow()
-        self.rest()
+                    session.resume_server()
+        self.mark_active()
 
-    def redirect(self, to: str) -> None:
-        """Asks the viewer to play elsewhere (RFC 2326, 10.10): it may, or go on here until the drain ends."""
+    def redirect(self, location: str) -> None:
+        """Sends REDIRECT for each playing session (RFC 2326, 10.10). A viewer may follow it, or play on
+        here until the drain ends."""
         for session in self.sessions.values():
             if session.state is State.PLAYING and not self.slots:
-                self.asked += 1
-                location = ("Location", f"rtsp://{to}{session.path}")
-                named = ("Session", session.id)
+                self.sent_requests += 1
+                location_header = ("Location", f"rtsp://{location}{session.path}")
+                session_header = ("Session", session.id)
                 url = f"rtsp://{self.worker.host}{session.path}"
-                self.stream.write(make_request("REDIRECT", url, self.asked, named, location).encode())
-
-    def slot_of(self, session: Session) -> Slot | None:
-        """The slot, still waiting its turn, whose answer says that this session plays."""
+                self.stream.write(
+                    make_request(
+                        "REDIRECT", url, self.sent_requests, session_header, location_header
+                    ).encode()
+                )
+
+    def find_play_slot(self, session: Session) -> ResponseSlot | None:
+        """Returns the queued slot whose response starts the session."""
         for slot in self.slots:
             if slot.request.method == "PLAY" and slot.request.session == session.id:
                 return slot
         return None
 
-    def media(self, session: Session, data: memoryview) -> None:
-        if self.slots and (slot := self.slot_of(session)):
-            slot.tail.append(bytes(data))
-            session.hold_back()
+    def send_media(self, session: Session, data: memoryview) -> None:
+        if self.slots and (slot := self.find_play_slot(session)):
+            slot.queued_media.append(bytes(data))
+            session.pause_server()
             return
         self.stream.write(data)
 
     def on_backlog_full(self) -> None:
         for session in self.sessions.values():
-            session.hold_back()
+            session.pause_server()
         self.worker.loop.call_later(self.limits.stalled_ms / 1000, self.check_stalled)
 
     def check_stalled(self) -> None:
+        """Aborts the connection if the viewer has read nothing for the stall time."""
         stream = self.stream
         if not stream.open or stream.stalled_since is None:
             return
-        still = stream.stalled_since + self.limits.stalled_ms / 1000 - self.worker.loop.now()
-        if still > 0:
-            self.worker.loop.call_later(still + 0.001, self.check_stalled)
+        remaining_s = stream.stalled_since + self.limits.stalled_ms / 1000 - self.worker.loop.now()
+        if remaining_s > 0:
+            self.worker.loop.call_later(remaining_s + 0.001, self.check_stalled)
             return
         self.worker.counts["viewer_stalled"] += 1
         stream.abort()
 
     def on_backlog_drained(self) -> None:
         for session in self.sessions.values():
-            if self.slot_of(session) is None:
-                session.let_flow()
+            if self.find_play_slot(session) is None:
+                session.resume_server()
 
     # requests
 
     def on_request(self, request: Request) -> None:
-        self.rest()
+        self.mark_active()
         cseq = request.cseq
         key = (cseq, request.method, request.url)
         if not (cseq.isascii() and cseq.isdigit() and len(cseq) <= 10):
-            self.refuse_all(Malformed(400, "a request without a CSeq"))
+            self.close_with_error(Malformed(400, "CSeq is missing or not a number of at most 10 digits"))
             return
-        if self.last and cseq == self.last[0]:
-            if key != self.last:
-                self.now(request, 400)
-            elif self.last_answer is not None:  # the same again: the same answer, nothing is done twice
-                self.stream.write(self.last_answer)
+        if self.last_request and cseq == self.last_request[0]:
+            if key != self.last_request:
+                self.enqueue_response(request, 400)
+            elif self.last_response is not None:  # a retransmission: the response is repeated
+                self.stream.write(self.last_response)
             return
-        if len(self.slots) >= PENDING_MOST:
-            self.refuse_all(Malformed(503, "too many requests at once", request.cseq))
+        if len(self.slots) >= MAX_PENDING_REQUESTS:
+            self.close_with_error(Malformed(503, "too many pending requests", request.cseq))
             return
-        self.last, self.last_answer = key, None
-        slot = Slot(request)
+        self.last_request, self.last_response = key, None
+        slot = ResponseSlot(request)
         self.slots.append(slot)
         if "Require" in request.headers:
-            wanted = ("Unsupported", request.headers.get("Require"))
-            self.reply(slot, 551, wanted)
+            unsupported = ("Unsupported", request.headers.get("Require"))
+            self.respond(slot, 551, unsupported)
             return
-        act = getattr(self, DOES[request.method], None) if request.method in METHODS else None
-        if act:
-            act(slot, request)
+        handler = getattr(self, HANDLER_NAMES[request.method], None) if request.method in METHODS else None
+        if handler:
+            handler(slot, request)
         elif request.method in METHODS:
-            self.reply(slot, 405, ("Allow", PUBLIC))
+            self.respond(slot, 405, ("Allow", PUBLIC))
         else:
-            self.reply(slot, 501, ("Public", PUBLIC))
+            self.respond(slot, 501, ("Public", PUBLIC))
 
-    def now(self, request: Request, status: int) -> None:
-        slot = Slot(request)
+    def enqueue_response(self, request: Request, status: int) -> None:
+        slot = ResponseSlot(request)
         self.slots.append(slot)
-        self.reply(slot, status)
+        self.respond(slot, status)
 
-    def reply(self, slot: Slot, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
-        self.answer(slot, answer(status, slot.request.cseq, *headers, body=body))
+    def respond(self, slot: ResponseSlot, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
+        self.complete_slot(slot, answer(status, slot.request.cseq, *headers, body=body))
 
-    def path(self, slot: Slot, request: Request) -> tuple[str, int | None] | None:
-        """Path and track of the request's URL; answers 400 itself if it is none."""
+    def parse_path(self, slot: ResponseSlot, request: Request) -> tuple[str, int | None] | None:
+        """Returns path and track of the request's URL, or None after responding with 400 to a malformed URL."""
         try:
             return split_track(split_url(request.url)[1])
         except ValueError:
-            self.reply(slot, 400)
+            self.respond(slot, 400)
             return None
 
-    def asked_for(self, slot: Slot, path: str, request: Request) -> tuple[routes.Asked, str] | None:
-        """Where the request's route leads; where it leads nowhere, or elsewhere, it is answered here."""
+    def route(
+        self, slot: ResponseSlot, path: str, request: Request
+    ) -> tuple[routes.RoutingResult, str] | None:
+        """Returns where the request's route leads. Responds itself and returns None if there is no route,
+        or if the route responds or redirects."""
         worker = self.worker
         host = split_url(request.url)[0]
-        found = routes.match(worker.settings.terms, worker.router, path, request.headers, host)
-        if isinstance(found, tuple):
-            return found
-        if found is None:
-            self.reply(slot, 404)
-        elif found.to and 300 <= found.status < 400:
-            to = found.to if "://" in found.to else f"rtsp://{host}{found.to}"
-            self.reply(slot, found.status, ("Location", re.sub(r"^https?://", "rtsp://", to)))
+        result = routes.route_request(worker.settings.terms, worker.router, path, request.headers, host)
+        if isinstance(result, tuple):
+            return result
+        if result is None:
+            self.respond(slot, 404)
+        elif result.to and 300 <= result.status < 400:
+            location = result.to if "://" in result.to else f"rtsp://{host}{result.to}"
+            self.respond(slot, result.status, ("Location", re.sub(r"^https?://", "rtsp://", location)))
         else:
-            self.reply(slot, found.status)
+            self.respond(slot, result.status)
         return None
 
-    def find(self, slot: Slot, request: Request) -> Session | None:
-        """The session that the request names, on this connection; answers 454 itself."""
+    def find_session(self, slot: ResponseSlot, request: Request) -> Session | None:
+        """Returns the session that the request names. Responds with 454 if it is not on this connection."""
         session = self.sessions.get(request.session)
         if session is None:
-            self.reply(slot, 454)
+            self.respond(slot, 454)
         return session
 
-    def do_options(self, slot: Slot, request: Request) -> None:
-        self.reply(slot, 200, ("Public", PUBLIC))
+    def do_options(self, slot: ResponseSlot, request: Request) -> None:
+        self.respond(slot, 200, ("Public", PUBLIC))
 
-    def do_describe(self, slot: Slot, request: Request) -> None:
-        found = self.path(slot, request)
-        if found is None:
+    def do_describe(self, slot: ResponseSlot, request: Request) -> None:
+        parsed = self.parse_path(slot, request)
+        if parsed is None:
             return
-        path = found[0]
-        asked = self.asked_for(slot, path, request)
-        if asked is None:
+        path = parsed[0]
+        routed = self.route(slot, path, request)
+        if routed is None:
             return
-        path = asked[1]
-        base = ("Content-Base", request.url.rstrip("/") + "/")
+        path = routed[1]
+        content_base = ("Content-Base", request.url.rstrip("/") + "/")
 
-        def described(status: int, description: Description | None) -> None:
+        def on_description(status: int, description: Description | None) -> None:
             if description:
-                kind = ("Content-Type", "application/sdp")
-                self.reply(slot, 200, base, kind, body=description.text)
+                content_type = ("Content-Type", "application/sdp")
+                self.respond(slot, 200, content_base, content_type, body=description.text)
             elif status == 503:
-                self.reply(slot, 503, ("Retry-After", "1"))
+                self.respond(slot, 503, ("Retry-After", "1"))
             else:
-                self.reply(slot, status)
+                self.respond(slot, status)
 
-        self.worker.descriptions.describe(path, described)
+        self.worker.descriptions.describe(path, on_description)
 
-    def do_setup(self, slot: Slot, request: Request) -> None:
-        found = self.path(slot, request)
-        if found is None:
+    def do_setup(self, slot: ResponseSlot, request: Request) -> None:
+        parsed = self.parse_path(slot, request)
+        if parsed is None:
             return
-        path, track = found
+        path, track = parsed
         settings = self.worker.settings
-        routed = self.asked_for(slot, path, request)
+        routed = self.route(slot, path, request)
         if routed is None:
             return
-        asked, there = routed
-        known = self.worker.descriptions.cached(there)
-        if known and track is None and len(known.tracks) > 1:
-            self.reply(slot, 459)
+        routing, server_path = routed
+        description = self.worker.descriptions.cached(server_path)
+        if description and track is None and len(description.tracks) > 1:
+            self.respond(slot, 459)
             return
         number = track or 0
-        if known and number >= len(known.tracks):
-            self.reply(slot, 404)
+        if description and number >= len(description.tracks):
+            self.respond(slot, 404)
             return
-        transport = self.transport(slot, request)
+        transport = self.choose_transport(slot, request)
         if transport is None:
             return
         session = self.sessions.get(request.session)
         if session is None:
             if request.session:
-                self.reply(slot, 454)
+                self.respond(slot, 454)
                 return
-            if why := self.worker.no_more():
-                self.worker.counts[why] += 1
-                self.reply(slot, 503, ("Retry-After", "2"))
+            if counter := self.worker.refusal_counter():
+                self.worker.counts[counter] += 1
+                self.respond(slot, 503, ("Retry-After", "2"))
                 return
-            top = request.headers.get(settings.rung_header)
-            most = len(settings.terms.ladder_kb) - 1
+            requested_rung = request.headers.get(settings.rung_header)
+            highest_rung = len(settings.terms.ladder_kb) - 1
             session = Session(
                 self.worker,
                 self,
                 path,
-                there,
-                asked,
+                server_path,
+                routing,
                 request.headers.get(settings.viewer_header) or f"{self.peer}",
-                min(most, int(top)) if top.isascii() and top.isdigit() else most,
+                min(highest_rung, int(requested_rung))
+                if requested_rung.isascii() and requested_rung.isdigit()
+                else highest_rung,
             )
-            if not self.name_claim(session, slot, request):
+            if not self.assign_claim(session, slot, request):
                 return
-            session.again = request.headers.get(settings.again_header) not in ("", "0")
+            session.is_repeat = request.headers.get(settings.again_header) not in ("", "0")
             self.sessions[session.id] = session
-            self.worker.add(session)
+            self.worker.add_session(session)
         elif session.state is not State.READY:
-            self.reply(slot, 455, ("Allow", "PLAY, TEARDOWN, GET_PARAMETER, SET_PARAMETER"))
+            self.respond(slot, 455, ("Allow", "PLAY, TEARDOWN, GET_PARAMETER, SET_PARAMETER"))
             return
         elif session.path != path or (number in session.tracks):
-            self.reply(slot, 455)
+            self.respond(slot, 455)
             return
         assert transport.channels
-        control = known.tracks[number].control if known else f"trackID={number}"
-        clock = known.tracks[number].clock_rate if known else 90000
-        session.tracks[number] = ViewerTrack(transport.channels, control, clock)
-        answer = [("Transport", transport.encode()), ("Session", f"{session.id};timeout=60")]
+        control = description.tracks[number].control if description else f"trackID={number}"
+        clock_rate = description.tracks[number].clock_rate if description else 90000
+        session.tracks[number] = ViewerTrack(transport.channels, control, clock_rate)
+        headers = [("Transport", transport.encode()), ("Session", f"{session.id};timeout=60")]
         if session.claim:
-            answer.append((settings.claim_header, str(session.claim)))
-        self.reply(slot, 200, *answer)
+            headers.append((settings.claim_header, str(session.claim)))
+        self.respond(slot, 200, *headers)
 
-    def name_claim(self, session: Session, slot: Slot, request: Request) -> bool:
-        """The token of a paid claim: the viewer's, if it comes again, else a new one. Answers 400 or 503."""
+    def assign_claim(self, session: Session, slot: ResponseSlot, request: Request) -> bool:
+        """Gives a paid session its claim token: the one that the viewer sends, otherwise a new one.
+
+        Returns False after responding with 400 (invalid token) or 503 (the store fails).
+        """
         settings = self.worker.settings
-        if settings.terms.classes[session.asked.cls].repeat is not Repeat.PAID:
+        if settings.terms.classes[session.routing.cls].repeat is not Repeat.PAID:
             return True
         if self.worker.store_failing:
             self.worker.counts["refused_store"] += 1
-            self.reply(slot, 503, ("Retry-After", "2"))
+            self.respond(slot, 503, ("Retry-After", "2"))
             return False
         text = request.headers.get(settings.claim_header)
-        session.claim = Token.parse(text) if text else self.worker.new_token()
+        session.claim = Token.parse(text) if text else self.worker.new_claim_token()
         if text and session.claim is None:
-            self.reply(slot, 400)
+            self.respond(slot, 400)
             return False
         return True
 
-    def transport(self, slot: Slot, request: Request) -> Transport | None:
-        """The first transport that we carry, with channels that are free here; answers 400 or 461 itself."""
+    def choose_transport(self, slot: ResponseSlot, request: Request) -> Transport | None:
+        """Returns the first supported transport, on channels that are free on this connection. Responds with
+        400 or 461 and returns None if there is none."""
         try:
             offers = parse_transport(request.headers.get("Transport"))
         except ValueError:
-            self.reply(slot, 400)
+            self.respond(slot, 400)
             return None
-        offer = next((o for o in offers if o.is_interleaved), None)
+        offer = next((offer for offer in offers if offer.is_interleaved), None)
         if offer is None:
-            self.reply(slot, 461)
+            self.respond(slot, 461)
             return None
-        used = {c for s in self.sessions.values() for t in s.tracks.values() for c in t.channels}
-        wish = offer.channels
-        if wish is None or used & set(wish) or wish[0] % 2 or wish[1] != wish[0] + 1:
-            wish = next(((c, c + 1) for c in range(0, 256, 2) if not used & {c, c + 1}), None)
-        if wish is None:
-            self.reply(slot, 461)
+        used = {
+            channel
+            for session in self.sessions.values()
+            for track in session.tracks.values()
+            for channel in track.channels
+        }
+        channels = offer.channels
+        if channels is None or used & set(channels) or channels[0] % 2 or channels[1] != channels[0] + 1:
+            channels = next(((c, c + 1) for c in range(0, 256, 2) if not used & {c, c + 1}), None)
+        if channels is None:
+            self.respond(slot, 461)
             return None
-        return Transport("RTP/AVP/TCP", True, wish)
+        return Transport("RTP/AVP/TCP", True, channels)
 
-    def url(self, session: Session, track: int) -> str:
+    def track_url(self, session: Session, track: int) -> str:
         return f"rtsp://{self.worker.host}{session.path}/trackID={track}"
 
-    def do_play(self, slot: Slot, request: Request) -> None:
-        session = self.find(slot, request)
+    def do_play(self, slot: ResponseSlot, request: Request) -> None:
+        session = self.find_session(slot, request)
         if session is None:
             return
-        found = self.path(slot, request)
-        if found is None:
+        parsed = self.parse_path(slot, request)
+        if parsed is None:
             return
-        path, track = found
+        path, track = parsed
         if path != session.path:
-            self.reply(slot, 404)
+            self.respond(slot, 404)
         elif track is not None and len(session.tracks) > 1:
-            self.reply(slot, 460)
+            self.respond(slot, 460)
         elif session.state is State.PLAYING:
-            self.reply(slot, 200, ("Session", session.id), ("Range", f"npt={session.position():.3f}-"))
+            self.respond(
+                slot, 200, ("Session", session.id), ("Range", f"npt={session.current_position_s():.3f}-")
+            )
         elif session.state is not State.READY:
-            self.reply(slot, 455)
+            self.respond(slot, 455)
         elif self.worker.stopping:
-            self.reply(slot, 503, ("Retry-After", "2"))
+            self.respond(slot, 503, ("Retry-After", "2"))
         else:
             session.play(slot, request.cseq, parse_npt(request.headers.get("Range")))
 
-    def do_teardown(self, slot: Slot, request: Request) -> None:
-        if session := self.find(slot, request):
+    def do_teardown(self, slot: ResponseSlot, request: Request) -> None:
+        if session := self.find_session(slot, request):
             session.teardown()
             self.sessions.pop(session.id, None)
-            self.reply(slot, 200, ("Session", session.id))
+            self.respond(slot, 200, ("Session", session.id))
 
-    def do_get_parameter(self, slot: Slot, request: Request) -> None:
-        """Empty: a sign of life (10.8). `position` is the one parameter known here; others are 451."""
+    def do_get_parameter(self, slot: ResponseSlot, request: Request) -> None:
+        """Without a body a keep-alive (RFC 2326, 10.8). `position` is the only parameter; others get 451."""
         if not request.session and not request.body:
-            self.reply(slot, 200)
+            self.respond(slot, 200)
             return
-        session = self.find(slot, request)
+        session = self.find_session(slot, request)
         if session is None:
             return
         names = request.body.decode(errors="replace").split()
         if any(name not in KNOWN_PARAMETERS for name in names):
-            self.reply(slot, 451, ("Session", session.id))
+            self.respond(slot, 451, ("Session", session.id))
             return
-        body = f"position: {session.position():.3f}\r\n".encode() if names else b""
-        kind = [("Content-Type", "text/parameters")] if body else []
-        self.reply(slot, 200, ("Session", session.id), *kind, body=body)
+        body = f"position: {session.current_position_s():.3f}\r\n".encode() if names else b""
+        content_type = [("Content-Type", "text/parameters")] if body else []
+        self.respond(slot, 200, ("Session", session.id), *content_type, body=body)
 
-    def do_set_parameter(self, slot: Slot, request: Request) -> None:
-        """Nothing of a session is the viewer's to set; an empty one is a sign of life."""
-        if request.session and self.find(slot, request) is None:
+    def do_set_parameter(self, slot: ResponseSlot, request: Request) -> None:
+        """Without a body a keep-alive. A viewer cannot set any parameter: a body gets 451."""
+        if request.session and self.find_session(slot, request) is None:
             return
-        self.reply(slot, 451 if request.body.strip() else 200)
+        self.respond(slot, 451 if request.body.strip() else 200)
--- a/lemonhall/front/viewers/worker.py
+++ b/lemonhall/front/viewers/worker.py
@@ -1,9 +1,10 @@
-"""The carrying side of a front: viewers and their sessions, attempts, what the decider says of them.
+"""The worker of a front: viewers and their sessions, the attempts, and the orders of the decider.
 
-A worker decides nothing of a session. It tells its decider what is asked and what happened, does what it is
-told, and sees to three things by itself: one answer to each PLAY by its deadline, whatever becomes of the
-decider; never two attempts at once nor more than allowed; and nothing of a paid attempt leaves before its
-decider has cleared it. What holds when the decider is gone is `lemonhall.ipc.request_state`'s to say.
+A worker decides nothing about a session. It reports requests and events to its decider, executes the
+decider's orders, and guarantees three things by itself: each PLAY gets one response by its deadline, whatever
+happens to the decider; there is never more than one attempt at a time, nor more attempts than allowed; and no
+byte of a paid attempt is sent before its decider has allowed it. What applies without a decider is defined in
+`lemonhall.ipc.request_state`.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from lemonhall.front.servers.descriptions import DescriptionCache
 from lemonhall.front.servers.server_list import ServerListState, parse_address
 from lemonhall.front.viewers import routes
-from lemonhall.front.viewers.session import Ask, Session, State
+from lemonhall.front.viewers.session import Session, SetUpRequest, State
 from lemonhall.front.viewers.viewer import ViewerConnection
 from lemonhall.interface import Outcome, Repeat
 from lemonhall.ipc import (
@@ -58,146 +59,159 @@
 
 log = structlog.get_logger("lemonhall.front")
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-BACKSTOP_S = 0.05  # behind the deadline: by then the decider should have said something
-STOP_S = 10.0  # a clean stop takes no longer
-MEMORY_EVERY_S = 0.5
-BUSY_PAUSE_MS = 2000.0  # advised to a viewer that nobody can decide about now
+DEADLINE_MARGIN_S = 0.05  # after the deadline; the answer of a running decider has arrived by then
+STOP_TIMEOUT_S = 10.0  # for an orderly stop
+MEMORY_CHECK_INTERVAL_S = 0.5
+BUSY_PAUSE_MS = 2000.0  # advised to a viewer whose request cannot be decided now
 STATM, PAGE_BYTES = Path("/proc/self/statm"), 4096
 
 
-class Uplink(Protocol):
-    """To the decider, while there is one."""
+class DeciderConnection(Protocol):
+    """Sends messages to the decider. `send` returns False if the queue has no room."""
 
     def send(self, message: Message) -> bool: ...
 
 
 class Worker:
-    """`number` is unique for the life of the front; `listed` the box list as this process has it."""
+    """`number` is not used twice during the lifetime of the front; `server_list` is this process's copy."""
 
     def __init__(
         self,
         loop: Loop,
         settings: FrontSettings,
         number: int,
-        listed: ServerListState,
+        server_list: ServerListState,
         random: Random,
         now_ms: Callable[[], float],
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
         counts: Counter[str] | None = None,
     ) -> None:
-        self.loop, self.settings, self.number, self.listed = loop, settings, number, listed
-        self.now_ms, self.wall, self.random = now_ms, wall, random
+        self.loop, self.settings, self.number, self.server_list = loop, settings, number, server_list
+        self.now_ms, self.wall_clock, self.random = now_ms, wall_clock, random
         self.counts = Counter[str]() if counts is None else counts
-        self.tokens = Random(SystemRandom().getrandbits(64))  # must not come twice, whatever the seed
-        self.uplink: Uplink | None = None
-        self.link, self.links = 0, 0  # the number of the link that is there, 0: none; of the last one
-        self.welcome: Welcome | None = None  # the last that was heard
+        # seeded by the system, because a claim token must not be generated twice, whatever the front's seed
+        self.token_random = Random(SystemRandom().getrandbits(64))
+        self.decider: DeciderConnection | None = None
+        # number of the current connection to a decider (0: none), and of the last one
+        self.connection_id, self.last_connection_id = 0, 0
+        self.welcome: Welcome | None = None  # the last one received
         self.store_failing = False
         self.pruned_s = 0
-        self.by_id: dict[str, Session] = {}
-        self.asks: dict[int, Ask] = {}
-        self.next_ask = (number << 32) + 1
+        self.sessions_by_id: dict[str, Session] = {}
+        self.open_requests: dict[int, SetUpRequest] = {}
+        self.next_request_number = (number << 32) + 1
         self.viewers: set[ViewerConnection] = set()
         self.descriptions = DescriptionCache(
             loop,
-            listed.servers,
-            listed.addresses.get,
+            server_list.servers,
+            server_list.addresses.get,
             now_ms,
             settings.terms.warm_ms,
             Random(random.random()),
         )
-        self.router = routes.table(settings.terms)
-        self.share = 1  # of how many workers the limits of the front are
+        self.router = routes.build_router(settings.terms)
+        self.worker_count = 1  # workers that share the limits of the front
         self.host = ""
         self.stopping = self.draining = self.over_memory = False
-        self.on_empty: Callable[[], object] = lambda: None  # nothing is left, after `retire`
-        self.hear: dict[type[Message], Callable[[Any], object]] = {
-            StartAttempt: self.set_up,
-            AttemptRecorded: self.cleared,
-            ChangeRung: self.set_rung,
-            RefuseRequest: self.refused,
-            FailRequest: self.failed,
-            MoveSession: self.move,
-            CancelAttempt: self.cancel,
-            EndSession: self.finish_session,
-            StoreStatus: self.stored,
-            RedirectViewers: self.redirect,
-            RetireWorker: self.retired,
+        self.on_stopped: Callable[[], object] = lambda: None  # called once, when nothing is left
+        self.message_handlers: dict[type[Message], Callable[[Any], object]] = {
+            StartAttempt: self.on_start_attempt,
+            AttemptRecorded: self.on_attempt_recorded,
+            ChangeRung: self.on_change_rung,
+            RefuseRequest: self.on_refuse_request,
+            FailRequest: self.on_fail_request,
+            MoveSession: self.on_move_session,
+            CancelAttempt: self.on_cancel_attempt,
+            EndSession: self.on_end_session,
+            StoreStatus: self.on_store_status,
+            RedirectViewers: self.on_redirect_viewers,
+            RetireWorker: self.on_retire_worker,
         }
 
-    def settle(self, settings: FrontSettings, share: int) -> None:
-        """Other settings from now on, and how many share the front's limits."""
-        self.settings, self.share = settings, share
-        self.router = routes.table(settings.terms)
+    def apply_settings(self, settings: FrontSettings, worker_count: int) -> None:
+        """Applies new settings from now on. `worker_count` workers share the front's limits."""
+        self.settings, self.worker_count = settings, worker_count
+        self.router = routes.build_router(settings.terms)
 
-    # the link to the decider
+    # the connection to the decider
 
-    def heard(self, message: Message) -> bool:
-        """The decider's word. False: it is not about sessions."""
-        if act := self.hear.get(type(message)):
-            act(message)
+    def on_decider_message(self, message: Message) -> bool:
+        """Handles a message of the decider. Returns False if it is of a kind that is not handled here."""
+        if handler := self.message_handlers.get(type(message)):
+            handler(message)
             return True
         return False
 
-    def linked(self, uplink: Uplink, welcome: Welcome) -> None:
-        """A decider is there: it hears of what is asked and what plays."""
-        self.uplink, self.welcome = uplink, welcome
+    def on_decider_connected(self, decider: DeciderConnection, welcome: Welcome) -> None:
+        """Reports open requests and playing sessions over the new connection."""
+        self.decider, self.welcome = decider, welcome
         self.pruned_s = welcome.pruned_s
-        self.links += 1
-        self.link = self.links
-        for ask in list(self.asks.values()):
-            self.tell(ask)
-
-    def cut(self) -> None:
-        """It is gone. What plays goes on; what has not left is dropped, and asked for again later."""
-        if not self.link:
+        self.last_connection_id += 1
+        self.connection_id = self.last_connection_id
+        for request in list(self.open_requests.values()):
+            self.announce_request(request)
+
+    def on_decider_lost(self) -> None:
+        """Drops attempts that have sent nothing; the next decider gets their requests again. Playing
+        sessions continue."""
+        if not self.connection_id:
             return
-        self.uplink, self.link = None, 0
-        for ask in list(self.asks.values()):
-            if ask.carry.on_connection_lost() and ask.attempt:
-                attempt, ask.attempt = ask.attempt, None
+        self.decider, self.connection_id = None, 0
+        for request in list(self.open_requests.values()):
+            if request.request_state.on_connection_lost() and request.attempt:
+                attempt, request.attempt = request.attempt, None
                 attempt.end(Outcome.MOOT)
 
-    def say(self, message: Message) -> bool:
-        return self.uplink is not None and self.uplink.send(message)
+    def send_to_decider(self, message: Message) -> bool:
+        return self.decider is not None and self.decider.send(message)
 
-    def tell(self, ask: Ask) -> None:
-        """Tells a new decider what it must know of an ask."""
-        if not self.link or ask.answered and ask.attempt is None:
+    def announce_request(self, request: SetUpRequest) -> None:
+        """Reports to the connected decider what it has to know about a request."""
+        if not self.connection_id or request.answered and request.attempt is None:
             return
-        told = ask.carry.announce(self.link)
-        if told is Announcement.REQUEST:
-            said = ask.said
-            paid = self.settings.terms.classes[said.cls].repeat is Repeat.PAID
-            said.attempts_made, said.maybe_ran = ask.carry.attempts_made, ask.carry.unreported_run and paid
-            said.unsent_turn, said.unsent_attempt = ask.carry.unsent_claim
-            if not self.say(said):
-                ask.carry.mark_unannounced()
-                self.no_room(ask)
-        elif told is Announcement.ONGOING_SESSION:
-            self.tell_carried(ask)
-
-    def tell_carried(self, ask: Ask) -> None:
-        attempt = ask.attempt
+        announcement = request.request_state.announce(self.connection_id)
+        if announcement is Announcement.REQUEST:
+            message = request.message
+            paid = self.settings.terms.classes[message.cls].repeat is Repeat.PAID
+            message.attempts_made, message.maybe_ran = (
+                request.request_state.attempts_made,
+                request.request_state.unreported_run and paid,
+            )
+            message.unsent_turn, message.unsent_attempt = request.request_state.unsent_claim
+            if not self.send_to_decider(message):
+                request.request_state.mark_unannounced()
+                self.on_queue_full(request)
+        elif announcement is Announcement.ONGOING_SESSION:
+            self.announce_ongoing_session(request)
+
+    def announce_ongoing_session(self, request: SetUpRequest) -> None:
+        attempt = request.attempt
         assert attempt
-        attempt.number = 0  # the decider counts anew
-        carry, since = ask.carry, ask.session.since or self.loop.now()
-        told = (ask.number, attempt.server, ask.rung, carry.claim_turn, carry.claim_attempts, since)
-        self.say(OngoingSession(*told, encode(ask.said), ask.memo))
+        attempt.number = 0  # the new decider counts from 0
+        state, playing_since = request.request_state, request.session.position_at or self.loop.now()
+        values = (
+            request.number,
+            attempt.server,
+            request.rung,
+            state.claim_turn,
+            state.claim_attempts,
+            playing_since,
+        )
+        self.send_to_decider(OngoingSession(*values, encode(request.message), request.memo))
 
-    def no_room(self, ask: Ask) -> None:
-        """Too much waits for the decider: this one is answered here."""
+    def on_queue_full(self, request: SetUpRequest) -> None:
+        """The queue to the decider has no room, so the request is answered here."""
         self.counts["seam_full"] += 1
-        self.answer_alone(ask)
+        self.answer_without_decider(request)
 
-    def stored(self, message: StoreStatus) -> None:
+    def on_store_status(self, message: StoreStatus) -> None:
         self.store_failing, self.pruned_s = message.failing, message.pruned_s
 
     # viewers
 
     def accept(self, sock: socket.socket, peer: Any) -> None:
-        most = -(-self.settings.limits.connections // self.share)
-        if self.stopping or self.over_memory or len(self.viewers) >= most:
+        max_viewers = -(-self.settings.limits.connections // self.worker_count)
+        if self.stopping or self.over_memory or len(self.viewers) >= max_viewers:
             self.counts["connections_refused"] += 1
             try:
                 sock.setblocking(False)
@@ -209,327 +223,370 @@
         self.counts["connections"] += 1
         self.viewers.add(ViewerConnection(self, sock, peer))
 
-    def viewer_closed(self, viewer: ViewerConnection) -> None:
+    def on_viewer_closed(self, viewer: ViewerConnection) -> None:
         self.viewers.discard(viewer)
 
-    def no_more(self) -> str:
-        """Why no session is taken now, as its counter is called; "" if one is."""
+    def refusal_counter(self) -> str:
+        """Returns the name of the counter for why no new session is accepted; empty if one is."""
         if self.stopping or self.draining:
             return "refused_stopping"
         if self.over_memory:
             return "refused_memory"
-        most = -(-self.settings.limits.sessions // self.share)
-        return "over_limit" if len(self.by_id) >= most else ""
-
-    def watch_memory(self) -> None:
-        """Over the limit nothing new is taken until a tenth of it is free again; what plays goes on."""
-        resident = int(STATM.read_text().split()[1]) * PAGE_BYTES
-        most = self.settings.limits.memory
-        was, self.over_memory = self.over_memory, resident > (0.9 * most if self.over_memory else most)
-        if was != self.over_memory:
-            log.warning("memory", over=self.over_memory, resident=resident, limit=most)
-        self.loop.call_later(MEMORY_EVERY_S, self.watch_memory)
-
-    def new_token(self) -> Token | None:
-        """Of a new paid claim; None where no ledger is kept."""
+        max_sessions = -(-self.settings.limits.sessions // self.worker_count)
+        return "over_limit" if len(self.sessions_by_id) >= max_sessions else ""
+
+    def check_memory(self) -> None:
+        """Refuses new connections and sessions above the memory limit until 10 % of it is free again.
+
+        Playing sessions continue.
+        """
+        resident_bytes = int(STATM.read_text().split()[1]) * PAGE_BYTES
+        limit_bytes = self.settings.limits.memory
+        was_over, self.over_memory = (
+            self.over_memory,
+            resident_bytes > (0.9 * limit_bytes if self.over_memory else limit_bytes),
+        )
+        if was_over != self.over_memory:
+            log.warning(
+                "resident memory crossed its limit; above it new sessions are refused",
+                over_limit=self.over_memory,
+                resident_bytes=resident_bytes,
+                limit_bytes=limit_bytes,
+            )
+        self.loop.call_later(MEMORY_CHECK_INTERVAL_S, self.check_memory)
+
+    def new_claim_token(self) -> Token | None:
+        """Returns a token for a new paid claim, or None if the front has no ledger."""
         welcome = self.welcome
         if welcome is None or not welcome.store:
             return None
-        serial = self.tokens.getrandbits(64)
-        return Token.new(self.wall(), self.pruned_s, welcome.front, welcome.store, serial)
+        serial = self.token_random.getrandbits(64)
+        return Token.new(self.wall_clock(), self.pruned_s, welcome.front, welcome.store, serial)
 
     # sessions
 
-    def new_id(self) -> str:
-        while (made := f"{self.random.getrandbits(64):016x}") in self.by_id:
+    def new_session_id(self) -> str:
+        while (session_id := f"{self.random.getrandbits(64):016x}") in self.sessions_by_id:
             pass
-        return made
+        return session_id
 
-    def add(self, session: Session) -> None:
-        self.by_id[session.id] = session
+    def add_session(self, session: Session) -> None:
+        self.sessions_by_id[session.id] = session
 
-    def forget(self, session: Session) -> None:
-        if self.by_id.pop(session.id, None) and self.link:
-            ask = session.ask
-            played = (self.loop.now() - session.since) * 1000 if session.since else -1.0
-            vanished = played < 0 and ask is not None and not ask.answered
-            self.say(SessionClosed(played, vanished, session.id))
+    def remove_session(self, session: Session) -> None:
+        if self.sessions_by_id.pop(session.id, None) and self.connection_id:
+            request = session.set_up_request
+            played_ms = (self.loop.now() - session.position_at) * 1000 if session.position_at else -1.0
+            vanished = played_ms < 0 and request is not None and not request.answered
+            self.send_to_decider(SessionClosed(played_ms, vanished, session.id))
         session.viewer.sessions.pop(session.id, None)
 
-    def begin_ask(self, session: Session, moved: bool) -> None:
-        """The answer is owed from here, by this worker."""
-        terms, asked = self.settings.terms, session.asked
-        left_ms = max(1.0, terms.classes[asked.cls].deadline_ms - self.settings.limits.answer_margin_ms)
-        number = self.next_ask
-        self.next_ask += 1
-        said = SetUpRequested(
+    def open_request(self, session: Session, moved: bool) -> None:
+        """Opens a set-up request. From here on this worker owes the viewer a response by the deadline."""
+        terms, routing = self.settings.terms, session.routing
+        remaining_ms = max(
+            1.0, terms.classes[routing.cls].deadline_ms - self.settings.limits.answer_margin_ms
+        )
+        number = self.next_request_number
+        self.next_request_number += 1
+        message = SetUpRequested(
             number,
-            asked.cls,
-            asked.tenant,
-            asked.title,
-            asked.first_cell,
-            asked.cells,
+            routing.cls,
+            routing.tenant,
+            routing.title,
+            routing.first_cell,
+            routing.cells,
             session.viewer_id,
-            session.top,
+            session.top_rung,
             0,
             0,
             0,
-            self.loop.now() + left_ms / 1000,
+            self.loop.now() + remaining_ms / 1000,
             moved,
-            session.again,
+            session.is_repeat,
             False,
-            asked.route,
-            asked.prefer,
-            asked.pool,
-            asked.key,
+            routing.route,
+            routing.prefer,
+            routing.pool,
+            routing.key,
             session.id,
             session.path,
             session.viewer_name,
             str(session.claim or ""),
         )
-        ask = session.ask = self.asks[number] = Ask(session, said, terms.max_attempts)
-        ask.backstop = self.loop.call_at(ask.deadline + BACKSTOP_S, self.overdue, ask)
-        self.tell(ask)
-
-    def drop(self, ask: Ask) -> None:
-        """Nothing more happens under it."""
-        if ask.backstop:
-            ask.backstop.cancel()
-        self.asks.pop(ask.number, None)
-
-    def finish(self, ask: Ask) -> bool:
-        """Over without play: an attempt that is out is called off. Whether the decider knows of it."""
-        known = ask.carry.close(self.link)
-        attempt, ask.attempt = ask.attempt, None
-        self.drop(ask)
+        request = session.set_up_request = self.open_requests[number] = SetUpRequest(
+            session, message, terms.max_attempts
+        )
+        request.deadline_timer = self.loop.call_at(
+            request.deadline + DEADLINE_MARGIN_S, self.on_deadline, request
+        )
+        self.announce_request(request)
+
+    def remove_request(self, request: SetUpRequest) -> None:
+        if request.deadline_timer:
+            request.deadline_timer.cancel()
+        self.open_requests.pop(request.number, None)
+
+    def close_request(self, request: SetUpRequest) -> bool:
+        """Closes a request that does not play, and cancels its attempt.
+
+        Returns whether the connected decider knows the request.
+        """
+        known = request.request_state.close(self.connection_id)
+        attempt, request.attempt = request.attempt, None
+        self.remove_request(request)
         if attempt:
             attempt.end(Outcome.CANCELLED)
         return known
 
-    def overdue(self, ask: Ask) -> None:
-        """Nobody has decided in time. The viewer is answered all the same."""
-        if ask.answered:
+    def on_deadline(self, request: SetUpRequest) -> None:
+        """Responds to the viewer if no decision has arrived in time."""
+        if request.answered:
             return
         self.counts["answered_alone"] += 1
-        self.answer_alone(ask)
+        self.answer_without_decider(request)
 
-    def answer_alone(self, ask: Ask) -> None:
-        """With a pause if it is certain that nothing of it ran; else it has failed, as far as one can say."""
-        maybe_ran = ask.carry.may_have_run()
-        known = self.finish(ask)
+    def answer_without_decider(self, request: SetUpRequest) -> None:
+        """Refuses the request with a pause if it certainly did not run, otherwise fails it with 504."""
+        maybe_ran = request.request_state.may_have_run()
+        known = self.close_request(request)
         if known:
-            self.say(DeadlineExpired(ask.number))
+            self.send_to_decider(DeadlineExpired(request.number))
         if known or maybe_ran:
-            ask.session.failed(504)
+            request.session.fail(504)
         else:
-            ask.session.refused(BUSY_PAUSE_MS)
+            request.session.refuse(BUSY_PAUSE_MS)
 
-    def viewer_gone(self, session: Session) -> None:
-        """The attempt that is out is let go of; the decider is told of its end when it comes."""
-        ask = session.ask
-        if ask is None or ask.number not in self.asks:
+    def on_viewer_gone(self, session: Session) -> None:
+        """Tears down the session's attempt; its end is reported to the decider when it occurs."""
+        request = session.set_up_request
+        if request is None or request.number not in self.open_requests:
             return
-        attempt = ask.attempt
-        if ask.carry.close(self.link):
-            self.say(ViewerGone(ask.number, attempt is not None))
+        attempt = request.attempt
+        if request.request_state.close(self.connection_id):
+            self.send_to_decider(ViewerGone(request.number, attempt is not None))
         if attempt:
             attempt.teardown()
         else:
-            self.drop(ask)
-
-    # told by attempts
-
-    def playing(self, ask: Ask, attempt: Attempt, took_ms: float) -> None:
-        ask.answered = True
-        if ask.backstop:
-            ask.backstop.cancel()
-        told = ask.carry.on_playing(self.link)
-        if told is Announcement.REQUEST:
-            self.say(PlaybackStarted(ask.number, attempt.number, attempt.server, took_ms, attempt.report))
-        elif told is Announcement.ONGOING_SESSION:
-            self.tell_carried(ask)
-
-    def note(self, ask: Ask, attempt: Attempt, kind: int, value: float) -> None:
-        if self.link and ask.carry.connection_id == self.link:
-            self.say(ServerNote(ask.number, attempt.number, attempt.server, kind, value))
-
-    def attempt_ended(self, ask: Ask, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]) -> None:
-        session, now = ask.session, self.loop.now()
-        left = attempt.may_have_run
-        known_over = ask.attempt is not attempt  # called off: its ask has had its last word
-        then = ask.carry.on_attempt_ended(self.link, left, outcome in NEVER_RAN)
-        gone = session.state is State.ENDED
-        closed = known_over or ask.answered or gone
-        if then is NextStep.REPORT:
-            played_ms = (now - session.since) * 1000 if ask.answered else 0.0
+            self.remove_request(request)
+
+    # events of attempts
+
+    def on_attempt_playing(self, request: SetUpRequest, attempt: Attempt, took_ms: float) -> None:
+        request.answered = True
+        if request.deadline_timer:
+            request.deadline_timer.cancel()
+        announcement = request.request_state.on_playing(self.connection_id)
+        if announcement is Announcement.REQUEST:
+            self.send_to_decider(
+                PlaybackStarted(request.number, attempt.number, attempt.server, took_ms, attempt.report)
+            )
+        elif announcement is Announcement.ONGOING_SESSION:
+            self.announce_ongoing_session(request)
+
+    def on_server_note(self, request: SetUpRequest, attempt: Attempt, kind: int, value: float) -> None:
+        if self.connection_id and request.request_state.connection_id == self.connection_id:
+            self.send_to_decider(ServerNote(request.number, attempt.number, attempt.server, kind, value))
+
+    def on_attempt_finished(
+        self, request: SetUpRequest, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]
+    ) -> None:
+        session, now = request.session, self.loop.now()
+        request_sent = attempt.may_have_run
+        already_closed = request.attempt is not attempt  # cancelled or dropped before
+        next_step = request.request_state.on_attempt_ended(
+            self.connection_id, request_sent, outcome in NEVER_RAN
+        )
+        viewer_gone = session.state is State.ENDED
+        closed = already_closed or request.answered or viewer_gone
+        if next_step is NextStep.REPORT:
+            played_ms = (now - session.position_at) * 1000 if request.answered else 0.0
             took_ms = (now - attempt.started_at) * 1000
-            ids = (ask.number, attempt.number, attempt.server, int(outcome), took_ms, played_ms)
-            self.say(AttemptFinished(*ids, left, closed, session.state is State.MOVING, gone, report))
-        if known_over:
+            values = (request.number, attempt.number, attempt.server, int(outcome), took_ms, played_ms)
+            self.send_to_decider(
+                AttemptFinished(
+                    *values, request_sent, closed, session.state is State.MOVING, viewer_gone, report
+                )
+            )
+        if already_closed:
             return
-        ask.attempt = None
+        request.attempt = None
         if not closed:
-            if then is NextStep.RESUBMIT:
-                self.tell(ask)
+            if next_step is NextStep.RESUBMIT:
+                self.announce_request(request)
             return
-        self.drop(ask)
-        if session.ask is not ask:
+        self.remove_request(request)
+        if session.set_up_request is not request:
             return
         if session.state is State.PLAYING:
             session.end("end" if outcome == Outcome.OK else "broken")
         elif session.state is State.MOVING:
             pause_s = self.settings.limits.move_pause_ms / 1000
-            self.loop.call_later(pause_s, self.ask_again, session, ask)
+            self.loop.call_later(pause_s, self.request_again, session, request)
 
-    def ask_again(self, session: Session, left: Ask) -> None:
-        if session.state is State.MOVING and session.ask is left:
-            self.begin_ask(session, moved=True)
+    def request_again(self, session: Session, previous: SetUpRequest) -> None:
+        """Opens the next request of a moved session, unless it has ended or has another one."""
+        if session.state is State.MOVING and session.set_up_request is previous:
+            self.open_request(session, moved=True)
 
-    # said by the decider
+    # messages of the decider
 
-    def set_up(self, m: StartAttempt) -> None:
-        ask = self.asks.get(m.request_id)
-        address = parse_address(m.address) if m.address[:1] != "/" else m.address
-        may = ask is not None and address is not None and ask.attempt is None and not ask.answered
-        may = may and ask is not None and ask.session.state in (State.ASKED, State.MOVING)
+    def on_start_attempt(self, message: StartAttempt) -> None:
+        """Starts an attempt, or reports it as `MOOT` if the request cannot have one now."""
+        request = self.open_requests.get(message.request_id)
+        address = parse_address(message.address) if message.address[:1] != "/" else message.address
+        possible = (
+            request is not None and address is not None and request.attempt is None and not request.answered
+        )
+        possible = (
+            possible and request is not None and request.session.state in (State.STARTING, State.MOVING)
+        )
         if not (
-            may
-            and ask
-            and ask.carry.start_attempt(
-                self.link, m.attempt, m.wait_for_ledger, m.claim_turn, m.claim_attempts
+            possible
+            and request
+            and request.request_state.start_attempt(
+                self.connection_id,
+                message.attempt,
+                message.wait_for_ledger,
+                message.claim_turn,
+                message.claim_attempts,
             )
         ):
-            over = ask is None or ask.session.state is State.ENDED
-            moot = (m.request_id, m.attempt, m.server, int(Outcome.MOOT), 0.0, 0.0)
-            self.say(AttemptFinished(*moot, False, over, False, over, ()))
+            closed = request is None or request.session.state is State.ENDED
+            moot = (message.request_id, message.attempt, message.server, int(Outcome.MOOT), 0.0, 0.0)
+            self.send_to_decider(AttemptFinished(*moot, False, closed, False, closed, ()))
             return
         assert address is not None
-        session = ask.session
+        session = request.session
         host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
-        base = f"rtsp://{host}{session.there}"
+        base = f"rtsp://{host}{session.server_path}"
         tracks = [
-            (t.control if "://" in t.control else f"{base}/{t.control}", t.channels)
-            for _, t in sorted(session.tracks.items())
+            (track.control if "://" in track.control else f"{base}/{track.control}", track.channels)
+            for _, track in sorted(session.tracks.items())
         ]
         for track in session.tracks.values():
-            track.rtp.on_server_changed()
-        ask.rung, ask.memo = m.rung, m.memo
-        ask.attempt = Attempt(
+            track.rewriter.on_server_changed()
+        request.rung, request.memo = message.rung, message.memo
+        request.attempt = Attempt(
             self.loop,
-            ask,
-            m.attempt,
-            m.server,
+            request,
+            message.attempt,
+            message.server,
             address,
             base,
             tracks,
             [("Via", f"RTSP/1.0 {self.settings.name}")],
-            m.rate_kb,
-            session.position(),
+            message.rate_kb,
+            session.current_position_s(),
             self.settings.terms.connect_timeout_ms / 1000,
-            min(m.timeout_s, max(0.001, ask.deadline - self.loop.now())),
+            min(message.timeout_s, max(0.001, request.deadline - self.loop.now())),
             self.settings.terms.report_fields,
-            may_send=not m.wait_for_ledger,
+            may_send=not message.wait_for_ledger,
         )
 
-    def cleared(self, m: AttemptRecorded) -> None:
-        ask = self.asks.get(m.request_id)
-        if ask is None or ask.attempt is None or ask.attempt.number != m.attempt:
+    def on_attempt_recorded(self, message: AttemptRecorded) -> None:
+        request = self.open_requests.get(message.request_id)
+        if request is None or request.attempt is None or request.attempt.number != message.attempt:
             return
-        if m.error:
-            ask.attempt.on_claim_written(m.error)
-        elif ask.carry.allow_send(self.link, m.attempt):
-            ask.attempt.on_claim_written("")
-
-    def set_rung(self, m: ChangeRung) -> None:
-        ask = self.asks.get(m.request_id)
-        if ask:
-            ask.rung = m.rung
-            if ask.attempt:
-                ask.attempt.set_bandwidth(m.rate_kb, m.rung)
-
-    def refused(self, m: RefuseRequest) -> None:
-        self.final(m.request_id, lambda session: session.refused(m.pause_ms, m.reason))
-
-    def failed(self, m: FailRequest) -> None:
-        self.final(m.request_id, lambda session: session.failed(m.status))
-
-    def final(self, number: int, answer: Callable[[Session], object]) -> None:
-        """The decider's last word, once."""
-        ask = self.asks.get(number)
-        if ask and not ask.answered:
-            self.finish(ask)
-            answer(ask.session)
-
-    def move(self, m: MoveSession) -> None:
-        """Off its server; it asks again shortly, as moved, and the viewer keeps its stream's numbering."""
-        ask = self.asks.get(m.request_id)
-        if ask is None or ask.session.state is not State.PLAYING:
+        if message.error:
+            request.attempt.on_claim_written(message.error)
+        elif request.request_state.allow_send(self.connection_id, message.attempt):
+            request.attempt.on_claim_written("")
+
+    def on_change_rung(self, message: ChangeRung) -> None:
+        request = self.open_requests.get(message.request_id)
+        if request:
+            request.rung = message.rung
+            if request.attempt:
+                request.attempt.set_bandwidth(message.rate_kb, message.rung)
+
+    def on_refuse_request(self, message: RefuseRequest) -> None:
+        self.answer_request(
+            message.request_id, lambda session: session.refuse(message.pause_ms, message.reason)
+        )
+
+    def on_fail_request(self, message: FailRequest) -> None:
+        self.answer_request(message.request_id, lambda session: session.fail(message.status))
+
+    def answer_request(self, number: int, answer: Callable[[Session], object]) -> None:
+        """Closes a request with the decider's answer, unless it has been answered."""
+        request = self.open_requests.get(number)
+        if request and not request.answered:
+            self.close_request(request)
+            answer(request.session)
+
+    def on_move_session(self, message: MoveSession) -> None:
+        """Removes a playing session from its server. It opens a new request shortly; the numbering of the
+        viewer's stream continues."""
+        request = self.open_requests.get(message.request_id)
+        if request is None or request.session.state is not State.PLAYING:
             return
-        session, attempt = ask.session, ask.attempt
-        session.position_s, session.since = session.position(), self.loop.now()
+        session, attempt = request.session, request.attempt
+        session.position_s, session.position_at = session.current_position_s(), self.loop.now()
         session.state = State.MOVING
         if attempt:
             attempt.teardown(Outcome.CANCELLED)
 
-    def cancel(self, m: CancelAttempt) -> None:
-        """An attempt that plays is not called off."""
-        ask = self.asks.get(m.request_id)
-        if ask and not ask.answered and ask.attempt and ask.attempt.number == m.attempt:
-            ask.attempt.end(Outcome.CANCELLED)
-
-    def finish_session(self, m: EndSession) -> None:
-        """What plays, or is on its way to another server, ends in order: BYE to the viewer, TEARDOWN."""
-        ask = self.asks.get(m.request_id)
-        if ask and ask.session.state in (State.PLAYING, State.MOVING):
-            ask.session.end(m.bye_reason)
-            if ask.attempt:
-                ask.attempt.teardown()
-
-    def redirect(self, m: RedirectViewers) -> None:
+    def on_cancel_attempt(self, message: CancelAttempt) -> None:
+        """Cancels an attempt, unless it plays."""
+        request = self.open_requests.get(message.request_id)
+        if request and not request.answered and request.attempt and request.attempt.number == message.attempt:
+            request.attempt.end(Outcome.CANCELLED)
+
+    def on_end_session(self, message: EndSession) -> None:
+        """Ends a playing or moving session in order: BYE to the viewer, TEARDOWN to the server."""
+        request = self.open_requests.get(message.request_id)
+        if request and request.session.state in (State.PLAYING, State.MOVING):
+            request.session.end(message.bye_reason)
+            if request.attempt:
+                request.attempt.teardown()
+
+    def on_redirect_viewers(self, message: RedirectViewers) -> None:
         for viewer in list(self.viewers):
-            viewer.redirect(m.location)
+            viewer.redirect(message.location)
 
-    # the end
+    # shutdown
 
-    def retired(self, m: RetireWorker) -> None:
-        self.stop() if m.end_sessions else self.drain()
+    def on_retire_worker(self, message: RetireWorker) -> None:
+        self.stop() if message.end_sessions else self.drain()
 
     def drain(self) -> None:
-        """Takes nothing new; what plays comes to its end, for as long as the settings allow."""
+        """Accepts no new sessions. Stops after the last session, or when the drain time has passed."""
         if self.draining or self.stopping:
             return
         self.draining = True
         self.loop.call_later(self.settings.limits.drain_ms / 1000, self.stop)
-        self.drained()
+        self.check_drained()
 
-    def drained(self) -> None:
-        if not self.by_id:
+    def check_drained(self) -> None:
+        if not self.sessions_by_id:
             self.stop()
         elif not self.stopping:
-            self.loop.call_later(0.1, self.drained)
+            self.loop.call_later(0.1, self.check_drained)
 
     def stop(self) -> None:
-        """Ends what plays, in order: the viewer hears BYE, the server TEARDOWN. Answers what was taken."""
+        """Ends playing sessions in order (BYE to viewers, TEARDOWN to servers) and waits until all open
+        requests are answered, at most `STOP_TIMEOUT_S`."""
         if self.stopping:
             return
         self.stopping = True
-        self.loop.call_later(STOP_S, self.end)
-        self.ending()
-
-    def ending(self) -> None:
-        """Again each moment until no answer is owed and no attempt is out."""
-        for ask in list(self.asks.values()):
-            if ask.session.state in (State.PLAYING, State.MOVING):
-                ask.session.end("front stops")
-                if ask.attempt:
-                    self.loop.call_soon(partial(ask.attempt.teardown))
-        if self.asks:
-            self.loop.call_later(0.02, self.ending)
+        self.loop.call_later(STOP_TIMEOUT_S, self.finish_stop)
+        self.end_sessions()
+
+    def end_sessions(self) -> None:
+        """Repeats until no response is due and no attempt is open."""
+        for request in list(self.open_requests.values()):
+            if request.session.state in (State.PLAYING, State.MOVING):
+                request.session.end("front stops")
+                if request.attempt:
+                    self.loop.call_soon(partial(request.attempt.teardown))
+        if self.open_requests:
+            self.loop.call_later(0.02, self.end_sessions)
             return
         for viewer in list(self.viewers):
             viewer.stream.close()
-        self.end()
+        self.finish_stop()
 
-    def end(self) -> None:
-        done, self.on_empty = self.on_empty, lambda: None
-        done()
+    def finish_stop(self) -> None:
+        callback, self.on_stopped = self.on_stopped, lambda: None
+        callback()
--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -116,7 +116,7 @@
 
     def on_disconnected(self) -> None:
         if self.worker:
-            self.worker.cut()
+            self.worker.on_decider_lost()
         delay_s = RECONNECT_DELAYS_S[min(self.connect_attempts, len(RECONNECT_DELAYS_S) - 1)]
         self.connect_attempts += 1
         self.loop.call_later(delay_s, self.connect)
@@ -140,7 +140,7 @@
         elif isinstance(message, RetireWorker):
             self.retire(message.end_sessions)
         elif self.worker:
-            self.worker.heard(message)
+            self.worker.on_decider_message(message)
 
     def apply_configuration(self, message: Configuration) -> None:
         settings = pickle.loads(message.settings)
@@ -150,10 +150,10 @@
             self.worker = Worker(
                 self.loop, settings, self.worker_number, self.server_list, random, self.now_ms, wall
             )
-            self.worker.host, self.worker.on_empty = self.host, self.exit
+            self.worker.host, self.worker.on_stopped = self.host, self.exit
             if settings.limits.memory:
-                self.worker.watch_memory()
-        self.worker.settle(settings, message.workers)
+                self.worker.check_memory()
+        self.worker.apply_settings(settings, message.workers)
 
     def on_welcome(self, message: Welcome) -> None:
         self.connect_attempts = 0
@@ -166,7 +166,7 @@
             self.exit()
             return
         assert self.connection
-        self.worker.linked(self.connection, message)
+        self.worker.on_decider_connected(self.connection, message)
         if not message.takes_viewers:
             self.retire(False)
         elif not self.retired:
@@ -175,14 +175,16 @@
     def report_counters(self) -> None:
         self.loop.call_later(COUNTER_INTERVAL_S, self.report_counters)
         worker = self.worker
-        if worker is None or not worker.link:
+        if worker is None or not worker.connection_id:
             return
         increments = tuple(
             (n, float(v - self.reported_counts[n]))
             for n, v in worker.counts.items()
             if v != self.reported_counts[n]
         )
-        if worker.say(WorkerCounters(len(worker.viewers), len(worker.by_id), increments)):
+        if worker.send_to_decider(
+            WorkerCounters(len(worker.viewers), len(worker.sessions_by_id), increments)
+        ):
             self.reported_counts = Counter(worker.counts)
 
     def flush(self) -> None:
--- a/tests/day/rogues/answered_twice.py
+++ b/tests/day/rogues/answered_twice.py
@@ -8,13 +8,13 @@
 from lemonhall.front.viewers.viewer import ViewerConnection
 
 __all__ = ["Front"]
-answer = ViewerConnection.answer
+complete_slot = ViewerConnection.complete_slot
 
 
-def twice(self: ViewerConnection, slot: Any, data: bytes) -> None:
-    answer(self, slot, data)
+def twice(self: ViewerConnection, slot: Any, response: bytes) -> None:
+    complete_slot(self, slot, response)
     if slot.request.method == "PLAY":
-        self.stream.write(data)
+        self.stream.write(response)
 
 
-ViewerConnection.answer = twice  # type: ignore[method-assign]
+ViewerConnection.complete_slot = twice  # type: ignore[method-assign]
--- a/tests/day/rogues/attempts_at_once.py
+++ b/tests/day/rogues/attempts_at_once.py
@@ -10,7 +10,7 @@
 from lemonhall.ipc import StartAttempt
 
 __all__ = ["Front"]
-set_up = Worker.set_up
+on_start_attempt = Worker.on_start_attempt
 
 
 class NullOwner:
@@ -19,13 +19,13 @@
 
 
 def set_up_twice(self: Worker, message: StartAttempt) -> None:
-    set_up(self, message)
-    ask = self.asks.get(message.request_id)
-    if ask is None or ask.attempt is None or ask.said.cls == 0:
+    on_start_attempt(self, message)
+    request = self.open_requests.get(message.request_id)
+    if request is None or request.attempt is None or request.message.cls == 0:
         return
-    attempt = ask.attempt
+    attempt = request.attempt
     connecting = attempt.stream.connecting
-    address = self.listed.addresses[attempt.server] if connecting else attempt.stream.sock.getpeername()
+    address = self.server_list.addresses[attempt.server] if connecting else attempt.stream.sock.getpeername()
     Attempt(
         self.loop,
         NullOwner(),
@@ -43,4 +43,4 @@
     )
 
 
-Worker.set_up = set_up_twice  # type: ignore[method-assign]
+Worker.on_start_attempt = set_up_twice  # type: ignore[method-assign]
--- a/tests/day/rogues/unanswered.py
+++ b/tests/day/rogues/unanswered.py
@@ -9,12 +9,12 @@
 from lemonhall.front.viewers.session import Session
 
 __all__ = ["Front"]
-answer, count = Session.answer, itertools.count(1)
+respond, count = Session.respond, itertools.count(1)
 
 
 def answer_two_of_three(self: Session, response: Any) -> None:
     if next(count) % 3:
-        answer(self, response)
+        respond(self, response)
 
 
-Session.answer = answer_two_of_three  # type: ignore[method-assign]
+Session.respond = answer_two_of_three  # type: ignore[method-assign]
--- a/tests/front/test_handover.py
+++ b/tests/front/test_handover.py
@@ -45,10 +45,10 @@
     assert (
         target.viewers_taken == 40
         and not old.worker.viewers
-        and not old.worker.by_id
+        and not old.worker.sessions_by_id
         and not old.set_up_requests.open_requests
     )
-    assert len(new.worker.by_id) == 40 and len(harness.open_clients()) == 40
+    assert len(new.worker.sessions_by_id) == 40 and len(harness.open_clients()) == 40
     harness.assert_no_gap(harness.open_clients())
     assert old.bridge.decider.sessions == {}  # type: ignore[attr-defined]
     assert len(new.bridge.decider.sessions) == 40  # type: ignore[attr-defined]
--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -46,7 +46,7 @@
     cseq = client.send("TEARDOWN", "/claims/one", ("Session", session))
     harness.run_until(lambda: client.answers_to(cseq) and harness.module.events_of(i.AttemptEnded))
     assert outcomes(harness) == [Outcome.OK]
-    assert not harness.daemon.set_up_requests.open_requests and not harness.daemon.worker.by_id
+    assert not harness.daemon.set_up_requests.open_requests and not harness.daemon.worker.sessions_by_id
 
 
 def test_viewer_drops_mid_set_up_on_a_paid_class(make_front: Build) -> None:
@@ -169,7 +169,7 @@
     harness.run_until(lambda: len(client.media) == before + 1)
     assert client.media[-1][0] == 2 and client.media[-1][1].endswith(b"after")
     assert client.reason == ""
-    assert len(harness.daemon.worker.by_id) == 1
+    assert len(harness.daemon.worker.sessions_by_id) == 1
 
 
 def test_teardown_crosses_the_end_of_the_stream(make_front: Build) -> None:
@@ -355,7 +355,7 @@
     good, _ = harness.play_session("/browse/good")
     good_connection = harness.scripted_servers[0].connections[-1]
     slow.stream.pause_reading()
-    viewer = next(s.viewer for s in harness.daemon.worker.by_id.values() if "/slow" in s.path)
+    viewer = next(s.viewer for s in harness.daemon.worker.sessions_by_id.values() if "/slow" in s.path)
     largest_backlog = 0
     packet = slow_connection.packet(b"z" * 1200)
     before = len(good.media)
--- a/tests/front/test_reload.py
+++ b/tests/front/test_reload.py
@@ -35,7 +35,7 @@
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/browse/" class="claim-view"'))
     w.play_session("/browse/b")
     assert [e.cls for e in w.module.events_of(i.NewSession)] == [1, 0]
-    assert [s.asked.cls for s in w.daemon.worker.by_id.values()] == [1, 0]
+    assert [s.routing.cls for s in w.daemon.worker.sessions_by_id.values()] == [1, 0]
 
 
 @pytest.mark.parametrize(
