--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -43,7 +43,7 @@
 def can_hand_over(viewer: ViewerConnection) -> bool:
     """Whether nothing is in progress on the connection that the successor could not continue."""
     stream = viewer.stream
-    if viewer.closing or viewer.slots or viewer.parser.broken or not is_usable(stream):
+    if viewer.closing_on_error or viewer.slots or viewer.parser.broken or not is_usable(stream):
         return False
     return all(
         s.state is State.READY
@@ -239,7 +239,7 @@
     last = packed["last"]
     viewer.last_request = None if last is None else (last[0], last[1], last[2])
     viewer.last_response = None if packed["last_answer"] is None else base64.b64decode(packed["last_answer"])
-    viewer.closing, viewer.message_timer, viewer.active_at = False, None, packed["active_at"]
+    viewer.closing_on_error, viewer.message_timer, viewer.active_at = False, None, packed["active_at"]
     viewer.sent_requests = packed["asked"]
     viewer.stream = unpack_stream(daemon, packed["stream"], fds.pop(0), viewer, viewer.limits.viewer_backlog)
     viewer.idle_timer = daemon.loop.call_later(0, lambda: None)
@@ -276,7 +276,7 @@
     for session in viewer.sessions.values():
         worker.add_session(session)
         if request := session.set_up_request:
-            worker.open_requests[request.number] = request
+            worker.requests[request.number] = request
             worker.announce_request(request)
     for stream in connection_streams(viewer):
         stream.resume_io()
@@ -308,14 +308,14 @@
         stream.suspend_io()
     for session in viewer.sessions.values():
         if session.set_up_request:
-            daemon.worker.open_requests.pop(session.set_up_request.number, None)
+            daemon.worker.requests.pop(session.set_up_request.number, None)
 
 
 def thaw_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
     """Resumes a frozen connection that stays with this process."""
     for session in viewer.sessions.values():
         if session.set_up_request and session.state is State.PLAYING:
-            daemon.worker.open_requests[session.set_up_request.number] = session.set_up_request
+            daemon.worker.requests[session.set_up_request.number] = session.set_up_request
     for stream in connection_streams(viewer):
         stream.resume_io()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.check_idle)
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -214,7 +214,7 @@
         self.on_settings_changed(tree)
         self.settings = self.set_up_requests.settings = settings
         self.set_up_requests.pool_preferences.reset(settings)
-        self.worker.apply_settings(settings, 1)
+        self.worker.replace_settings(settings, 1)
         if self.workers:
             self.workers.send_settings(settings)
         self.counts["settings_loaded"] += 1
@@ -559,7 +559,7 @@
         if (
             self.workers.worker_count()
             if self.workers
-            else self.worker.open_requests or self.set_up_requests.open_requests
+            else self.worker.requests or self.set_up_requests.open_requests
         ):
             self.loop.call_later(0.02, self.finish_stop)
             return
--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -71,7 +71,7 @@
         self.slots: deque[ResponseSlot] = deque()
         self.last_request: tuple[str, str, str] | None = None  # CSeq, method and URL
         self.last_response: bytes | None = None  # to the last request
-        self.closing = False
+        self.closing_on_error = False
         self.sent_requests = 0  # requests of the front to the viewer, which are numbered by CSeq
         self.message_timer: Timer | None = None
         self.active_at = worker.loop.now()
@@ -82,7 +82,7 @@
 
     def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
-            if self.closing:
+            if self.closing_on_error:
                 return
             if isinstance(event, Request):
                 self.on_request(event)
@@ -133,7 +133,7 @@
             status=error.status,
             reason=error.why,
         )
-        self.closing = True
+        self.closing_on_error = True
         self.stream.write(make_response(error.status, error.cseq, ("Connection", "close")).encode())
         self.stream.close()
 
@@ -267,7 +267,7 @@
         self.complete_slot(slot, answer(status, slot.request.cseq, *headers, body=body))
 
     def parse_path(self, slot: ResponseSlot, request: Request) -> tuple[str, int | None] | None:
-        """Returns path and track of the request's URL, or None after responding with 400 to a malformed URL."""
+        """Returns path and track of the request's URL. Responds with 400 to a malformed one; returns None."""
         try:
             return split_track(split_url(request.url)[1])
         except ValueError:
--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -153,7 +153,7 @@
             self.worker.host, self.worker.on_stopped = self.host, self.exit
             if settings.limits.memory:
                 self.worker.check_memory()
-        self.worker.apply_settings(settings, message.workers)
+        self.worker.replace_settings(settings, message.workers)
 
     def on_welcome(self, message: Welcome) -> None:
         self.connect_attempts = 0
