--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -1,4 +1,5 @@
-"""Paid claims at fronts with ledgers, on real sockets: nothing leaves unwritten, nothing is set up again."""
+"""Paid claims at fronts with a ledger, on real sockets: a set-up is written before it is sent, and never
+repeated."""
 
 from __future__ import annotations
 
@@ -29,7 +30,7 @@
 
 
 class Site:
-    """Fronts that are members of one another, each with a store, and two boxes."""
+    """Fronts that are members of one another, each with a store, and two scripted servers, on one loop."""
 
     def __init__(self, folder: Path, fronts: int = 2) -> None:
         self.folder, self.loop, self.count = folder, Loop(), fronts
@@ -66,16 +67,16 @@
         daemon = self.fronts[n] = Daemon(read_settings(path), loop=self.loop)
         self.loop.on_error = self.faults.append
         self.at[n] = daemon.open()
-        lines = [
+        boxes = [
             Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
         ]
-        event = daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=lines))
+        event = daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=boxes))
         assert event
         daemon.bridge.enqueue(event)
         return daemon
 
     def kill(self, n: int) -> None:
-        """As a killed process leaves: sockets shut by the kernel, nothing more written."""
+        """Ends a front as SIGKILL does: its sockets are closed, and nothing more is written."""
         daemon = self.fronts.pop(n)
         store_service = daemon.store_service
         assert store_service and daemon.membership
@@ -94,20 +95,23 @@
         store_service.close()
 
     def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
-        over: list[bool] = []
-        timer = self.loop.call_later(within_s, over.append, True)
-        self.loop.run(until=lambda: bool(over) or bool(condition()))
+        expired: list[bool] = []
+        timer = self.loop.call_later(within_s, expired.append, True)
+        self.loop.run(until=lambda: bool(expired) or bool(condition()))
         timer.cancel()
         assert condition(), f"not within {within_s} s"
         assert not self.faults, self.faults
 
-    def ask(self, n: int, path: str = PAID, claim: str = "") -> tuple[Client, str, int]:
-        """A viewer that has sent PLAY: its connection, its claim's token, the CSeq of PLAY."""
+    def play(self, n: int, path: str = PAID, claim: str = "") -> tuple[Client, str, int]:
+        """Sends SETUP and PLAY to front `n`.
+
+        Returns the viewer's connection, the token of its claim and the CSeq of PLAY.
+        """
         client = Client(self.loop, self.at[n])
         self.clients.append(client)
-        more = [("X-Claim", claim)] if claim else []
+        claim_header = [("X-Claim", claim)] if claim else []
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
-        cseq = client.send("SETUP", f"{path}/trackID=0", transport, *more)
+        cseq = client.send("SETUP", f"{path}/trackID=0", transport, *claim_header)
         self.until(lambda: client.answers_to(cseq))
         answer = client.answers[-1]
         if answer.status != 200:
@@ -127,15 +131,15 @@
         return record.standing if record else None
 
     def block(self, n: int) -> Callable[[], None]:
-        """The disk of a front takes no more until the returned call."""
+        """Blocks the disk writes of a front until the returned function is called."""
         store_service = self.fronts[n].store_service
         assert store_service
-        honest, release = store_service.store.commit, threading.Event()
+        commit_to_disk, release = store_service.store.commit, threading.Event()
         self.releases.append(release)
 
         def commit(changes: Any) -> list[bool]:
             release.wait(20)
-            return honest(changes)
+            return commit_to_disk(changes)
 
         store_service.store.commit = commit  # type: ignore[method-assign]
         return release.set
@@ -172,104 +176,104 @@
 
 
 def silent(conn: Server, request: Request) -> None:
-    """Takes the request and says nothing."""
+    """Reads the request and does not respond."""
 
 
 def full(conn: Server, request: Request) -> None:
     conn.reply(request, 453)
 
 
-def test_a_paid_session_gets_a_token_and_its_end_is_written(site: Site) -> None:
-    client, claim, play = site.ask(0)
+def test_paid_session_gets_a_token_and_its_end_is_written(site: Site) -> None:
+    client, claim, play = site.play(0)
     assert site.answer(client, play).status == 200
     assert site.standing(0, claim) is Standing.OUT
     client.send("TEARDOWN", PAID, ("Session", client.answers[-1].session))
     site.until(lambda: site.standing(0, claim) is Standing.RAN)
 
 
-def test_other_sessions_get_none_and_cost_no_write(site: Site) -> None:
-    client, claim, play = site.ask(0, FREE)
+def test_unpaid_session_gets_no_token(site: Site) -> None:
+    client, claim, play = site.play(0, FREE)
     assert site.answer(client, play).status == 200 and claim == ""
 
 
-def test_no_set_up_leaves_before_its_attempt_is_on_disk(site: Site) -> None:
-    let_go = site.block(0)
-    client, claim, play = site.ask(0)
-    site.until(lambda: any(b.conns for b in site.boxes))  # the connection may be made meanwhile
-    free, _, free_play = site.ask(0, FREE)
-    assert site.answer(free, free_play).status == 200  # and nobody else waits
+def test_set_up_is_sent_only_after_its_attempt_is_on_disk(site: Site) -> None:
+    release = site.block(0)
+    client, claim, play = site.play(0)
+    site.until(lambda: any(b.conns for b in site.boxes))  # connecting does not wait for the disk
+    free, _, free_play = site.play(0, FREE)
+    assert site.answer(free, free_play).status == 200  # unpaid sessions do not wait for the disk
     paid = [r for b in site.boxes for r in b.requests if "/claims/" in r.url]
     assert paid == [] and client.answers_to(play) == []
-    let_go()
+    release()
     assert site.answer(client, play).status == 200
 
 
-def test_a_disk_that_fails_stops_paid_sessions_alone_and_until_it_works(site: Site) -> None:
+def test_failing_disk_stops_only_paid_sessions_until_it_works_again(site: Site) -> None:
     store_service = site.fronts[0].store_service
     assert store_service
-    honest, broken = store_service.store.commit, [True]
+    commit_to_disk, broken = store_service.store.commit, [True]
 
     def commit(changes: Any) -> list[bool]:
         if broken:
             raise OSError("No space left on device")
-        return honest(changes)
+        return commit_to_disk(changes)
 
     store_service.store.commit = commit  # type: ignore[method-assign]
-    client, _, play = site.ask(0)
+    client, _, play = site.play(0)
     assert site.answer(client, play).status in (453, 503)
     assert site.set_ups == 0 and store_service.failing
-    early, _, cseq = site.ask(0)  # from now on at the door
+    early, _, cseq = site.play(0)  # further paid sessions are refused by the worker
     assert site.answer(early, cseq).status == 503 and early.answers[-1].headers.get("Retry-After")
-    free, _, free_play = site.ask(0, FREE)
+    free, _, free_play = site.play(0, FREE)
     assert site.answer(free, free_play).status == 200
     broken.clear()
     site.until(lambda: not store_service.failing)
-    again, _, play = site.ask(0)
+    again, _, play = site.play(0)
     assert site.answer(again, play).status == 200
 
 
-def test_a_claim_that_may_run_is_not_set_up_again_by_another_front(site: Site) -> None:
+def test_claim_that_may_run_is_not_set_up_by_another_front(site: Site) -> None:
     site.script("SETUP", silent)
-    _, claim, _ = site.ask(0)
+    _, claim, _ = site.play(0)
     site.until(lambda: site.set_ups == 1)
-    client, again, play = site.ask(1, claim=claim)
+    client, again, play = site.play(1, claim=claim)
     assert again == claim
-    assert site.answer(client, play).status == 502  # the final answer, and at once
+    assert site.answer(client, play).status == 502  # final, and without delay
     assert site.set_ups == 1
 
 
-def test_a_claim_that_never_ran_is_set_up_by_another_front_and_only_there(site: Site) -> None:
+def test_claim_that_never_ran_passes_to_another_front(site: Site) -> None:
     site.script("SETUP", full)
-    client, claim, play = site.ask(0)
+    client, claim, play = site.play(0)
     assert site.answer(client, play).status in (453, 503)
     for box in site.boxes:
         box.script.clear()
-    other, _, play = site.ask(1, claim=claim)
+    other, _, play = site.play(1, claim=claim)
     assert site.answer(other, play).status == 200
     assert site.standing(0, claim) is Standing.PASSED
-    back, _, play = site.ask(0, claim=claim)
+    back, _, play = site.play(0, claim=claim)
     assert site.answer(back, play).status == 502
 
 
-def test_while_its_front_is_dead_nobody_sets_it_up_and_a_pause_is_advised(site: Site) -> None:
+def test_claim_of_a_dead_front_is_not_set_up_and_a_pause_is_advised(site: Site) -> None:
     site.script("SETUP", silent)
-    _, claim, _ = site.ask(0)
+    _, claim, _ = site.play(0)
     site.until(lambda: site.set_ups == 1)
     site.kill(0)
-    client, _, play = site.ask(1, claim=claim)
+    client, _, play = site.play(1, claim=claim)
     assert site.answer(client, play).status in (453, 503)
     assert site.set_ups == 1
     site.start(0)
     site.until(lambda: site.sees_all(1))
-    client, _, play = site.ask(1, claim=claim)
+    client, _, play = site.play(1, claim=claim)
     assert site.answer(client, play).status == 502
-    client, _, play = site.ask(0, claim=claim)
+    client, _, play = site.play(0, claim=claim)
     assert site.answer(client, play).status == 502
     assert site.set_ups == 1
 
 
-def test_a_front_that_comes_back_knows_its_list_what_it_learned_and_who_played(site: Site) -> None:
-    client, claim, play = site.ask(0)
+def test_restarted_front_restores_list_and_learned_state_and_forgets_lost_sessions(site: Site) -> None:
+    client, claim, play = site.play(0)
     assert site.answer(client, play).status == 200
     store_service = site.fronts[0].store_service
     assert store_service
@@ -285,21 +289,22 @@
     site.at[0] = again.open()
     site.until(lambda: again.bridge.calls > 1 or again.list_client.server_list.boxes)
     assert set(again.list_client.server_list.boxes) == {1, 2}
-    remembered = again.memory()
-    assert remembered and remembered.set_up_ms == learned.set_up_ms != 150.0
-    kept = again.store_service
-    assert kept
-    site.until(lambda: not list(kept.store.each("held")))  # who played then does not any more
+    restored = again.memory()
+    assert restored and restored.set_up_ms == learned.set_up_ms != 150.0
+    restarted_store = again.store_service
+    assert restarted_store
+    # the sessions of the killed process are forgotten
+    site.until(lambda: not list(restarted_store.store.each("held")))
 
 
-def test_a_token_that_is_none_is_refused_by_name(site: Site) -> None:
-    client, _, cseq = site.ask(0, claim="not-a-token")
+def test_invalid_token_is_rejected(site: Site) -> None:
+    client, _, cseq = site.play(0, claim="not-a-token")
     assert site.answer(client, cseq).status == 400
 
 
-def test_a_damaged_record_counts_as_run(site: Site) -> None:
+def test_damaged_claim_record_counts_as_run(site: Site) -> None:
     site.script("SETUP", full)
-    client, claim, play = site.ask(0)
+    client, claim, play = site.play(0)
     site.answer(client, play)
     store_service, token = site.fronts[0].store_service, Token.parse(claim)
     assert store_service and token
@@ -307,21 +312,21 @@
     store_service.store.commit([("claims", token.key, b"LH\x01damaged", b"?")])
     for box in site.boxes:
         box.script.clear()
-    client, _, play = site.ask(0, claim=claim)
+    client, _, play = site.play(0, claim=claim)
     assert site.answer(client, play).status == 502
     assert store_service.counts["damaged"]
 
 
-def test_a_front_that_drains_says_so_at_once_and_speaks_for_its_claims_to_the_end(site: Site) -> None:
-    client, claim, play = site.ask(0)
+def test_draining_front_announces_it_and_answers_for_its_claims_until_the_end(site: Site) -> None:
+    client, claim, play = site.play(0)
     assert site.answer(client, play).status == 200
     other = site.fronts[1].membership
     assert other
     site.fronts[0].drain()
-    site.until(lambda: other.machine.view().members == (1,))  # told, not found out
+    site.until(lambda: other.machine.view().members == (1,))  # announced, not detected as a failure
     assert client.stream.open
-    again, _, play = site.ask(1, claim=claim)
+    again, _, play = site.play(1, claim=claim)
     assert site.answer(again, play).status == 502
     late = Client(site.loop, site.at[0])
     site.clients.append(late)
-    site.until(lambda: late.reason)  # it takes nothing new
+    site.until(lambda: late.reason)  # new connections are refused
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -1,5 +1,5 @@
-"""Limits of the whole fleet at running fronts: refused at once with a reason, shown, handed over, and held by
-eight processes while links and fronts fail."""
+"""Limits of the whole fleet at running fronts: refusals with a reason, the status page, handovers, and eight
+processes that keep the limits while links and fronts fail."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 DAYS = Path(__file__).parents[2] / "examples" / "days"
 
 
-class Line:
-    """Words of two desks, which know one another at once."""
+class DirectLink:
+    """Delivers messages between two drivers in the same process."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -46,6 +46,8 @@
 
 
 class Clock:
+    """A clock in ms that the test advances."""
+
     def __init__(self) -> None:
         self.at = 1000.0
 
@@ -53,19 +55,20 @@
         return self.at
 
 
-def desks(made: Plan) -> tuple[Loop, Clock, list[LimitsDriver]]:
+def start_drivers(limits_plan: Plan) -> tuple[Loop, Clock, list[LimitsDriver]]:
+    """Starts the drivers of fronts 0 and 1, and runs them for six periods."""
     clock = Clock()
-    loop, found = Loop(lambda: clock.at / 1000), []
-    lines = [Line(0), Line(1)]
-    for n, carrier in enumerate(lines):
-        machine = Limits(made, n, 2, 0, 1, Random(n), clock.at)
+    loop, drivers = Loop(lambda: clock.at / 1000), []
+    links = [DirectLink(0), DirectLink(1)]
+    for n, link in enumerate(links):
+        machine = Limits(limits_plan, n, 2, 0, 1, Random(n), clock.at)
         machine.escrow.members = (0, 1)
-        found.append(LimitsDriver(loop, machine, carrier, clock))
-    lines[0].other, lines[1].other = found[1], found[0]
-    for desk in found:
-        desk.start()
+        drivers.append(LimitsDriver(loop, machine, link, clock))
+    links[0].other, links[1].other = drivers[1], drivers[0]
+    for driver in drivers:
+        driver.start()
     run(loop, clock, 6)
-    return loop, clock, found
+    return loop, clock, drivers
 
 
 def run(loop: Loop, clock: Clock, periods: float) -> None:
@@ -74,54 +77,55 @@
         loop.run_once(0.0)
 
 
-def test_desks_share_a_limit_and_say_so() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+def test_fronts_share_a_limit_and_report_their_shares() -> None:
+    loop, clock, (one, other) = start_drivers(plan(exact(4)))
     for ask in range(1, 20):
         one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
-    told = [json.loads(desk.page()[2])["limits"][0] for desk in (one, other)]
-    assert [t["used"] for t in told] == [4, 0] and told[1]["lent"] == told[0]["borrowed"] == 2
+    report = [json.loads(driver.page()[2])["limits"][0] for driver in (one, other)]
+    assert [t["used"] for t in report] == [4, 0] and report[1]["lent"] == report[0]["borrowed"] == 2
     assert one.reserve(99, 0, 0, "/a", 99, "").refused == "seats"
     assert other.forget("0")[0] == 409 and other.forget("x")[0] == 400
     loop.close()
 
 
-def test_a_session_that_moves_keeps_its_room() -> None:
-    loop, clock, (one, other) = desks(plan(exact(2)))
+def test_moved_session_keeps_its_reservation() -> None:
+    loop, clock, (one, other) = start_drivers(plan(exact(2)))
     assert not one.reserve(1, 0, 0, "/a", 99, "").refused and not other.reserve(1, 0, 0, "/a", 99, "").refused
     one.park(1, "s")
-    one.release(1)  # its ask is over, the session is not
+    one.release(1)  # ends the set-up request, not the session
     assert other.reserve(2, 0, 0, "/a", 99, "").refused
     assert not one.reserve(2, 0, 0, "/a", 99, "s").refused
     one.park(2, "s")
     one.release(2)
-    run(loop, clock, 20)  # it never came
+    run(loop, clock, 20)  # the moved session never returned
     assert not one.reserve(3, 0, 0, "/a", 99, "").refused
     loop.close()
 
 
-def test_one_that_is_relieved_lets_nothing_in_and_its_successor_what_is_left() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+def test_predecessor_admits_nothing_and_successor_admits_what_is_left() -> None:
+    loop, clock, (one, other) = start_drivers(plan(exact(4)))
     for ask in range(1, 20):
         one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
     state = one.machine.escrow.state()
-    made = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
-    made.take_over(clock.at, state)
+    successor = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
+    successor.take_over(clock.at, state)
     assert one.reserve(50, 0, 0, "/a", 99, "").refused == "changing guard"
-    assert made.ask(clock.at, 51, 0, 0, "/a").refused == "seats"  # what stands there counts
-    made.carried_all()
-    assert not made.ask(clock.at, 52, 0, 0, "/a").refused
+    # the sessions of the predecessor count
+    assert successor.ask(clock.at, 51, 0, 0, "/a").refused == "seats"
+    successor.carried_all()
+    assert not successor.ask(clock.at, 52, 0, 0, "/a").refused
     assert other.reserve(53, 0, 0, "/a", 99, "").refused
     loop.close()
 
 
-def test_eight_processes_keep_their_limits_while_all_that_is_between_them_fails(tmp_path: Path) -> None:
-    """Counted at the servers' taps; in short form."""
+def test_eight_processes_keep_limits_while_links_and_fronts_fail(tmp_path: Path) -> None:
+    """Plays a shortened version of the day `limits-apart`; sessions are counted at the servers."""
     path = tmp_path / "short.kdl"
     text = (DAYS / "limits-apart.kdl").read_text()
-    for long, short in (
+    for pattern, replacement in (
         (r"length=\(s\)24", "length=(s)13"),
         (r"at=\(s\)6 +for=\(s\)5", "at=(s)3 for=(s)4"),
         (r"at=\(s\)8 +for=\(s\)1", "at=(s)4 for=(s)1"),
@@ -131,42 +135,45 @@
         (r"at=\(s\)13\n", "at=(s)6\n"),
         (r"\(s\)12", "(s)7"),
     ):
-        text, count = re.subn(long, short, text)
+        text, count = re.subn(pattern, replacement, text)
         assert count
     path.write_text(text)
     report = play_day(read_day(path), path)
-    told = report.to_json()
-    assert told["rules_broken"] == 0 and told["limit_over_most"] == 0
-    assert 0 < float(str(told["limit_over_bound"])) <= 1
-    assert float(str(told["limit_stale_most_s"])) <= float(str(told["limit_stale_bound_s"]))
-    assert float(str(told["limit_used_share"])) > 0.2 and report.played > 50
+    results = report.to_json()
+    assert results["rules_broken"] == 0 and results["limit_over_most"] == 0
+    assert 0 < float(str(results["limit_over_bound"])) <= 1
+    assert float(str(results["limit_stale_most_s"])) <= float(str(results["limit_stale_bound_s"]))
+    assert float(str(results["limit_used_share"])) > 0.2 and report.played > 50
+
 
+def play_surge(fronts: int = 24, **options: bool) -> dict[str, float]:
+    """Plays the surge in the model, without the admission gate of a starting front.
 
-def used(fronts: int = 24, **more: bool) -> dict[str, float]:
-    """The surge in the model, without the gate of a front that starts. One front is a true counter."""
+    With one front the limit is an exact counter.
+    """
     day = read_day(DAYS / "limits-surge.kdl")
     if fronts == 1:
         mixes = tuple(replace(mix, front="front-0") for mix in day.mixes)
         day = replace(day, fronts=day.fronts[:1], mixes=mixes)
-    return World(day, 3, returning=False, **more).play().report.limits
+    return World(day, 3, returning=False, **options).play().report.limits
 
 
-def test_a_surge_finds_the_room_of_24_fronts_in_the_model() -> None:
-    told, counter = used(), used(fronts=1)
-    assert told["limit_over_most"] == 0 and told["limit_over_bound"] <= 1
-    assert told["limit_used_share"] >= 0.9 * counter["limit_used_share"]
-    assert used(limited=False)["limit_over_most"] > 10  # nothing else holds it
+def test_surge_uses_the_shares_of_24_fronts_in_the_model() -> None:
+    report, counter = play_surge(), play_surge(fronts=1)
+    assert report["limit_over_most"] == 0 and report["limit_over_bound"] <= 1
+    assert report["limit_used_share"] >= 0.9 * counter["limit_used_share"]
+    assert play_surge(limited=False)["limit_over_most"] > 10  # nothing else enforces the limit
 
 
-def test_cut_in_halves_each_uses_what_it_holds() -> None:
+def test_each_side_of_a_partition_uses_the_shares_it_holds() -> None:
     world = World(read_day(DAYS / "limits-surge.kdl"), 3, returning=False)
     for front in world.fronts:
         front.apart = front.index % 2 == 0
-    told = world.play().report.limits
-    assert told["limit_over_most"] == 0 and told["limit_used_share"] < 0.7
+    report = world.play().report.limits
+    assert report["limit_over_most"] == 0 and report["limit_used_share"] < 0.7
 
 
-def test_what_a_limit_refuses_is_refused_at_once_with_a_reason(world: Build) -> None:
+def test_refusal_by_a_limit_carries_its_reason(world: Build) -> None:
     w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
     client, session = w.playing("/browse/a")
     other, _, cseq = w.play("/browse/b")
@@ -175,8 +182,8 @@
     assert answer.status == 503 and "limit one" in str(answer.headers.get("X-Reason") or answer.reason)
     assert float(answer.headers.get("Retry-After")) >= 1
     assert w.set_ups() == 1 and w.daemon.counts["over_limit"] == 1
-    told = json.loads(w.daemon.shown.limits_page()[2])["limits"][0]
-    assert (told["used"], told["held"], told["refused"]) == (1, 1, 1)
+    report = json.loads(w.daemon.shown.limits_page()[2])["limits"][0]
+    assert (report["used"], report["held"], report["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
     w.until(lambda: client.answers_to(done))
     w.until(lambda: not w.daemon.set_up_requests.attempt_table.out)
@@ -184,7 +191,7 @@
     assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.shown.metrics_page()[2]
 
 
-def test_a_limit_changes_while_sessions_stand(reloaded: Callable[..., Any]) -> None:
+def test_lowered_limit_keeps_existing_sessions(reloaded: Callable[..., Any]) -> None:
     limit = 'limit "two" class="browse-clip" sessions={}\n'
     w, load = reloaded(TERMS + limit.format(2))
     w.playing("/browse/a")
@@ -193,36 +200,36 @@
     other, _, cseq = w.play("/browse/c")
     w.until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
-    assert json.loads(w.daemon.shown.limits_page()[2])["limits"][0]["used"] == 2  # none is cut
+    assert json.loads(w.daemon.shown.limits_page()[2])["limits"][0]["used"] == 2  # no session is ended
 
 
-def test_a_session_whose_loan_is_over_is_ended_in_order(world: Build) -> None:
+def test_session_on_an_expired_loan_is_ended_with_a_bye(world: Build) -> None:
     w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
     client, _ = w.playing("/browse/a")
     machine = w.daemon.set_up_requests.limits.machine
     room = next(iter(machine.escrow.rooms.values()))
-    room.parts.own = 0  # as if it had been lent by another
+    room.parts.own = 0  # as if the room had been lent by another front
     machine.escrow.lapsed((room.limit.ident, 0), 1)
     w.until(lambda: client.byes)
     w.until(lambda: not w.daemon.set_up_requests.open_requests)
     assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
 
 
-def test_room_is_held_until_an_attempt_that_is_out_has_ended(world: Build) -> None:
-    """What its server has not yet heard the end of stands there."""
+def test_reservation_is_held_until_the_attempt_has_ended(world: Build) -> None:
+    """The session may still exist at the server until the attempt has ended."""
     w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
     w.playing("/browse/a")
     requests = w.daemon.set_up_requests
-    (number,) = requests.open_requests
-    ask = requests.open_requests[number]
-    requests.close_request(ask)  # the ask is given up, its attempt is still in the book
+    (request_id,) = requests.open_requests
+    request = requests.open_requests[request_id]
+    requests.close_request(request)  # the request is closed while its attempt has not ended
     assert requests.limits.machine.sessions
     other, _, cseq = w.play("/browse/b")
     w.until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
 
 
-def test_the_life_of_a_refused_session_names_the_limit(world: Build, tmp_path: Path) -> None:
+def test_why_command_names_the_limit_of_a_refused_session(world: Build, tmp_path: Path) -> None:
     w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
     w.playing("/browse/a")
     other, session, cseq = w.play("/browse/b")
@@ -233,13 +240,13 @@
     assert done.exit_code == 0 and "limit one: no room" in done.output, done.output
 
 
-def test_limits_are_shown_of_a_front_and_of_the_fleet() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+def test_limits_are_summarized_per_front_and_for_the_fleet() -> None:
+    loop, clock, (one, other) = start_drivers(plan(exact(4)))
     for ask in range(1, 12):
         one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
-    told = [json.loads(desk.page()[2]) for desk in (one, other)]
-    assert line(told[0]["limits"][0]).startswith("seats            exact  4 of 4 sessions used, 4 held")
-    (fleet,) = of_fleet(told)
+    report = [json.loads(driver.page()[2]) for driver in (one, other)]
+    assert line(report[0]["limits"][0]).startswith("seats            exact  4 of 4 sessions used, 4 held")
+    (fleet,) = of_fleet(report)
     assert (fleet["fronts"], fleet["used"], fleet["lent"], fleet["borrowed"]) == (2, 4, 2, 2)
     loop.close()
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -1,4 +1,4 @@
-"""Fronts on real sockets that find one another, see one go, and tell their modules."""
+"""Membership of fronts on real sockets: joining, leaving, failures, and the events for the module."""
 
 from __future__ import annotations
 
@@ -24,83 +24,86 @@
 
 
 class Fronts:
+    """Members on one loop, by number, with the events that each one's module received."""
+
     def __init__(self) -> None:
         self.loop = Loop()
-        self.told: dict[int, list[i.Event]] = {}
-        self.all: dict[int, Membership] = {}
+        self.events: dict[int, list[i.Event]] = {}
+        self.members: dict[int, Membership] = {}
 
     def add(self, number: int, keys: dict[int, bytes] | None = None, fronts: int = 1) -> Membership:
-        seeds = tuple(m.local_address for m in self.all.values())[:2]
-        told = self.told[number] = []
-        made = Membership(
+        seeds = tuple(member.local_address for member in self.members.values())[:2]
+        events = self.events[number] = []
+        member = Membership(
             self.loop,
             number,
             fronts,
             ("127.0.0.1", 0),
             seeds,
             keys or KEYS,
-            told.append,
+            events.append,
             Random(number),
             FAST,
         )
-        self.all[number] = made
-        return made
+        self.members[number] = member
+        return member
 
     def until(self, condition: Callable[[], object], within_s: float = 20.0) -> None:
-        over: list[bool] = []
-        timer = self.loop.call_later(within_s, over.append, True)
-        self.loop.run(until=lambda: bool(over) or bool(condition()))
+        expired: list[bool] = []
+        timer = self.loop.call_later(within_s, expired.append, True)
+        self.loop.run(until=lambda: bool(expired) or bool(condition()))
         timer.cancel()
         assert condition()
 
-    def see(self, *members: int) -> bool:
-        return all(self.all[n].machine.view().members == members for n in members)
+    def agree(self, *members: int) -> bool:
+        """Whether each of these members sees exactly these members."""
+        return all(self.members[n].machine.view().members == members for n in members)
 
 
 @pytest.fixture
 def fronts() -> Iterator[Fronts]:
     made = Fronts()
     yield made
-    for each in made.all.values():
-        each.close()
+    for member in made.members.values():
+        member.close()
     made.loop.close()
 
 
-def test_fronts_find_one_another_and_tell_their_modules(fronts: Fronts) -> None:
+def test_fronts_find_one_another_and_report_the_fleet(fronts: Fronts) -> None:
     for number in range(5):
         fronts.add(number)
-    fronts.until(lambda: fronts.see(0, 1, 2, 3, 4))
-    fronts.until(lambda: all(t and t[-1] == i.Fleet(5, n) for n, t in fronts.told.items()))
+    fronts.until(lambda: fronts.agree(0, 1, 2, 3, 4))
+    fronts.until(lambda: all(events and events[-1] == i.Fleet(5, n) for n, events in fronts.events.items()))
 
 
-def test_a_front_that_goes_is_seen_and_its_share_is_kept_for_a_while(fronts: Fronts) -> None:
+def test_share_of_a_failed_front_is_kept_for_a_while(fronts: Fronts) -> None:
     for number in range(4):
         fronts.add(number)
-    fronts.until(lambda: fronts.see(0, 1, 2, 3))
-    fronts.until(lambda: fronts.told[0] and fronts.told[0][-1] == i.Fleet(4, 0))
-    fronts.all[3].close()
-    fronts.until(lambda: fronts.see(0, 1, 2))
-    assert fronts.told[0][-1] == i.Fleet(4, 0)
+    fronts.until(lambda: fronts.agree(0, 1, 2, 3))
+    fronts.until(lambda: fronts.events[0] and fronts.events[0][-1] == i.Fleet(4, 0))
+    fronts.members[3].close()
+    fronts.until(lambda: fronts.agree(0, 1, 2))
+    assert fronts.events[0][-1] == i.Fleet(4, 0)
 
 
-def test_a_front_that_leaves_says_so(fronts: Fronts) -> None:
+def test_leaving_front_is_removed_without_being_declared_dead(fronts: Fronts) -> None:
     for number in range(3):
         fronts.add(number)
-    fronts.until(lambda: fronts.see(0, 1, 2))
-    fronts.all[2].leave()
-    fronts.until(lambda: fronts.see(0, 1))
-    assert not any(fronts.all[n].machine.counts.get("declared_dead") for n in (0, 1))
+    fronts.until(lambda: fronts.agree(0, 1, 2))
+    fronts.members[2].leave()
+    fronts.until(lambda: fronts.agree(0, 1))
+    assert not any(fronts.members[n].machine.counts.get("declared_dead") for n in (0, 1))
 
 
-def test_a_front_with_another_key_is_not_heard(fronts: Fronts) -> None:
+def test_messages_sealed_with_an_unknown_key_are_rejected(fronts: Fronts) -> None:
     fronts.add(0)
     fronts.add(1)
     stranger = fronts.add(2, {1: b"x" * 16})
-    fronts.until(lambda: fronts.see(0, 1) and fronts.all[0].bad > 2)
+    fronts.until(lambda: fronts.agree(0, 1) and fronts.members[0].bad > 2)
     assert stranger.machine.view().members == (2,)
 
 
-def test_the_module_takes_its_shares_of_the_fronts_that_there_are() -> None:
+def test_module_applies_the_number_and_rank_of_the_fleet() -> None:
     settings = i.Settings(
         classes=(i.SessionClass(1, i.Repeat.SAFE, 1000, 4000),),
         ladder_kb=(10.0,),
@@ -118,19 +121,19 @@
     assert (front.settings.fronts, front.settings.index) == (4, 3)
 
 
-def test_keys_are_read_and_what_is_none_is_named(tmp_path: Path) -> None:
+def test_key_files_are_read_and_errors_are_located(tmp_path: Path) -> None:
     path = tmp_path / "keys"
     path.write_text("# keys\n2 " + "ab" * 16 + "  # new\n1 " + "cd" * 16 + "\n")
     assert list(read_keys(path)) == [2, 1]
-    for text, said in (("1 abcd\n", "keys:1:1: no key"), ("", "holds no key"), ("x\n", "keys:1:1")):
+    for text, message in (("1 abcd\n", "keys:1:1: no key"), ("", "holds no key"), ("x\n", "keys:1:1")):
         path.write_text(text)
-        with pytest.raises(BadInput, match=said):
+        with pytest.raises(BadInput, match=message):
             read_keys(path)
     with pytest.raises(BadInput, match="cannot be read"):
         read_keys(tmp_path / "none")
 
 
-def test_a_daemon_joins_by_its_settings(tmp_path: Path) -> None:
+def test_daemon_joins_as_configured(tmp_path: Path) -> None:
     (tmp_path / "keys").write_text("1 " + "00" * 16 + "\n")
     node = 'members listen="127.0.0.1:0" keys="keys" period=(ms)50 { seed "127.0.0.1:9"; }'
     path = tmp_path / "front.kdl"
--- a/tests/front/test_halls.py
+++ b/tests/front/test_zones.py
@@ -1,4 +1,5 @@
-"""The machine of halls at a front, on sockets: orders from the command line, over a restart, its pages."""
+"""Zones at a running front: operators' orders from the command line, restarts, handovers and the status
+page."""
 
 from __future__ import annotations
 
@@ -36,15 +37,15 @@
 
 
 def status_of(site: Site, nth: int) -> str:
-    """Where its pages are, as its log says."""
+    """The status address of the `nth` front process, from its log."""
     lines = [json.loads(x) for x in (site.folder / f"log-{nth}").read_text().splitlines() if x[:1] == "{"]
     return str(next(x["status"] for x in lines if x["event"] == "serving"))
 
 
-def halls(site: Site, *words: str) -> tuple[int, str, dict[str, Any]]:
-    """The command, while the site goes on. Its exit code, what it said, its JSON."""
+def run_halls(site: Site, *arguments: str) -> tuple[int, str, dict[str, Any]]:
+    """Runs `lemonhall halls` while the site runs. Returns its exit code, its output and the output's JSON."""
     child = subprocess.Popen(
-        [sys.executable, "-m", "lemonhall", "halls", *words, "--json"],
+        [sys.executable, "-m", "lemonhall", "halls", *arguments, "--json"],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         stdin=subprocess.DEVNULL,
@@ -52,69 +53,69 @@
     )
     site.until(lambda: child.poll() is not None)
     assert child.stdout
-    said = child.stdout.read()
+    output = child.stdout.read()
     child.stdout.close()
-    last = (said.strip().splitlines() or [""])[-1]
-    return child.returncode, said, json.loads(last) if last.startswith("{") else {}
+    last = (output.strip().splitlines() or [""])[-1]
+    return child.returncode, output, json.loads(last) if last.startswith("{") else {}
 
 
-def state(told: dict[str, Any], hall: str) -> dict[str, Any]:
-    return next(h for h in told["halls"] if h["hall"] == hall)
+def state(report: dict[str, Any], hall: str) -> dict[str, Any]:
+    return next(h for h in report["halls"] if h["hall"] == hall)
 
 
 @pytest.mark.parametrize("fields", ["", "workers=1"])
-def test_a_hall_is_held_out_over_a_restart_and_let_in_again(make: Make, fields: str) -> None:
+def test_zone_is_held_out_across_a_restart_and_released(make: Make, fields: str) -> None:
     site = make(fields=fields)
     front = site.serve()
     at, status = site.started(front), status_of(site, 0)
     assert site.viewer(at, "/browse/a")[1] == 200
-    assert state(halls(site, "show", status)[2], "hall-a")["state"] == "up"
-    told = halls(site, "hold", status, "hall-a")[2]
-    assert state(told, "hall-a")["state"] == "dark" and state(told, "hall-a")["held_out"]
-    assert site.viewer(at, "/browse/b")[1] in (453, 503)  # hall-b has no server: refused, at once
-    assert len(site.open()) == 1  # what played goes on
+    assert state(run_halls(site, "show", status)[2], "hall-a")["state"] == "up"
+    report = run_halls(site, "hold", status, "hall-a")[2]
+    assert state(report, "hall-a")["state"] == "dark" and state(report, "hall-a")["held_out"]
+    assert site.viewer(at, "/browse/b")[1] in (453, 503)  # hall-b has no server, so the session is refused
+    assert len(site.open()) == 1  # the playing session continues
     front.send_signal(signal.SIGTERM)
     assert site.ended(front) == 0
     again = site.serve()
     at = site.started(again)
     status = status_of(site, 1)
-    code, said, told = halls(site, "show", status)
-    assert code == 1 and state(told, "hall-a")["held_out"] and "held out" in said
+    code, output, report = run_halls(site, "show", status)
+    assert code == 1 and state(report, "hall-a")["held_out"] and "held out" in output
     assert site.viewer(at, "/browse/c")[1] in (453, 503)
-    halls(site, "release", status, "hall-a")
-    tries = 0
-    while state(halls(site, "show", status)[2], "hall-a")["state"] != "up":
-        tries += 1
-        assert tries < 200
+    run_halls(site, "release", status, "hall-a")
+    polls = 0
+    while state(run_halls(site, "show", status)[2], "hall-a")["state"] != "up":
+        polls += 1
+        assert polls < 200
     assert site.viewer(at, "/browse/d")[1] == 200
 
 
-def test_a_hall_that_is_not_there_and_a_front_without_halls_are_named(make: Make) -> None:
+def test_unknown_zone_and_front_without_zones_are_reported(make: Make) -> None:
     site = make()
     front = site.serve()
     site.started(front)
-    code, said, _ = halls(site, "hold", status_of(site, 0), "hall-x")
-    assert code == 2 and "no hall 'hall-x'; there are hall-a hall-b" in said
+    code, output, _ = run_halls(site, "hold", status_of(site, 0), "hall-x")
+    assert code == 2 and "no hall 'hall-x'; there are hall-a hall-b" in output
     plain = make(terms=TERMS)
     other = plain.serve()
     plain.started(other)
-    code, said, _ = halls(plain, "show", status_of(plain, 0))
-    assert code == 2 and "no spill in the settings" in said
-    code, said, _ = halls(plain, "show", "127.0.0.1:1")
-    assert code == 2 and "no front answers there" in said
+    code, output, _ = run_halls(plain, "show", status_of(plain, 0))
+    assert code == 2 and "no spill in the settings" in output
+    code, output, _ = run_halls(plain, "show", "127.0.0.1:1")
+    assert code == 2 and "no front answers there" in output
 
 
 @pytest.mark.parametrize("fields", ["", "workers=1"])
-def test_a_successor_holds_out_what_was_held_out(make: Make, fields: str) -> None:
+def test_handover_keeps_zones_held_out(make: Make, fields: str) -> None:
     site = make(fields=fields)
     old = site.serve()
     at = site.started(old)
     assert site.viewer(at, "/browse/a")[1] == 200
-    halls(site, "hold", status_of(site, 0), "hall-a")
+    run_halls(site, "hold", status_of(site, 0), "hall-a")
     new = site.serve("--replace")
     at = site.started(new)
-    told = halls(site, "show", status_of(site, 1))[2]
-    assert state(told, "hall-a")["held_out"]
+    report = run_halls(site, "show", status_of(site, 1))[2]
+    assert state(report, "hall-a")["held_out"]
     assert site.viewer(at, "/browse/b")[1] in (453, 503)
     assert len(site.open()) == 1
     site.no_gap(site.open())
