--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -29,10 +29,10 @@
     def __init__(self) -> None:
         self.loop = Loop()
         self.events: dict[int, list[i.Event]] = {}
-        self.members: dict[int, Membership] = {}
+        self.by_number: dict[int, Membership] = {}
 
     def add(self, number: int, keys: dict[int, bytes] | None = None, fronts: int = 1) -> Membership:
-        seeds = tuple(member.local_address for member in self.members.values())[:2]
+        seeds = tuple(member.local_address for member in self.by_number.values())[:2]
         events = self.events[number] = []
         member = Membership(
             self.loop,
@@ -45,7 +45,7 @@
             Random(number),
             FAST,
         )
-        self.members[number] = member
+        self.by_number[number] = member
         return member
 
     def until(self, condition: Callable[[], object], within_s: float = 20.0) -> None:
@@ -57,14 +57,14 @@
 
     def agree(self, *members: int) -> bool:
         """Whether each of these members sees exactly these members."""
-        return all(self.members[n].machine.view().members == members for n in members)
+        return all(self.by_number[n].machine.view().members == members for n in members)
 
 
 @pytest.fixture
 def fronts() -> Iterator[Fronts]:
     made = Fronts()
     yield made
-    for member in made.members.values():
+    for member in made.by_number.values():
         member.close()
     made.loop.close()
 
@@ -81,7 +81,7 @@
         fronts.add(number)
     fronts.until(lambda: fronts.agree(0, 1, 2, 3))
     fronts.until(lambda: fronts.events[0] and fronts.events[0][-1] == i.Fleet(4, 0))
-    fronts.members[3].close()
+    fronts.by_number[3].close()
     fronts.until(lambda: fronts.agree(0, 1, 2))
     assert fronts.events[0][-1] == i.Fleet(4, 0)
 
@@ -90,16 +90,16 @@
     for number in range(3):
         fronts.add(number)
     fronts.until(lambda: fronts.agree(0, 1, 2))
-    fronts.members[2].leave()
+    fronts.by_number[2].leave()
     fronts.until(lambda: fronts.agree(0, 1))
-    assert not any(fronts.members[n].machine.counts.get("declared_dead") for n in (0, 1))
+    assert not any(fronts.by_number[n].machine.counts.get("declared_dead") for n in (0, 1))
 
 
 def test_messages_sealed_with_an_unknown_key_are_rejected(fronts: Fronts) -> None:
     fronts.add(0)
     fronts.add(1)
     stranger = fronts.add(2, {1: b"x" * 16})
-    fronts.until(lambda: fronts.agree(0, 1) and fronts.members[0].bad > 2)
+    fronts.until(lambda: fronts.agree(0, 1) and fronts.by_number[0].bad > 2)
     assert stranger.machine.view().members == (2,)
 
 
