--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -1,5 +1,8 @@
-"""Claims that come again: their own front is asked before anything is set up. What the answers mean is the
-ledger's to say (`lemonhall.store.claims`); here they are sent, sent again, and waited for."""
+"""Resolves claims that were made at another front: queries their own front before anything is set up.
+
+What the answers mean is decided by the ledger (`lemonhall.store.claims`); this module sends the queries,
+repeats them and waits for the answers.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +17,12 @@
 from lemonhall.members.members_pb2 import ASK_CLAIM, CLAIM, Message
 from lemonhall.store import Answer, Begun, Standing, Token, Verdict
 
-AGAIN_S = 0.05  # an answer is asked for anew after
-Then = Callable[[Begun], object]
+RETRY_S = 0.05  # between repetitions of a query
+Callback = Callable[[Begun], object]
 
 
-class Carrier(Protocol):
-    """The members' socket: to a front by its number, or back to where a message came from."""
+class Messenger(Protocol):
+    """Sends messages to other fronts, as `Membership` does. `number` is this front's."""
 
     number: int
 
@@ -27,85 +30,85 @@
 
 
 @dataclass
-class Waiting:
-    """A viewer waits here for word from `begun.front`."""
+class PendingQuery:
+    """A claim whose viewer waits for the answer of `begun.front`, until the loop time `deadline`."""
 
     begun: Begun
-    until: float
-    then: Then
+    deadline: float
+    callback: Callback
     hops: int = 0
     timer: Timer | None = None
 
 
 class ClaimResolver:
-    """Each `then` is called once: with `GO`, `RAN` or `UNKNOWN`."""
+    """Each callback is called once, with `GO`, `RAN` or `UNKNOWN`."""
 
-    def __init__(self, loop: Loop, store_service: StoreService | None, messenger: Carrier | None) -> None:
+    def __init__(self, loop: Loop, store_service: StoreService | None, messenger: Messenger | None) -> None:
         self.loop, self.store_service, self.messenger = loop, store_service, messenger
-        self.waiting: dict[Token, Waiting] = {}
+        self.queries: dict[Token, PendingQuery] = {}
         self.counts = Counter[str]()
 
-    def begin(self, token: Token, within_s: float, then: Then) -> None:
-        """`then` follows at once if this front knows by itself, else within the time."""
-        if earlier := self.waiting.get(token):  # the same claim again: whoever came last is the viewer
+    def begin(self, token: Token, timeout_s: float, callback: Callback) -> None:
+        """Calls back at once if this front can decide on the claim by itself, else within the timeout."""
+        if earlier := self.queries.get(token):  # the same claim again: the latest request is the viewer's
             self.finish(token, earlier, Begun(Verdict.UNKNOWN))
         if self.store_service is None:
-            then(Begun(Verdict.UNKNOWN))
+            callback(Begun(Verdict.UNKNOWN))
             return
         begun = self.store_service.ledger.begin(token, self.store_service.wall())
         if begun.verdict is not Verdict.ASK:
-            then(begun)
+            callback(begun)
             return
-        wait = self.waiting[token] = Waiting(begun, self.loop.now() + within_s, then)
-        self.ask(token, wait)
+        query = self.queries[token] = PendingQuery(begun, self.loop.now() + timeout_s, callback)
+        self.send_query(token, query)
 
-    def ask(self, token: Token, wait: Waiting) -> None:
-        """Again and again until an answer or the end of the time: datagrams may be lost."""
-        if self.waiting.get(token) is not wait:
+    def send_query(self, token: Token, query: PendingQuery) -> None:
+        """Sends the query repeatedly until its answer or its deadline, since datagrams may be lost."""
+        if self.queries.get(token) is not query:
             return
-        if self.loop.now() >= wait.until or self.messenger is None or self.store_service is None:
-            self.finish(token, wait, Begun(Verdict.UNKNOWN))
+        if self.loop.now() >= query.deadline or self.messenger is None or self.store_service is None:
+            self.finish(token, query, Begun(Verdict.UNKNOWN))
             return
         self.counts["asked"] += 1
         message = Message(
             kind=ASK_CLAIM,
             sender=self.messenger.number,
             claim=token.key,
-            turn=wait.begun.turn,
+            turn=query.begun.turn,
             own_store=self.store_service.number,
-            store=wait.begun.store,
+            store=query.begun.store,
         )
-        self.messenger.send_to_front(wait.begun.front, message)
-        wait.timer = self.loop.call_later(AGAIN_S, self.ask, token, wait)
+        self.messenger.send_to_front(query.begun.front, message)
+        query.timer = self.loop.call_later(RETRY_S, self.send_query, token, query)
 
-    def finish(self, token: Token, wait: Waiting, begun: Begun) -> None:
-        self.waiting.pop(token, None)
-        if wait.timer:
-            wait.timer.cancel()
+    def finish(self, token: Token, query: PendingQuery, begun: Begun) -> None:
+        self.queries.pop(token, None)
+        if query.timer:
+            query.timer.cancel()
         self.counts[begun.verdict.value] += 1
-        wait.then(begun)
+        query.callback(begun)
 
     def on_message(self, message: Any) -> None:
-        """A message about a claim, opened and from a member."""
+        """Handles a decrypted message of another member about a claim."""
         try:
             token = Token.of_key(message.claim)
-        except Exception:  # of another version, or none
+        except Exception:  # no token, or one of another version
             self.counts["unreadable"] += 1
             return
         if message.kind == ASK_CLAIM:
-            self.asked(token, message)
+            self.on_query(token, message)
         elif message.kind == CLAIM:
-            self.answered(token, message)
+            self.on_answer(token, message)
 
-    def asked(self, token: Token, message: Any) -> None:
+    def on_query(self, token: Token, message: Any) -> None:
         if self.messenger is None:
             return
         answer: Answer | None = Answer(None)
         write = None
         if self.store_service:
             by = (message.sender, message.own_store)
-            wall = self.store_service.wall()
-            answer, write = self.store_service.ledger.asked(token, by, message.store, message.turn, wall)
+            wall_s = self.store_service.wall()
+            answer, write = self.store_service.ledger.asked(token, by, message.store, message.turn, wall_s)
         if answer is None:
             return
         self.counts["answered"] += 1
@@ -123,23 +126,24 @@
         else:
             self.reply(message.sender, reply, "")
 
-    def reply(self, to: int, message: Any, why: str) -> None:
-        """Once what it says is on disk; if it could not be written, nothing is said and they ask again."""
-        if self.messenger and not why:
+    def reply(self, to: int, message: Any, error: str) -> None:
+        """Sends an answer whose content is on disk. After a write error nothing is sent; the query is
+        repeated."""
+        if self.messenger and not error:
             self.messenger.send_to_front(to, message)
 
-    def answered(self, token: Token, message: Any) -> None:
-        wait = self.waiting.get(token)
-        if wait is None or message.sender != wait.begun.front or self.store_service is None:
-            return  # an old answer, or a doubled one
+    def on_answer(self, token: Token, message: Any) -> None:
+        query = self.queries.get(token)
+        if query is None or message.sender != query.begun.front or self.store_service is None:
+            return  # outdated or duplicate answer
         standing = Standing(message.standing) if message.standing in set(Standing) else None
         answer = Answer(standing, message.turn, message.to, message.store)
-        wait.hops += 1
-        begun = self.store_service.ledger.answered(token, answer, wait.hops)
+        query.hops += 1
+        begun = self.store_service.ledger.answered(token, answer, query.hops)
         if begun.verdict is Verdict.ASK:
-            if wait.timer:
-                wait.timer.cancel()
-            wait.begun = begun
-            self.ask(token, wait)
+            if query.timer:
+                query.timer.cancel()
+            query.begun = begun
+            self.send_query(token, query)
         else:
-            self.finish(token, wait, begun)
+            self.finish(token, query, begun)
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -1,4 +1,5 @@
-"""What a front keeps on disk, from the loop: the ledger, sessions that play, the list, what was learned."""
+"""The front's store, used from the event loop: the ledger, playing sessions, the server list and learned
+state."""
 
 from __future__ import annotations
 
@@ -34,11 +35,12 @@
 from lemonhall.store.writer import OTHERWISE
 
 log = structlog.get_logger("lemonhall.front")
-MEMORY_EVERY_S = 2.0
-PRUNE_EVERY_S = 60.0
-TRY_EVERY_S = 0.5  # after a write that failed, until one succeeds
-LIST, MEMORY, TRIED, HALLS, RETURN = b"list", b"memory", b"tried", b"halls", b"return"
-DAMAGED = Record(Standing.RAN)  # what stands for a claim that cannot be read: never again
+SAVE_LEARNED_PERIOD_S = 2.0
+PRUNE_PERIOD_S = 60.0
+RETRY_PERIOD_S = 0.5  # of test writes after a failed write, until one succeeds
+# keys of records
+LIST, LEARNED, TEST_WRITE, ZONES, RECOVERY = b"list", b"memory", b"tried", b"halls", b"return"
+DAMAGED = Record(Standing.RAN)  # replaces a claim that cannot be read, so that it is never set up again
 
 
 def to_claim(record: Record) -> Any:
@@ -74,15 +76,15 @@
         set_up_spread_ms=memory.set_up_spread,
         servers=[
             Server(
-                id=s.server,
-                started_ms=s.ready_at,
-                evidence=s.evidence,
-                barred_until_ms=s.barred_until,
-                failed_at_ms=s.failed_at,
-                others_kb=s.others_kb,
-                heard_at_ms=s.heard_at,
+                id=server.server,
+                started_ms=server.ready_at,
+                evidence=server.evidence,
+                barred_until_ms=server.barred_until,
+                failed_at_ms=server.failed_at,
+                others_kb=server.others_kb,
+                heard_at_ms=server.heard_at,
             )
-            for s in memory.servers
+            for server in memory.servers
         ],
     )
 
@@ -90,15 +92,15 @@
 def to_memory(learned: Any) -> i.Memory:
     servers = tuple(
         i.Learned(
-            s.id,
-            s.started_ms,
-            s.evidence,
-            s.barred_until_ms,
-            s.failed_at_ms,
-            s.others_kb,
-            s.heard_at_ms,
+            server.id,
+            server.started_ms,
+            server.evidence,
+            server.barred_until_ms,
+            server.failed_at_ms,
+            server.others_kb,
+            server.heard_at_ms,
         )
-        for s in learned.servers
+        for server in learned.servers
     )
     return i.Memory(
         learned.at_ms,
@@ -111,7 +113,11 @@
 
 
 class StoreService:
-    """Raises `BadInput` if the store cannot be opened. `memory` gives what the module has learned."""
+    """Reads and writes the store. `memory` returns the learned state of the module, None if it keeps none.
+
+    Raises `BadInput` if the store cannot be opened. A damaged store is set aside and replaced by a new one.
+    `lock` is the lock's file descriptor, if the predecessor in a handover passed it on.
+    """
 
     def __init__(
         self,
@@ -134,21 +140,30 @@
             aside=True,
         )
         self.front = front
-        self.pending: dict[bytes, tuple[Record, int]] = {}  # claims on their way to the disk
+        self.pending: dict[
+            bytes, tuple[Record, int]
+        ] = {}  # claims not yet on disk, with the number of pending writes
         self.counts = Counter[str]()
         self.open_ledger()
         if self.store.damaged:
-            meaning = "a new store is begun; paid claims of the old one count as run"
-            log.error("store damaged", folder=str(settings.folder), why=self.store.damaged, means=meaning)
+            consequence = "a new store is begun; paid claims of the old one count as run"
+            log.error(
+                "store damaged",
+                folder=str(settings.folder),
+                reason=self.store.damaged,
+                consequence=consequence,
+            )
             self.counts["set_aside"] += 1
         self.failing = ""
-        self.on_failing_changed: Callable[[bool], object] = lambda failing: None  # of writing
+        self.on_failing_changed: Callable[[bool], object] = lambda failing: None
         self.prune_timer: Timer | None = None
         self.memory_timer: Timer | None = None
-        self.recovery_state: Callable[[], bytes | None] = lambda: None  # what is kept of the others' marks
+        self.recovery_state: Callable[[], bytes | None] = lambda: (
+            None
+        )  # the state of recovery: checkpoints of other fronts
 
     def open_ledger(self) -> None:
-        """On the file as it is."""
+        """Starts a ledger and a writer on the store's current file."""
         self.number = int(self.store.about.store)
         self.made = self.store.created
         self.ledger = Ledger(
@@ -159,29 +174,38 @@
 
     @property
     def checkpoint(self) -> Mark:
-        """How far the store is written; a later mark of this front's is greater."""
+        """Identifies the last commit of the store. Later checkpoints of the same front compare greater."""
         return Mark(int(self.store.about.made_ms), self.store.commits)
 
     def reject_store(self, later: Mark | None) -> None:
-        """The store is not the last one (others heard of `later`), or nobody can say so: nothing of its
-        ledger is used, before anything was. What may be believed by its age is kept; an older file is put
-        aside."""
-        draw = self.random.getrandbits(32)
+        """Discards the ledger of a store that is outdated (others know the checkpoint `later`) or not
+        confirmed.
+
+        Must be called before anything of the ledger is used. State whose age is known is kept. An outdated
+        file is set aside.
+        """
+        store_id = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            why = f"others heard of it up to commit {later.count}, it has {self.checkpoint.count}"
-            names = (("list", LIST), ("learned", MEMORY), ("learned", RETURN))
-            kept = [(t, k, v, ANYTHING) for t, k in names if (v := self.store.raw(t, k)) is not None]
-            aside = self.store.renew("older", draw, max(int(self.wall() * 1000), later.made_ms + 1))
+            reason = f"others heard of it up to commit {later.count}, it has {self.checkpoint.count}"
+            records = (("list", LIST), ("learned", LEARNED), ("learned", RECOVERY))
+            kept = [
+                (table, key, value, ANYTHING)
+                for table, key in records
+                if (value := self.store.raw(table, key)) is not None
+            ]
+            aside = self.store.renew("older", store_id, max(int(self.wall() * 1000), later.made_ms + 1))
             self.open_ledger()
             self.store.commit(kept)
-            means = f"kept as {aside.name}; "
+            consequence = f"kept as {aside.name}; "
         else:
-            why, means = "nobody could say whether it is the last one", ""
-            self.store.renumber(draw)
+            reason, consequence = "no other front could confirm that it is the latest one", ""
+            self.store.renumber(store_id)
             self.open_ledger()
-        means += "paid claims of it count as run, parts of limits are asked for anew"
-        log.error("store not believed", folder=str(self.settings.folder), why=why, means=means)
+        consequence += "paid claims of it count as run, shares of limits are requested again"
+        log.error(
+            "store not trusted", folder=str(self.settings.folder), reason=reason, consequence=consequence
+        )
         self.counts["disowned"] += 1
 
     def start(self) -> None:
@@ -191,15 +215,16 @@
     # the ledger
 
     def lookup(self, key: bytes) -> Record | None:
-        """What is written of a claim, or is on its way. One that cannot be read may have run."""
-        if waiting := self.pending.get(key):
-            return waiting[0]
+        """Returns the latest record of a claim, written or pending. A record that cannot be read counts as
+        run."""
+        if pending := self.pending.get(key):
+            return pending[0]
         try:
             found = self.store.get("claims", key)
             return None if found is None else to_record(found)
         except (BadRecord, ValueError) as error:
             self.counts["damaged"] += 1
-            log.error("damaged claim", claim=key.hex(), why=str(error))
+            log.error("damaged claim record; treating the claim as run", claim=key.hex(), reason=str(error))
             return DAMAGED
 
     def pending_has(self, key: bytes) -> bool:
@@ -209,25 +234,28 @@
         return self.ledger.make(self.wall(), self.random.getrandbits(64))
 
     def write(self, write: Write, then: Callable[[str], object] | None = None, soon: bool = True) -> None:
-        """`then` is told "" once it is on disk, else why it is not."""
+        """Queues a write. `then` is called with "" once it is on disk, or with the error."""
         key = write.key
         self.pending[key] = (write.record, self.pending.get(key, (write.record, 0))[1] + 1)
 
-        def written(why: str) -> None:
-            record, waiting = self.pending[key]
-            if waiting == 1:
+        def written(error: str) -> None:
+            record, pending_writes = self.pending[key]
+            if pending_writes == 1:
                 del self.pending[key]
             else:
-                self.pending[key] = (record, waiting - 1)
-            self.on_written(why)
+                self.pending[key] = (record, pending_writes - 1)
+            self.on_written(error)
             if then:
-                then(why)
+                then(error)
 
         before = None if write.before is None else wrap(key, to_claim(write.before))
         self.writer.put(("claims", key, wrap(key, to_claim(write.record)), before), written, soon)
 
     def attempt(self, hold: Hold, server: int, then: Callable[[str], object]) -> Record | None:
-        """Writes that an attempt may leave, and says when it may. None: it may not, nothing is written."""
+        """Records an attempt before it is sent; `then` is called as by `write`.
+
+        Returns None, and writes nothing, if the attempt must not be sent.
+        """
         write = self.ledger.attempt(hold, server, self.wall())
         if write is None:
             self.counts["attempts_stopped"] += 1
@@ -237,37 +265,39 @@
         return write.record
 
     def settle(self, hold: Hold, ran: bool) -> None:
+        """Records the end of an attempt, and whether the session may have run."""
         if write := self.ledger.settle(hold, ran, self.wall()):
             self.counts["settled_ran" if ran else "settled_free"] += 1
             self.write(write, soon=False)
 
     def settle_unsent(self, token: Token, turn: int, made: int) -> None:
-        """An attempt that was written by an earlier decider provably never left."""
+        """Records that an attempt of an earlier decider was provably never sent."""
         if write := self.ledger.unsent(token, turn, made, self.wall()):
             self.counts["settled_unsent"] += 1
             self.write(write, soon=False)
 
-    def on_written(self, why: str) -> None:
-        """How a write went. While they fail no paid session is taken; small tries go on meanwhile."""
-        if why == OTHERWISE:
+    def on_written(self, error: str) -> None:
+        """Handles the result of a write. While writes fail, paid sessions are refused and test writes are
+        repeated."""
+        if error == OTHERWISE:
             self.counts["overtaken"] += 1
             return
-        if why and not self.failing:
-            log.error("store cannot be written, no paid sessions", why=why)
-            self.loop.call_later(TRY_EVERY_S, self.try_again)
-        elif self.failing and not why:
-            log.warning("store can be written again")
-        self.counts["failed_writes"] += bool(why)
-        was, self.failing = self.failing, why
-        if bool(was) != bool(why):
-            self.on_failing_changed(bool(why))
-
-    def try_again(self) -> None:
+        if error and not self.failing:
+            log.error("cannot write the store; refusing paid sessions", reason=error)
+            self.loop.call_later(RETRY_PERIOD_S, self.retry_write)
+        elif self.failing and not error:
+            log.warning("store is writable again; accepting paid sessions")
+        self.counts["failed_writes"] += bool(error)
+        previous_error, self.failing = self.failing, error
+        if bool(previous_error) != bool(error):
+            self.on_failing_changed(bool(error))
+
+    def retry_write(self) -> None:
         if self.failing and self.writer.woken.fileno() >= 0:
-            self.writer.put(("list", TRIED, b"", ANYTHING), self.on_written)
-            self.loop.call_later(TRY_EVERY_S, self.try_again)
+            self.writer.put(("list", TEST_WRITE, b"", ANYTHING), self.on_written)
+            self.loop.call_later(RETRY_PERIOD_S, self.retry_write)
 
-    # sessions that play
+    # playing sessions
 
     def save_session(self, session: str, claim: str, path: str, cls: int, server: int) -> None:
         key = session.encode()
@@ -278,13 +308,13 @@
         self.writer.put(("held", session.encode(), None, ANYTHING), soon=False)
 
     def forget_lost_sessions(self) -> int:
-        """Sessions that played when this was last written: they ended with their process. Forgets them."""
+        """Removes the sessions that were playing when an earlier process ended, and returns their number."""
         keys = [key for key, _ in self.store.each("held")]
         for key in keys:
             self.writer.put(("held", key, None, ANYTHING))
         return len(keys)
 
-    # the list and what was learned
+    # server list and learned state
 
     def save_list(self, data: bytes) -> None:
         self.writer.put(("list", LIST, data, ANYTHING), self.on_written)
@@ -294,77 +324,83 @@
 
     def save_memory(self) -> None:
         if memory := self.memory():
-            self.writer.put(("learned", MEMORY, wrap(MEMORY, to_learned(memory)), ANYTHING), self.on_written)
-        if (kept := self.recovery_state()) is not None:
-            self.put_blob(RETURN, kept, self.on_written)
-        self.memory_timer = self.loop.call_later(MEMORY_EVERY_S, self.save_memory)
+            self.writer.put(
+                ("learned", LEARNED, wrap(LEARNED, to_learned(memory)), ANYTHING), self.on_written
+            )
+        if (state := self.recovery_state()) is not None:
+            self.put_blob(RECOVERY, state, self.on_written)
+        self.memory_timer = self.loop.call_later(SAVE_LEARNED_PERIOD_S, self.save_memory)
 
     def load_memory(self) -> i.Memory | None:
-        value = self.store.raw("learned", MEMORY)
+        value = self.store.raw("learned", LEARNED)
         if value is None:
             return None
         try:
-            return to_memory(unwrap(MEMORY, value, Learned))
+            return to_memory(unwrap(LEARNED, value, Learned))
         except BadRecord as error:
-            log.warning("what was learned is not used", why=str(error))
+            log.warning("damaged record of learned state; starting without it", reason=str(error))
             return None
 
-    # what machines keep, in forms of their own
+    # state of other subsystems, in their own formats
 
     def put_blob(self, name: bytes, data: bytes, then: Callable[[str], object]) -> None:
         self.writer.put(("learned", name, xxhash.xxh3_64_digest(data) + data, ANYTHING), then)
 
-    def load_blob(self, name: bytes, what: str) -> bytes | None:
-        """What was kept; `b""` if nothing ever was; None if it is damaged."""
+    def load_blob(self, name: bytes, subsystem: str) -> bytes | None:
+        """Returns the stored state; `b""` if none was ever stored; None if it, or the store, is damaged."""
         value = self.store.raw("learned", name)
         if value is None:
             return None if self.store.damaged else b""
         if value[:8] != xxhash.xxh3_64_digest(value[8:]):
             self.counts["damaged"] += 1
-            log.error(f"what was kept of {what} is damaged")
+            log.error(f"stored state of {subsystem} is damaged")
             return None
         return value[8:]
 
     def save_zones(self, data: bytes, then: Callable[[str], object]) -> None:
-        """`then` is told "" once it is on disk, else why it is not."""
+        """Queues a write. `then` is called with "" once it is on disk, or with the error."""
 
-        def written(why: str) -> None:
-            self.on_written(why)
-            then(why)
+        def written(error: str) -> None:
+            self.on_written(error)
+            then(error)
 
-        self.put_blob(HALLS, data, written)
+        self.put_blob(ZONES, data, written)
 
     def load_zones(self) -> bytes | None:
         """As `load_own`; None as well if the store was not believed: what it had lent is not known."""
-        return None if self.counts["disowned"] else self.load_blob(HALLS, "halls")
+        return None if self.counts["disowned"] else self.load_blob(ZONES, "halls")
 
     def load_recovery(self) -> bytes | None:
-        return self.load_blob(RETURN, "the return")
+        return self.load_blob(RECOVERY, "recovery")
 
-    # upkeep
+    # maintenance
 
     def prune(self) -> None:
-        """Claims older than they are kept for go: a token of that age is known to be too old by itself."""
+        """Deletes claims beyond the retention time; the token of such a claim shows by itself that it is too
+        old."""
         oldest = max(0, int(self.wall() - self.settings.keep_ms / 1000) - 1)
         self.ledger.pruned_s = max(self.ledger.pruned_s, oldest - 1)
         try:
             self.counts["pruned"] += self.store.prune(Token(oldest, 0, 0, 0).key, self.ledger.pruned_s)
-        except Exception as error:  # a full disk: tried again
-            log.warning("old claims not taken away", why=str(error))
-        self.prune_timer = self.loop.call_later(PRUNE_EVERY_S, self.prune)
+        except Exception as error:  # such as a full disk
+            log.warning("cannot delete old claims; retrying after the next period", reason=str(error))
+        self.prune_timer = self.loop.call_later(PRUNE_PERIOD_S, self.prune)
 
     def stop_upkeep(self) -> None:
-        """No upkeep from here on: a successor does it."""
+        """Stops pruning and saving, which a successor does from now on."""
         for timer in (self.prune_timer, self.memory_timer):
             if timer:
                 timer.cancel()
 
     def close(self, handed_over: bool = False) -> None:
-        """All that waits is written first; what was learned not if a successor knows more by now."""
+        """Completes all queued writes and closes the store.
+
+        The learned state is saved unless the store was handed over: the successor's is newer by then.
+        """
         self.stop_upkeep()
         if self.writer.woken.fileno() < 0:
             return
         if not handed_over and (memory := self.memory()):
-            self.writer.put(("learned", MEMORY, wrap(MEMORY, to_learned(memory)), ANYTHING))
+            self.writer.put(("learned", LEARNED, wrap(LEARNED, to_learned(memory)), ANYTHING))
         self.writer.close()
         self.store.close()
--- a/tests/day/test_returns.py
+++ b/tests/day/test_returns.py
@@ -58,7 +58,7 @@
     said = "".join(p.read_text(errors="replace") for p in (tmp_path / "kept").glob("f*.log"))
     assert '"event": "fault"' not in said
     if "older" in what:
-        assert "store not believed" in said
+        assert "store not trusted" in said
 
 
 def test_a_front_named_as_a_server_is_refused(tmp_path: Path) -> None:
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -268,7 +268,7 @@
 def test_a_disk_that_is_full_at_the_start_costs_paid_sessions_alone(tmp_path: Path) -> None:
     """Where a store was begun; where none could be, the start ends and names the folder."""
     front = f'front "f0" hall="hall-a" listen="127.0.0.1:0" {{\n store "{tmp_path / "kept"}"\n}}\n'
-    said = "store cannot be written, no paid sessions"
+    said = "cannot write the store; refusing paid sessions"
     for full in (False, True):
         process = Process(tmp_path, front, file_bytes=4096 if full else 0)
         process.serving()
