--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -140,9 +140,8 @@
             aside=True,
         )
         self.front = front
-        self.pending: dict[
-            bytes, tuple[Record, int]
-        ] = {}  # claims not yet on disk, with the number of pending writes
+        # by claim: the record that is not on disk yet, and the number of pending writes
+        self.pending: dict[bytes, tuple[Record, int]] = {}
         self.counts = Counter[str]()
         self.open_ledger()
         if self.store.damaged:
@@ -158,9 +157,8 @@
         self.on_failing_changed: Callable[[bool], object] = lambda failing: None
         self.prune_timer: Timer | None = None
         self.memory_timer: Timer | None = None
-        self.recovery_state: Callable[[], bytes | None] = lambda: (
-            None
-        )  # the state of recovery: checkpoints of other fronts
+        # serializes the state of recovery (checkpoints of other fronts)
+        self.recovery_state: Callable[[], bytes | None] = lambda: None
 
     def open_ledger(self) -> None:
         """Starts a ledger and a writer on the store's current file."""
@@ -367,7 +365,8 @@
         self.put_blob(ZONES, data, written)
 
     def load_zones(self) -> bytes | None:
-        """As `load_own`; None as well if the store was not believed: what it had lent is not known."""
+        """As `load_blob`; also None if the store was rejected, as it is not known what this front had
+        lent."""
         return None if self.counts["disowned"] else self.load_blob(ZONES, "halls")
 
     def load_recovery(self) -> bytes | None:
