--- a/lemonhall/front/decider/pool_picker.py
+++ b/lemonhall/front/decider/pool_picker.py
@@ -1,6 +1,6 @@
 """Load balancing within a pool: selects the server that a session prefers. Pure.
 
-The selection is a preference only. The decision module has the final say and passes over a server that is
+The selection is a preference only. The decision module decides finally and passes over a server that is
 full or suspect, as it does for every other session.
 """
 
@@ -37,8 +37,8 @@
     def pick(self, key: str, usable: Callable[[str], bool], load: Load) -> PoolServer | None:
         """Returns the server for `key`, or None if the server list has no server of the pool.
 
-        `usable(address)` tells whether the server list contains the address. Backup servers are selected only
-        when no other server is listed.
+        `usable(address)` returns whether the server list contains the address. Backup servers are selected
+        only when no other server is listed.
         """
         listed = [index for index, server in enumerate(self.pool.servers) if usable(server.address)]
         candidates = [index for index in listed if not self.pool.servers[index].backup] or listed
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -185,7 +185,9 @@
         store_id = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            reason = f"others heard of it up to commit {later.count}, it has {self.checkpoint.count}"
+            reason = (
+                f"other fronts know it up to commit {later.count}, the file ends at {self.checkpoint.count}"
+            )
             records = (("list", LIST), ("learned", LEARNED), ("learned", RECOVERY))
             kept = [
                 (table, key, value, ANYTHING)
