--- a/lemonhall/config/settings.py
+++ b/lemonhall/config/settings.py
@@ -12,7 +12,7 @@
 from lemonhall.config.load import Loader, Tree, set_field
 from lemonhall.config.routing import Condition, Match, Pool, PoolServer, Route, Step
 from lemonhall.config.schema import SETTINGS, TERMS, Spec
-from lemonhall.limits.plan import PERIOD_MOST_MS, Hold, Limit, Plan, Unit
+from lemonhall.limits.settings import MAX_PERIOD_MS, Limit, LimitKind, LimitSettings, LimitUnit
 from lemonhall.problem import BadInput
 
 __all__ = ["BadInput"]
@@ -213,23 +213,23 @@
             zone=self.hall,
             racks=t.racks,
             uplink_kb=t.uplink_kb,
-            weights_tell_size=True,
+            weights_are_sizes=True,
             tenants=t.tenants,
             over_share_worth=t.over_share_worth,
             full_from=t.full_from,
-            told_late_ms=t.told_late_ms,
+            report_delay_ms=t.told_late_ms,
             reports_every_ms=t.reports_every_ms,
             report_fields=t.report_fields,
             stall_cost=t.stall_cost,
             switch_cost_s=t.switch_cost_s,
-            cross_cost=t.cross_cost,
+            cross_zone_cost=t.cross_cost,
             may_probe=t.may_probe,
-            may_tell_peers=t.may_tell_peers,
+            may_message_peers=t.may_tell_peers,
             max_pause_ms=t.max_pause_ms,
             max_attempts=t.max_attempts,
             connect_timeout_ms=t.connect_timeout_ms,
             cold_from=t.cold_from,
-            warm_within_ms=t.warm_ms,
+            warm_up_ms=t.warm_ms,
             overload_factor=t.overload_factor,
             tip_after_ms=t.tip_after_ms,
             retry_free=t.retry_free,
@@ -411,8 +411,8 @@
         return []
     terms = make_terms(typed)
     members = [m for f in top(typed, "front") if "index" in f.values and (m := f.one("members"))]
-    plan = Plan.of(terms, members[0]["period"] if members else PERIOD_MOST_MS)
-    return [f'limit "{m.name}": {plan.bound(m)}' for m in plan.limits]
+    plan = LimitSettings.of(terms, members[0]["period"] if members else MAX_PERIOD_MS)
+    return [f'limit "{m.name}": {plan.describe_bound(m)}' for m in plan.limits]
 
 
 def make_limit(node: Typed, names: dict[str, list[str]]) -> Limit:
@@ -428,8 +428,8 @@
     keeps = node["on-silence"] == "keep" and node["hold"] == "exact"
     return Limit(
         node.name,
-        Hold(node["hold"]),
-        Unit(unit),
+        LimitKind(node["hold"]),
+        LimitUnit(unit),
         amounts[unit],
         place("partner"),
         place("class"),
--- a/lemonhall/front/decider/hooks.py
+++ b/lemonhall/front/decider/hooks.py
@@ -21,8 +21,8 @@
 from lemonhall.hooks.code import Program
 from lemonhall.hooks.vocabulary import FACTS
 from lemonhall.hooks.windows import Lately
+from lemonhall.ipc import SetUpRequested
 from lemonhall.problem import BadInput
-from lemonhall.seam import Asked
 
 log = structlog.get_logger("lemonhall.front")
 LINK_USE_MAX_AGE_MS = 30_000.0  # older reports of a server's link use are ignored
@@ -61,15 +61,15 @@
 
 
 class Builder(Protocol):
-    """Compiles in a child process. `ask` raises `OSError` if the process cannot be started."""
+    """Compiles in a child process. `submit` raises `OSError` if the process cannot be started."""
 
-    def ask(self, job: tuple[Any, ...], done: Callable[[Any], None]) -> None: ...
+    def submit(self, job: tuple[Any, ...], done: Callable[[Any], None]) -> None: ...
 
 
 class Subject(Protocol):
     """The set-up request that a ruling is about."""
 
-    said: Asked
+    said: SetUpRequested
     attempts: int
 
 
@@ -130,7 +130,7 @@
             return
         try:
             sources = read_hook_sources(self.settings)
-            self.builder.ask(
+            self.builder.submit(
                 ("hooks", sources, self.engine.known), lambda result: self.on_compiled(sources, result)
             )
             self.building = True
@@ -224,7 +224,7 @@
             "paid": cls.repeat is not i.Repeat.SAFE,
             "again": asked.again,
             "moved": moved,
-            "rung": float(asked.top),
+            "rung": float(asked.top_rung),
             "floor": float(cls.floor),
             "sessions": float(self.sessions()),
             "attempt": float(subject.attempts),
@@ -237,10 +237,12 @@
             ScriptHost(self),
             self.now_ms(),
             self.wall_ms(),
-            asked.session,
+            asked.session_id,
         )
         if ruling.log:
-            log.info("session", session=asked.session, point=point, **{"class": facts["class"]}, **ruling.log)
+            log.info(
+                "session", session=asked.session_id, point=point, **{"class": facts["class"]}, **ruling.log
+            )
         if self.engine.events:
             for event in self.engine.events:
                 log.warning(event.what, **event.fields)
--- a/lemonhall/front/decider/limits.py
+++ b/lemonhall/front/decider/limits.py
@@ -9,14 +9,14 @@
 
 import structlog
 
-from lemonhall.limits import Limits, Out, Plan, Ruling
-from lemonhall.limits.escrow import TICKS
+from lemonhall.limits import AdmissionDecision, FleetLimits, LimitSettings, OutgoingMessage
+from lemonhall.limits.escrow import TICKS_PER_PERIOD
 from lemonhall.loop import Loop, Timer
-from lemonhall.members.machine import View
+from lemonhall.members.machine import MembershipView
 from lemonhall.members.members_pb2 import LIMITS, Message
 
 log = structlog.get_logger("lemonhall.front")
-RELIEVED = Ruling("changing guard", 200.0)  # the successor holds the front's parts
+RELIEVED = AdmissionDecision("changing guard", 200.0)  # the successor holds the front's parts
 
 
 def clock_ms() -> float:
@@ -38,7 +38,7 @@
     def __init__(
         self,
         loop: Loop,
-        machine: Limits,
+        machine: FleetLimits,
         messenger: Carrier | None,
         clock: Callable[[], float] = clock_ms,
         record_event: Callable[[str, int], object] = lambda words, ask: None,
@@ -64,46 +64,48 @@
         if self.timer:
             self.timer.cancel()
 
-    def update_members(self, view: View, twin: bool) -> None:
+    def update_members(self, view: MembershipView, twin: bool) -> None:
         escrow = self.machine.escrow
         escrow.members = view.members
-        if escrow.twin != twin:
-            escrow.twin = twin
-            escrow.agree()
+        if escrow.duplicate_member != twin:
+            escrow.duplicate_member = twin
+            escrow.recompute_shares()
 
-    def apply_plan(self, plan: Plan) -> None:
-        self.machine.settle(plan)
+    def apply_plan(self, plan: LimitSettings) -> None:
+        self.machine.apply_settings(plan)
 
     # asks
 
-    def reserve(self, ask: int, partner: int, cls: int, title: str, top: int, moved: str) -> Ruling:
+    def reserve(
+        self, ask: int, partner: int, cls: int, title: str, top: int, moved: str
+    ) -> AdmissionDecision:
         """`moved`: the session, if it has left a server and asks again."""
-        if moved and self.machine.unpark(self.now(), ask, moved):
-            return Ruling()
+        if moved and self.machine.resume_after_move(self.now(), ask, moved):
+            return AdmissionDecision()
         if self.stopped:
             return RELIEVED
-        ruling = self.machine.ask(self.now(), ask, partner, cls, title, top)
-        if ruling.refused:
-            self.record_event(f"limit {ruling.refused}: no room", ask)
+        ruling = self.machine.admit(self.now(), ask, partner, cls, title, top)
+        if ruling.refused_by:
+            self.record_event(f"limit {ruling.refused_by}: no room", ask)
         self.end_recalled_sessions()
         return ruling
 
     def may_set_up(self, ask: int) -> bool:
-        fine = self.machine.may(self.now(), ask)
+        fine = self.machine.may_start_set_up(self.now(), ask)
         self.end_recalled_sessions()
         return fine
 
     def release(self, ask: int) -> None:
-        self.machine.over(self.now(), ask)
+        self.machine.release(self.now(), ask)
 
     def park(self, ask: int, session: str) -> None:
-        self.machine.park(self.now(), ask, session)
+        self.machine.hold_for_move(self.now(), ask, session)
 
     def adopt_session(self, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
-        self.machine.carried(self.now(), ask, partner, cls, title, rung)
+        self.machine.restore_session(self.now(), ask, partner, cls, title, rung)
 
     def end_recalled_sessions(self) -> None:
-        ends, self.machine.ends = self.machine.ends, []
+        ends, self.machine.sessions_to_end = self.machine.sessions_to_end, []
         for ask in ends:
             self.record_event("its room was lent, and the loan is over", ask)
             self.on_session_end(ask, "loan of room over")
@@ -113,17 +115,19 @@
     def on_tick(self) -> None:
         self.send(self.machine.tick(self.now()))
         self.end_recalled_sessions()
-        self.timer = self.loop.call_later(self.machine.plan.period_ms / TICKS / 1000, self.on_tick)
+        self.timer = self.loop.call_later(
+            self.machine.settings.period_ms / TICKS_PER_PERIOD / 1000, self.on_tick
+        )
 
     def on_message(self, message: Any) -> None:
         if self.stopped:
             return
-        self.machine.hear(self.now(), message.sender, message.limits)
-        if self.machine.escrow.answer or self.machine.escrow.recalled:
+        self.machine.receive(self.now(), message.sender, message.limits)
+        if self.machine.escrow.pending_replies or self.machine.escrow.pending_recalls:
             self.send(self.machine.tick(self.now()))
         self.end_recalled_sessions()
 
-    def send(self, words: list[Out]) -> None:
+    def send(self, words: list[OutgoingMessage]) -> None:
         if self.messenger is None or self.stopped:
             return
         for out in words:
@@ -134,13 +138,13 @@
     # operators
 
     def page(self) -> tuple[int, str, bytes]:
-        return 200, "application/json", json.dumps(self.machine.show(self.now())).encode() + b"\n"
+        return 200, "application/json", json.dumps(self.machine.status(self.now())).encode() + b"\n"
 
     def forget(self, front: str) -> tuple[int, str, bytes]:
         """An operator's word that a front is gone for good; it goes to all fronts."""
         if not front.isdecimal():
             return 400, "text/plain", b"fronts are named by their numbers\n"
-        why = self.machine.escrow.forget(self.now(), int(front))
+        why = self.machine.escrow.forget_front(self.now(), int(front))
         if why:
             return 409, "text/plain", why.encode() + b"\n"
         log.warning("front forgotten", front=int(front))
--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -15,12 +15,11 @@
 
 from lemonhall import interface as i
 from lemonhall.loop import Loop, Timer
-from lemonhall.loop.core import READ
-from lemonhall.members import BadSeal, Config, Keys, Machine, Send
-from lemonhall.members.machine import State as MemberState
-from lemonhall.members.machine import View
+from lemonhall.loop.event_loop import READ
+from lemonhall.members import DatagramError, KeyRing, MembershipMachine, OutgoingDatagram, SwimConfig
+from lemonhall.members.front_count import FrontCount
+from lemonhall.members.machine import MembershipView, MemberState
 from lemonhall.members.members_pb2 import ASK_CLAIM, CLAIM, HALLS, LIMITS, RECOVERY, Message
-from lemonhall.members.share import Share
 from lemonhall.problem import BadInput, Problem
 
 log = structlog.get_logger("lemonhall.front")
@@ -69,7 +68,7 @@
         keys: dict[int, bytes],
         on_event: Callable[[i.Event], None],
         random: Random,
-        config: Config | None = None,
+        config: SwimConfig | None = None,
         sock: socket.socket | None = None,
         told: tuple[int, int] | None = None,
         via: tuple[tuple[tuple[str, int], tuple[str, int]], ...] = (),
@@ -87,14 +86,16 @@
         self.sock.setblocking(False)
         self.local_address: tuple[str, int] = self.sock.getsockname()
         boot = random.getrandbits(32)
-        self.keys = Keys(keys, boot)
+        self.keys = KeyRing(keys, boot)
         addresses = [packed(s) for s in seeds]
         own = packed(self.local_address)
-        self.machine = Machine(number, own, boot, addresses, config or Config(), Random(random.random()))
-        self.share = Share(number, fronts, self.now_ms())
+        self.machine = MembershipMachine(
+            number, own, boot, addresses, config or SwimConfig(), Random(random.random())
+        )
+        self.share = FrontCount(number, fronts, self.now_ms())
         if told:
-            self.share.told = told
-            on_event(i.Fleet(*told))
+            self.share.reported = told
+            on_event(i.FleetChanged(*told))
         self.bad = 0
         self.version = 0
         self.timer: Timer | None = None
@@ -104,8 +105,8 @@
         self.on_recovery_message: Callable[[Any], object] = lambda message: None
         self.on_share_changed: Callable[[int], object] = lambda fronts: None  # that shares go by
         self.blocked_ports: set[int] = set()  # for tests: ports that nothing is heard from
-        self.on_view_changed: Callable[[View], object] = lambda view: None
-        loop.watch(self.sock, READ, self.on_ready)
+        self.on_view_changed: Callable[[MembershipView], object] = lambda view: None
+        loop.watch_socket(self.sock, READ, self.on_ready)
         self.send(self.machine.start(self.now_ms()))
         self.arm()
 
@@ -126,7 +127,7 @@
                 sender = self.known_as[sender]
             try:
                 message = self.keys.open(data)
-            except BadSeal as error:
+            except DatagramError as error:
                 self.bad += 1
                 if self.bad & (self.bad - 1) == 0:  # once, twice, four times, ...
                     log.warning(
@@ -157,14 +158,14 @@
 
     def greet_seeds(self) -> None:
         """Asks the seeds who is there, out of turn."""
-        self.send(self.machine.greet(self.now_ms()))
+        self.send(self.machine.request_join(self.now_ms()))
 
     def send_to_front(self, number: int, message: Any) -> bool:
         """Sends to a front by its number. False if it is not known to be there."""
         member = self.machine.members.get(number)
         if member is None or member.state is MemberState.DEAD:
             return False  # one that has left may still drain, and speak for its claims
-        self.send([Send(member.address, message.SerializeToString())])
+        self.send([OutgoingDatagram(member.address, message.SerializeToString())])
         return True
 
     def on_due(self) -> None:
@@ -175,18 +176,20 @@
         """One timer, for whatever the machine has to do next; then a look at what the module should know."""
         if self.timer:
             self.timer.cancel()
-        wait = min(1000.0, max(1.0, self.machine.due() - self.now_ms()))
+        wait = min(1000.0, max(1.0, self.machine.next_tick_at() - self.now_ms()))
         self.timer = self.loop.call_later(wait / 1000, self.on_due)
         view = self.machine.view()
         if view.version != self.version:
             self.version = view.version
-            log.info("members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.conflict)
+            log.info(
+                "members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.duplicate_number
+            )
             self.on_view_changed(view)
-        if told := self.share.look(view, self.now_ms()):
-            self.on_event(i.Fleet(*told))
+        if told := self.share.update(view, self.now_ms()):
+            self.on_event(i.FleetChanged(*told))
             self.on_share_changed(told[0])
 
-    def send(self, out: list[Send]) -> None:
+    def send(self, out: list[OutgoingDatagram]) -> None:
         for each in out:
             at = str(ipaddress.IPv4Address(each.to[0])), each.to[1]
             try:
@@ -198,10 +201,10 @@
         """Says and hears nothing, while it is not clear who is this front."""
         if self.timer:
             self.timer.cancel()
-        self.loop.watch(self.sock, 0, self.on_ready)
+        self.loop.watch_socket(self.sock, 0, self.on_ready)
 
     def resume(self) -> None:
-        self.loop.watch(self.sock, READ, self.on_ready)
+        self.loop.watch_socket(self.sock, READ, self.on_ready)
         self.arm()
 
     def announce_leave(self) -> None:
@@ -217,7 +220,7 @@
         if self.timer:
             self.timer.cancel()
         if self.sock.fileno() >= 0:
-            self.loop.watch(self.sock, 0, self.on_ready)
+            self.loop.watch_socket(self.sock, 0, self.on_ready)
             self.sock.close()
 
     def page(self) -> tuple[int, str, bytes]:
@@ -226,8 +229,8 @@
             "number": self.number,
             "members": view.members,
             "cut_off": view.cut_off,
-            "twin": self.machine.conflict,
-            "told": {"fronts": self.share.told[0], "rank": self.share.told[1]},
+            "twin": self.machine.duplicate_number,
+            "told": {"fronts": self.share.reported[0], "rank": self.share.reported[1]},
             "incarnation": self.machine.incarnation,
             "health": self.machine.health,
             "states": {m.number: m.state.name.lower() for m in self.machine.members.values()},
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -16,7 +16,7 @@
 from lemonhall import interface as i
 from lemonhall.config.settings import StoreSettings
 from lemonhall.loop import Loop, Timer
-from lemonhall.recovery import Mark
+from lemonhall.recovery import StoreCheckpoint
 from lemonhall.store import (
     BadRecord,
     Hold,
@@ -67,31 +67,31 @@
     )
 
 
-def to_learned(memory: i.Memory) -> Any:
+def to_learned(memory: i.LearnedState) -> Any:
     return Learned(
-        at_ms=memory.at,
-        length_ms=memory.length_ms,
-        ends=memory.ends,
-        set_up_ms=memory.set_up_ms,
-        set_up_spread_ms=memory.set_up_spread,
+        at_ms=memory.recorded_at,
+        length_ms=memory.mean_session_ms,
+        ends=memory.sessions_ended,
+        set_up_ms=memory.mean_set_up_ms,
+        set_up_spread_ms=memory.set_up_deviation_ms,
         servers=[
             Server(
                 id=server.server,
                 started_ms=server.ready_at,
-                evidence=server.evidence,
-                barred_until_ms=server.barred_until,
+                evidence=server.failure_score,
+                barred_until_ms=server.ejected_until,
                 failed_at_ms=server.failed_at,
-                others_kb=server.others_kb,
-                heard_at_ms=server.heard_at,
+                others_kb=server.other_fronts_kb,
+                heard_at_ms=server.updated_at,
             )
             for server in memory.servers
         ],
     )
 
 
-def to_memory(learned: Any) -> i.Memory:
+def to_memory(learned: Any) -> i.LearnedState:
     servers = tuple(
-        i.Learned(
+        i.LearnedServerState(
             server.id,
             server.started_ms,
             server.evidence,
@@ -102,13 +102,8 @@
         )
         for server in learned.servers
     )
-    return i.Memory(
-        learned.at_ms,
-        learned.length_ms,
-        learned.ends,
-        learned.set_up_ms,
-        learned.set_up_spread_ms,
-        servers,
+    return i.LearnedState(
+        learned.at_ms, learned.length_ms, learned.ends, learned.set_up_ms, learned.set_up_spread_ms, servers
     )
 
 
@@ -125,7 +120,7 @@
         settings: StoreSettings,
         front: int,
         random: Random,
-        memory: Callable[[], i.Memory | None],
+        memory: Callable[[], i.LearnedState | None],
         wall: Callable[[], float] = time.time,
         lock: int | None = None,
     ) -> None:
@@ -171,11 +166,11 @@
         self.writer = Writer(self.loop, self.store)
 
     @property
-    def checkpoint(self) -> Mark:
+    def checkpoint(self) -> StoreCheckpoint:
         """Identifies the last commit of the store. Later checkpoints of the same front compare greater."""
-        return Mark(int(self.store.about.made_ms), self.store.commits)
+        return StoreCheckpoint(int(self.store.about.made_ms), self.store.commits)
 
-    def reject_store(self, later: Mark | None) -> None:
+    def reject_store(self, later: StoreCheckpoint | None) -> None:
         """Discards the ledger of a store that is outdated (others know the checkpoint `later`) or not
         confirmed.
 
@@ -185,16 +180,14 @@
         store_id = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            reason = (
-                f"other fronts know it up to commit {later.count}, the file ends at {self.checkpoint.count}"
-            )
+            reason = f"other fronts know it up to commit {later.commit_count}, the file ends at {self.checkpoint.commit_count}"
             records = (("list", LIST), ("learned", LEARNED), ("learned", RECOVERY))
             kept = [
                 (table, key, value, ANYTHING)
                 for table, key in records
                 if (value := self.store.raw(table, key)) is not None
             ]
-            aside = self.store.renew("older", store_id, max(int(self.wall() * 1000), later.made_ms + 1))
+            aside = self.store.renew("older", store_id, max(int(self.wall() * 1000), later.created_ms + 1))
             self.open_ledger()
             self.store.commit(kept)
             consequence = f"kept as {aside.name}; "
@@ -331,7 +324,7 @@
             self.put_blob(RECOVERY, state, self.on_written)
         self.memory_timer = self.loop.call_later(SAVE_LEARNED_PERIOD_S, self.save_memory)
 
-    def load_memory(self) -> i.Memory | None:
+    def load_memory(self) -> i.LearnedState | None:
         value = self.store.raw("learned", LEARNED)
         if value is None:
             return None
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -31,20 +31,20 @@
 from lemonhall.front.persistence.capture_writer import CaptureWriter, capture_header
 from lemonhall.front.persistence.session_recorder import SessionRecorder
 from lemonhall.front.persistence.store_service import StoreService
-from lemonhall.front.process.beside import Beside
-from lemonhall.front.process.builder import Builder
-from lemonhall.front.process.local import Queue
-from lemonhall.front.process.shown import Shown
+from lemonhall.front.process.local_queue import LocalQueue
+from lemonhall.front.process.reader_client import ReaderClient
+from lemonhall.front.process.status_pages import StatusPages
+from lemonhall.front.process.subsystems import Subsystems
 from lemonhall.front.servers.descriptions import DescribeCall
 from lemonhall.front.viewers.worker import STOP_S, Worker
 from lemonhall.interface import Outcome
+from lemonhall.ipc import VERSION, Message, RedirectViewers, RetireWorker, StoreStatus, Welcome
 from lemonhall.loop import Loop, listen
-from lemonhall.loop.core import READ
-from lemonhall.loop.stream import accept_on
-from lemonhall.members import Config
-from lemonhall.members.machine import View
+from lemonhall.loop.event_loop import READ
+from lemonhall.loop.stream import start_accepting
+from lemonhall.members import SwimConfig
+from lemonhall.members.machine import MembershipView
 from lemonhall.problem import BadInput
-from lemonhall.seam import VERSION, Message, Redirect, Retire, Stored, Welcome
 
 log = structlog.get_logger("lemonhall.front")
 LOOK_BACK_S = 0.5
@@ -79,7 +79,7 @@
 
 
 @dataclass
-class Taken:
+class InheritedSockets:
     """Sockets that were open before this process: of the front that it relieves, or of its parent."""
 
     viewers: socket.socket | None = None
@@ -111,12 +111,12 @@
             settings.list_url,
             settings.list_cache,
             settings.name,
-            self.tell_list,
+            self.on_list_event,
             self.start_wall_ms,
         )
-        self.builder = Builder(self.loop)
+        self.reader_client = ReaderClient(self.loop)
         self.hooks = HookRunner(
-            self.builder,
+            self.reader_client,
             settings,
             self.list_client.server_list.servers,
             lambda: self.gauges()[1],
@@ -144,44 +144,48 @@
             wall,
             self.counts,
         )
-        self.up, self.down = Queue(self.loop, 1), Queue(self.loop, 1)
-        self.up.heard = lambda message: self.set_up_requests.on_worker_message(self.down, message)
-        self.down.heard = self.worker.heard
+        self.decider_queue, self.worker_queue = LocalQueue(self.loop, 1), LocalQueue(self.loop, 1)
+        self.decider_queue.heard = lambda message: self.set_up_requests.on_worker_message(
+            self.worker_queue, message
+        )
+        self.worker_queue.heard = self.worker.heard
         pools, listed = self.set_up_requests.pool_preferences, self.list_client.server_list
         pools.list_version, pools.server_ids = lambda: listed.version, listed.ids_by_address
-        self.path, self.tree = "", b""
-        self.on_tree: Callable[[bytes], object] = lambda tree: None  # told of settings that hold from now on
+        self.path, self.settings_tree = "", b""
+        self.on_settings_changed: Callable[[bytes], object] = lambda tree: (
+            None
+        )  # told of settings that hold from now on
         self.stopping = self.draining = False
         self.peers: PeerSocket | None = None
         self.membership: Membership | None = None
         self.store_service: StoreService | None = None
-        self.guard: Closing | None = None
-        self.taken: Taken | None = None  # from the front that this one relieves
-        self.point: Callable[[str], object] = lambda name: None
+        self.handover: Closing | None = None
+        self.inherited: InheritedSockets | None = None  # from the front that this one relieves
+        self.failpoint: Callable[[str], object] = lambda name: None
         self.listeners: list[socket.socket] = []
         self.host = ""
         self.capture: CaptureWriter | None = None
-        self.shown = Shown(self)
-        self.beside = Beside(self)
-        self.set_up_requests.on_set_up_time = self.shown.set_up_took
+        self.status_pages = StatusPages(self)
+        self.subsystems = Subsystems(self)
+        self.set_up_requests.on_set_up_time = self.status_pages.set_up_took
         self.bridge.action_handlers.update(
             {
                 i.SetTimer: self.set_timer,
                 i.Probe: self.probe,
-                i.TellPeers: self.tell_peers,
+                i.SendToPeers: self.tell_peers,
                 i.Subscribe: self.list_client.subscribe,
                 i.Reload: self.list_client.reload,
-                i.Remark: lambda a: log.info("remark", text=a.text),
+                i.LogMessage: lambda a: log.info("remark", text=a.text),
             }
         )
-        self.loop.after_pass.append(self.bridge.flush)
+        self.loop.end_of_pass_callbacks.append(self.bridge.flush)
         self.loop.on_error = self.on_error
 
     # settings, anew
 
-    def remember(self, path: str, tree: bytes) -> None:
+    def remember_settings(self, path: str, tree: bytes) -> None:
         """Where the settings came from, and their checked nodes, pickled: what a reload is held against."""
-        self.path, self.tree = path, tree
+        self.path, self.settings_tree = path, tree
 
     def reload(self) -> None:
         """Reads settings and scripts anew, beside what plays. All of it holds from one moment, or nothing."""
@@ -189,21 +193,21 @@
             self.hooks.reload()
             return
         try:
-            self.builder.ask(("settings", self.path, self.tree), self.reloaded)
+            self.reader_client.submit(("settings", self.path, self.settings_tree), self.on_settings_read)
         except OSError as error:
             log.error("settings not read", error=str(error))
 
-    def reloaded(self, result: Any) -> None:
+    def on_settings_read(self, result: Any) -> None:
         if result is None or result[0] is None:
             problems = [str(p) for p in result[3]] if result else ["the settings could not be read"]
-            self.keep_settings(problems)
+            self.reject_settings(problems)
             return
         new, tree, changes, _ = result
         if fixed := fixed_changes(self.settings, new):
-            self.keep_settings([f"{name} cannot change while the front runs" for name in fixed])
+            self.reject_settings([f"{name} cannot change while the front runs" for name in fixed])
             return
-        self.tree = tree
-        self.on_tree(tree)
+        self.settings_tree = tree
+        self.on_settings_changed(tree)
         self.settings = self.set_up_requests.settings = new
         self.set_up_requests.pool_preferences.reset(new)
         self.worker.settle(new, 1)
@@ -217,12 +221,12 @@
             for change in changes:
                 self.capture.add_note(self.now_ms(), "settings", change.what)
         if self.set_up_requests.limits:
-            self.set_up_requests.limits.apply_plan(self.beside.limits_plan())
+            self.set_up_requests.limits.apply_plan(self.subsystems.limits_plan())
         elif new.terms.fleet_limits:
-            self.beside.open_limits()
+            self.subsystems.open_limits()
         self.hooks.apply_settings(new)
 
-    def keep_settings(self, problems: list[str]) -> None:
+    def reject_settings(self, problems: list[str]) -> None:
         self.counts["settings_refused"] += 1
         log.error("settings refused, the old ones stay", problems=problems[:20])
         self.hooks.on_load(False)
@@ -240,7 +244,7 @@
 
     def open(self) -> tuple[str, int]:
         """Listens and starts. Returns where viewers are served. Raises `OSError` if an address is taken."""
-        s, taken = self.settings, self.taken or Taken()
+        s, taken = self.settings, self.inherited or InheritedSockets()
         if s.capture.on:
             self.capture = self.bridge.capture = CaptureWriter(s.capture, capture_header(s), self.wall)
         if s.store and self.store_service is None:
@@ -255,25 +259,25 @@
                 read_keys(s.members.keys),
                 self.bridge.enqueue,
                 SystemRandom(),
-                Config(period_ms=s.members.period_ms, answer_ms=0.3 * s.members.period_ms),
+                SwimConfig(period_ms=s.members.period_ms, ack_timeout_ms=0.3 * s.members.period_ms),
                 taken.members,
                 tuple(taken.message["fleet"]) if taken.message and taken.message["fleet"] else None,
                 s.members.via,
             )
         anew = taken.message is None
-        self.beside.open_return(anew)
+        self.subsystems.open_return(anew)
         self.hooks.start()
         if taken.viewers is None:
-            viewers = listen(self.loop, s.listen, self.worker.accept, share=s.share_port)
+            viewers = listen(self.loop, s.listen, self.worker.accept, reuse_port=s.share_port)
         else:
             viewers = taken.viewers
             if self.workers is None:
-                accept_on(self.loop, viewers, self.worker.accept)
+                start_accepting(self.loop, viewers, self.worker.accept)
         self.listeners.append(viewers)
         at = viewers.getsockname()
         self.host = self.worker.host = at if isinstance(at, str) else f"{at[0]}:{at[1]}"
         if s.status:
-            self.open_status(self.shown.serve(), taken.status)
+            self.open_status(self.status_pages.serve(), taken.status)
         if s.peers_listen:
             self.peers = PeerSocket(
                 self.loop, s.peers_listen, s.index, s.peers, self.bridge.enqueue, taken.peers
@@ -282,35 +286,35 @@
         if self.membership:
             self.membership.on_claim_message = self.set_up_requests.claim_resolver.on_message
         if s.terms.spills:
-            self.beside.open_halls()
+            self.subsystems.open_halls()
         if s.terms.fleet_limits:
-            self.beside.open_limits()
+            self.subsystems.open_limits()
         if s.record:
             self.set_up_requests.recorder = SessionRecorder(Path(s.record), s, self.loop.now() * 1000)
         if self.store_service:
             self.recall(self.store_service, anew)
-        self.open_guard()
+        self.open_handover()
         if self.workers:
             self.workers.opened()
         else:
-            self.worker.linked(self.up, self.welcome())
+            self.worker.linked(self.decider_queue, self.welcome())
         self.bridge.call_module()
         if s.limits.memory:
             self.worker.watch_memory()
-        self.look_back()
+        self.check_overdue_requests()
         pages_at = self.listeners[1].getsockname() if len(self.listeners) > 1 else ""
         shown = pages_at if isinstance(pages_at, str) else f"{pages_at[0]}:{pages_at[1]}"
         log.info("serving", at=self.host, front=s.name, index=s.index, fronts=s.fronts, status=shown)
         return (at, 0) if isinstance(at, str) else (at[0], at[1])
 
-    def tell_list(self, event: i.Event) -> None:
+    def on_list_event(self, event: i.Event) -> None:
         """What the list client tells the module goes to the machine of halls as well."""
         self.bridge.enqueue(event)
         if self.set_up_requests.zones and isinstance(event, i.ServerList) and event.kind != i.ListKind.FAILED:
             fresh = event.kind != i.ListKind.CACHED
             self.set_up_requests.zones.on_server_list(self.list_client.server_list.servers(), fresh)
 
-    def open_guard(self) -> None:
+    def open_handover(self) -> None:
         """Where a front can be relieved, its class says how."""
 
     def welcome(self, version: int = VERSION, mine: bool = True) -> Welcome:
@@ -323,15 +327,15 @@
         if self.workers:
             self.workers.send_all(message)
         else:
-            self.down.send(message)
+            self.worker_queue.send(message)
 
-    def look_back(self) -> None:
+    def check_overdue_requests(self) -> None:
         self.set_up_requests.expire_overdue_requests()
-        self.loop.call_later(LOOK_BACK_S, self.look_back)
+        self.loop.call_later(LOOK_BACK_S, self.check_overdue_requests)
 
-    def store_turned(self, failing: bool) -> None:
+    def on_store_status(self, failing: bool) -> None:
         assert self.store_service
-        self.send_all(Stored(self.store_service.ledger.pruned_s, failing))
+        self.send_all(StoreStatus(self.store_service.ledger.pruned_s, failing))
 
     def gauges(self) -> tuple[int, int]:
         """Viewers and sessions, of all workers."""
@@ -341,17 +345,17 @@
         self, accept: Callable[[socket.socket, Any], object], taken: socket.socket | None
     ) -> None:
         if taken:
-            accept_on(self.loop, taken, accept)
+            start_accepting(self.loop, taken, accept)
             self.listeners.append(taken)
         else:
             assert self.settings.status
             self.listeners.append(listen(self.loop, self.settings.status, accept))
         self.serve_status = accept
 
-    def seen(self, view: View) -> None:
+    def on_membership_view(self, view: MembershipView) -> None:
         """Another view of who is there."""
         if self.set_up_requests.limits and self.membership:
-            self.set_up_requests.limits.update_members(view, self.membership.machine.conflict)
+            self.set_up_requests.limits.update_members(view, self.membership.machine.duplicate_number)
         if self.set_up_requests.zones:
             self.set_up_requests.zones.update_members(view)
         if self.set_up_requests.recovery:
@@ -366,17 +370,17 @@
     def pause_front(self) -> None:
         """While it is not clear which process is this front: nobody is taken, no other front is spoken to."""
         for sock in self.listeners:
-            self.loop.watch(sock, 0, self.worker.accept)
+            self.loop.watch_socket(sock, 0, self.worker.accept)
         if self.membership:
             self.membership.pause()
-        self.beside.stop()
+        self.subsystems.stop()
         if self.peers:
-            self.loop.watch(self.peers.sock, 0, self.peers.on_ready)
+            self.loop.watch_socket(self.peers.sock, 0, self.peers.on_ready)
 
     def resume_front(self) -> None:
-        accept_on(self.loop, self.listeners[0], self.worker.accept)
+        start_accepting(self.loop, self.listeners[0], self.worker.accept)
         if len(self.listeners) > 1:
-            accept_on(self.loop, self.listeners[1], self.serve_status)
+            start_accepting(self.loop, self.listeners[1], self.serve_status)
         if self.membership:
             self.membership.resume()
         if self.set_up_requests.zones:
@@ -386,17 +390,17 @@
         if self.set_up_requests.recovery:
             self.set_up_requests.recovery.start()
         if self.peers:
-            self.loop.watch(self.peers.sock, READ, self.peers.on_ready)
+            self.loop.watch_socket(self.peers.sock, READ, self.peers.on_ready)
 
     def leave_front(self) -> None:
         """All has been handed over: this process goes, without a word to viewers, servers or other fronts."""
         self.stopping = True
-        self.beside.stop()
+        self.subsystems.stop()
         self.list_client.wanted = False
         if self.list_client.stream:
             self.list_client.stream.abort()
         self.list_client.stop()
-        self.builder.stop()
+        self.reader_client.stop()
         if self.set_up_requests.recorder:
             self.set_up_requests.recorder.stop()
         if self.membership:
@@ -409,8 +413,8 @@
             self.capture.close()
         if self.store_service:
             self.store_service.close(handed_over=True)
-        if self.guard:
-            self.guard.close()
+        if self.handover:
+            self.handover.close()
         self.loop.stop()
 
     def open_store(self, settings: StoreSettings, lock: int | None = None) -> None:
@@ -419,11 +423,11 @@
             self.loop, settings, self.settings.index, random, self.memory, self.wall, lock
         )
         self.list_client.store_service = self.set_up_requests.store_service = self.store_service
-        self.store_service.on_failing_changed = self.store_turned
+        self.store_service.on_failing_changed = self.on_store_status
 
-    def memory(self) -> i.Memory | None:
+    def memory(self) -> i.LearnedState | None:
         """What the module has learned; another file's module may not say."""
-        give: Callable[[], i.Memory] | None = getattr(self.bridge.decider, "memory", None)
+        give: Callable[[], i.LearnedState] | None = getattr(self.bridge.decider, "memory", None)
         return give() if give and self.bridge.calls else None
 
     def recall(self, store_service: StoreService, anew: bool) -> None:
@@ -436,7 +440,7 @@
             self.bridge.enqueue(memory)
         lost = store_service.forget_lost_sessions()
         if memory or lost:
-            age_s = round((self.now_ms() - memory.at) / 1000, 1) if memory else None
+            age_s = round((self.now_ms() - memory.recorded_at) / 1000, 1) if memory else None
             log.info("kept state read", sessions_lost=lost, learned_s_ago=age_s)
         store_service.start()
 
@@ -449,11 +453,11 @@
         if self.membership:
             self.membership.announce_leave()
         if self.settings.drain_to:
-            self.send_all(Redirect(self.settings.drain_to))
+            self.send_all(RedirectViewers(self.settings.drain_to))
         if self.workers:
-            self.workers.send_all(Retire(False))
+            self.workers.send_all(RetireWorker(False))
         for sock in self.listeners[:1]:
-            self.loop.watch(sock, 0, self.worker.accept)
+            self.loop.watch_socket(sock, 0, self.worker.accept)
             sock.close()
         self.loop.call_later(self.settings.limits.drain_ms / 1000, self.stop)
         self.drained()
@@ -464,14 +468,14 @@
         elif not self.stopping:
             self.loop.call_later(0.1, self.drained)
 
-    def crashed(self, error: BaseException) -> dict[str, Any]:
+    def report_crash(self, error: BaseException) -> dict[str, Any]:
         """What is known of a crash of the loop, for its report; kept where the settings say."""
         report = {
             "at_ms": self.wall() * 1000,
             "front": self.settings.name,
             "error": repr(error),
             "trace": traceback.format_exception(error),
-            "passes": self.loop.passes,
+            "passes": self.loop.pass_count,
             "longest_pass_s": self.loop.longest_pass_s,
             "viewers": self.gauges()[0],
             "sessions": self.gauges()[1],
@@ -486,12 +490,12 @@
             Path(self.settings.crash_report).write_text(json.dumps(report, indent=1) + "\n")
         return report
 
-    def leave(self) -> None:
+    def step_down(self) -> None:
         """Another decider is about to take over, with the same workers: goes without a word to anybody."""
         self.stopping = True
-        self.beside.stop()
+        self.subsystems.stop()
         self.list_client.wanted = False
-        self.builder.stop()
+        self.reader_client.stop()
         if self.set_up_requests.recorder:
             self.set_up_requests.recorder.stop()
         if self.membership:
@@ -510,12 +514,12 @@
         log.info("stopping", asked=len(self.set_up_requests.open_requests), viewers=self.gauges()[0])
         for sock in self.listeners:
             if sock.fileno() >= 0:
-                self.loop.watch(sock, 0, self.worker.accept)
+                self.loop.watch_socket(sock, 0, self.worker.accept)
                 sock.close()
-        self.builder.stop()
+        self.reader_client.stop()
         self.loop.call_later(STOP_S, self.end)
         if self.workers:
-            self.workers.send_all(Retire(True))
+            self.workers.send_all(RetireWorker(True))
         else:
             self.worker.stop()
         self.finish()
@@ -528,8 +532,8 @@
         self.list_client.stop()
         if self.set_up_requests.recorder:
             self.set_up_requests.recorder.stop()
-        if self.guard:
-            self.guard.close()
+        if self.handover:
+            self.handover.close()
         if self.membership:
             self.membership.leave()
             self.membership = None
@@ -540,7 +544,7 @@
 
     def end(self) -> None:
         """The last: what the store and the capture still have to write is written."""
-        self.beside.stop()
+        self.subsystems.stop()
         if self.workers:
             self.workers.close()
         if self.capture:
@@ -554,7 +558,7 @@
     def set_timer(self, action: i.SetTimer) -> None:
         self.loop.call_later(action.after_ms / 1000, self.bridge.enqueue, i.TimerDue(action.token))
 
-    def tell_peers(self, action: i.TellPeers) -> None:
+    def tell_peers(self, action: i.SendToPeers) -> None:
         if self.peers:
             self.peers.send(action)
 
--- a/lemonhall/front/process/shown.py
+++ b/lemonhall/front/process/status_pages.py
@@ -18,11 +18,11 @@
 from lemonhall.front.decider.set_up_requests import SetUpRequests
 from lemonhall.front.persistence.capture_writer import CaptureWriter
 from lemonhall.front.persistence.store_service import StoreService
-from lemonhall.front.process import status
+from lemonhall.front.process import status_server
 from lemonhall.front.viewers.worker import Worker
-from lemonhall.halls import Order
 from lemonhall.loop import Loop
 from lemonhall.recovery import Phase
+from lemonhall.zones import OperatorOverride
 
 SET_UP_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5)  # the steps of the histogram
 
@@ -45,7 +45,7 @@
     def gauges(self) -> tuple[int, int]: ...
 
 
-class Shown:
+class StatusPages:
     def __init__(self, front: Front) -> None:
         self.front = front
         self.registry = prom.CollectorRegistry()
@@ -62,7 +62,7 @@
 
     def serve(self) -> Callable[[socket.socket, Any], object]:
         """What takes connections to the status address."""
-        pages: dict[str, status.Page] = {
+        pages: dict[str, status_server.Page] = {
             "/health": self.health_page,
             "/ready": self.ready_page,
             "/metrics": self.metrics_page,
@@ -72,12 +72,12 @@
             "/halls": self.halls_page,
             "/limits": self.limits_page,
         }
-        acts: dict[str, status.Act] = {
-            "/halls/hold": lambda hall: self.order_hall(hall, Order.HOLD),
-            "/halls/release": lambda hall: self.order_hall(hall, Order.NONE),
+        acts: dict[str, status_server.Act] = {
+            "/halls/hold": lambda hall: self.order_hall(hall, OperatorOverride.HOLD),
+            "/halls/release": lambda hall: self.order_hall(hall, OperatorOverride.NONE),
             "/limits/forget": self.forget_front,
         }
-        return status.serve(self.front.loop, pages, acts)
+        return status_server.serve(self.front.loop, pages, acts)
 
     # pages
 
@@ -117,7 +117,7 @@
             return 404, "text/plain", b"no spill in the settings\n"
         return self.front.set_up_requests.zones.page()
 
-    def order_hall(self, hall: str, what: Order) -> tuple[int, str, bytes]:
+    def order_hall(self, hall: str, what: OperatorOverride) -> tuple[int, str, bytes]:
         if self.front.set_up_requests.zones is None:
             return 404, "text/plain", b"no spill in the settings\n"
         return self.front.set_up_requests.zones.order(unquote(hall.removeprefix("hall=")), what)
@@ -151,7 +151,7 @@
         held = GaugeMetricFamily("lemonhall_limit", "Of the fleet's limits here", labels=["limit", "what"])
         refused = CounterMetricFamily("lemonhall_limit_refused", "Told that it is full", labels=["limit"])
         if desk := self.front.set_up_requests.limits:
-            for told in desk.machine.show(desk.now())["limits"]:
+            for told in desk.machine.status(desk.now())["limits"]:
                 refused.add_metric([told["limit"]], told["refused"])
                 for what in ("goes_by", "used", "held", "borrowed", "lent", "needed", "others", "off_most"):
                     if what in told:
--- a/lemonhall/front/process/beside.py
+++ b/lemonhall/front/process/subsystems.py
@@ -22,13 +22,12 @@
 from lemonhall.front.decider.zones import ZonesDriver
 from lemonhall.front.persistence.capture_writer import CaptureWriter
 from lemonhall.front.persistence.store_service import StoreService
-from lemonhall.halls import Halls, Plan
-from lemonhall.limits import Limits
-from lemonhall.limits import Plan as LimitsPlan
-from lemonhall.limits.plan import PERIOD_MOST_MS
+from lemonhall.limits import FleetLimits, LimitSettings
+from lemonhall.limits.settings import MAX_PERIOD_MS
 from lemonhall.loop import Loop
-from lemonhall.members.machine import View
-from lemonhall.recovery import Recovery, Waits
+from lemonhall.members.machine import MembershipView
+from lemonhall.recovery import PhaseTimeouts, Recovery
+from lemonhall.zones import ZoneFailover, ZoneSettings
 
 log = structlog.get_logger("lemonhall.front")
 HEAR_S = 0.03  # a front that starts waits so long before its call for the list
@@ -48,14 +47,14 @@
     membership: Membership | None
     store_service: StoreService | None
     capture: CaptureWriter | None
-    taken: Any
+    inherited: Any
 
     def now_ms(self) -> float: ...
-    def memory(self) -> i.Memory | None: ...
-    def seen(self, view: View) -> None: ...
+    def memory(self) -> i.LearnedState | None: ...
+    def on_membership_view(self, view: MembershipView) -> None: ...
 
 
-class Beside:
+class Subsystems:
     def __init__(self, front: Front) -> None:
         self.front = front
 
@@ -68,7 +67,7 @@
             s.index,
             s.fronts,
             Random(SystemRandom().getrandbits(64)),
-            Waits(period=s.members.period_ms) if s.members else Waits(),
+            PhaseTimeouts(period_ms=s.members.period_ms) if s.members else PhaseTimeouts(),
             terms.max_pause_ms or PAUSE_MS,
             (lambda: self.front.store_service.checkpoint if self.front.store_service else None),
             sum(t.quota_per_s for t in terms.tenants),
@@ -84,12 +83,12 @@
             self.return_said,
         )
         if self.front.membership:
-            self.front.membership.on_view_changed = self.front.seen
+            self.front.membership.on_view_changed = self.front.on_membership_view
         self.front.list_client.on_list_alive = lambda as_of: desk.record_list_alive(
             as_of, len(self.front.list_client.server_list.boxes)
         )
         self.front.list_client.extra_delay_s = lambda: machine.list_wait_ms() / 1000
-        machine.giving.know = self.known
+        machine.page_server.build = self.known
         desk.on_page_received = self.handed
         if anew:
             self.front.list_client.load_cache()
@@ -134,16 +133,16 @@
         """The machine of halls, with what was kept of its parts; without a store it has to ask for them."""
         kept = self.front.store_service.load_zones() if self.front.store_service else None
         s, now = self.front.settings, self.front.now_ms()
-        machine = Halls(
-            Plan.of(s.terms),
+        machine = ZoneFailover(
+            ZoneSettings.of(s.terms),
             s.index,
             s.fronts,
             s.hall,
             int(self.front.wall() * 1000),
             Random(s.seed),
             now,
-            remembers=kept is not None,
-            kept=kept or b"",
+            state_complete=kept is not None,
+            saved_state=kept or b"",
         )
         halls = self.front.set_up_requests.zones = ZonesDriver(
             self.front.loop,
@@ -165,9 +164,9 @@
         if self.front.capture:
             self.front.capture.add_note(self.front.now_ms(), "halls", words)
 
-    def limits_plan(self) -> LimitsPlan:
+    def limits_plan(self) -> LimitSettings:
         s = self.front.settings
-        return LimitsPlan.of(s.terms, s.members.period_ms if s.members else PERIOD_MOST_MS)
+        return LimitSettings.of(s.terms, s.members.period_ms if s.members else MAX_PERIOD_MS)
 
     def open_limits(self) -> None:
         """The machine of the fleet's limits: as the process that is relieved had it, or as one that remembers
@@ -175,13 +174,13 @@
         s, now = self.front.settings, clock_ms()
         random = Random(SystemRandom().getrandbits(64))
         life, fresh = int(self.front.wall() * 1000), s.workers == 0
-        machine = Limits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
+        machine = FleetLimits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
         if (
-            self.front.taken
-            and self.front.taken.message
-            and (state := self.front.taken.message.get("limits"))
+            self.front.inherited
+            and self.front.inherited.message
+            and (state := self.front.inherited.message.get("limits"))
         ):
-            machine.take_over(now, b64decode(state))
+            machine.restore_state(now, b64decode(state))
         desk = self.front.set_up_requests.limits = LimitsDriver(
             self.front.loop, machine, self.front.membership, record_event=self.limit_said
         )
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -23,12 +23,11 @@
 from lemonhall.front.viewers.routes import Asked
 from lemonhall.front.viewers.slot import Slot
 from lemonhall.interface import Outcome
+from lemonhall.ipc import RequestState, SetUpRequested
 from lemonhall.loop import Loop, Timer
 from lemonhall.rtsp import Frames, rtp
 from lemonhall.rtsp.messages import answer, make_response
 from lemonhall.rtsp.parser import frame, split_frames
-from lemonhall.seam import Asked as Said
-from lemonhall.seam import Carry
 from lemonhall.store import Token
 
 
@@ -70,9 +69,9 @@
 class Ask:
     """One session of the module's, and what its attempts tell. `said`: as the decider is told of it."""
 
-    def __init__(self, session: Session, said: Said, most: int) -> None:
-        self.session, self.said, self.number, self.deadline = session, said, said.ask, said.deadline
-        self.carry = Carry(most)
+    def __init__(self, session: Session, said: SetUpRequested, most: int) -> None:
+        self.session, self.said, self.number, self.deadline = session, said, said.request_id, said.deadline
+        self.carry = RequestState(most)
         self.rung = 0
         self.attempt: Attempt | None = None
         self.answered = False
@@ -216,7 +215,7 @@
             ]
             self.answer(answer(200, self.cseq, *headers))
         if self.held_back:
-            attempt.stream.pause()
+            attempt.stream.pause_reading()
 
     def attempt_media(self, attempt: Attempt, run: Frames) -> None:
         if self.state is not State.PLAYING or self.ask is None or self.ask.attempt is not attempt:
@@ -245,7 +244,7 @@
         ask = self.ask
         if self.state is not State.PLAYING or ask is None or ask.attempt is None:
             return
-        if all(t.rtp.offsets is None for t in self.tracks.values()) and ask.attempt.stream.backlog == 0:
+        if all(t.rtp.offsets is None for t in self.tracks.values()) and ask.attempt.stream.backlog_bytes == 0:
             ask.attempt.stream.write(frame(channel, payload))
 
     # back-pressure
@@ -254,9 +253,9 @@
         self.held_back = True
         attempt = self.ask.attempt if self.ask else None
         if attempt and attempt.state is AttemptState.PLAYING:  # before that its answers are waited for
-            attempt.stream.pause()
+            attempt.stream.pause_reading()
 
     def let_flow(self) -> None:
         self.held_back = False
         if self.ask and self.ask.attempt:
-            self.ask.attempt.stream.resume()
+            self.ask.attempt.stream.resume_reading()
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -21,21 +21,21 @@
 from lemonhall.front.persistence import capture_writer
 from lemonhall.front.persistence.capture_writer import CaptureWriter, capture_header
 from lemonhall.problem import BadInput
-from tests.front.world import World
+from tests.front.harness import FrontHarness
 
-Build = Callable[..., World]
+Build = Callable[..., FrontHarness]
 
 
 def steps_of(data: bytes) -> list[Any]:
     return list(Replay(why=True).run(read_capture(data).records))
 
 
-def test_replay_of_a_capture_repeats_the_decisions(world: Build) -> None:
-    w = world()
-    client, session = w.playing("/browse/a")
-    w.playing("/claims/a")
+def test_replay_of_a_capture_repeats_the_decisions(make_front: Build) -> None:
+    w = make_front()
+    client, session = w.play_session("/browse/a")
+    w.play_session("/claims/a")
     client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: w.module.told(i.AttemptEnded))
+    w.run_until(lambda: w.module.events_of(i.AttemptEnded))
     assert w.daemon.capture
     replayed = steps_of(w.daemon.capture.save())
     steps = [s for s in replayed if isinstance(s, Step)]
@@ -49,9 +49,9 @@
     return subprocess.run(command, capture_output=True, text=True, stdin=subprocess.DEVNULL)
 
 
-def test_commands_show_replay_and_explain_a_capture(world: Build, tmp_path: Path) -> None:
-    w = world()
-    _, session = w.playing("/browse/a")
+def test_commands_show_replay_and_explain_a_capture(make_front: Build, tmp_path: Path) -> None:
+    w = make_front()
+    _, session = w.play_session("/browse/a")
     assert w.daemon.capture
     path = tmp_path / "one.lhc"
     path.write_bytes(w.daemon.capture.save())
@@ -157,10 +157,12 @@
     writer.close()
 
 
-def test_viewers_are_hashed_with_a_key_and_a_missing_key_is_reported(world: Build, tmp_path: Path) -> None:
+def test_viewers_are_hashed_with_a_key_and_a_missing_key_is_reported(
+    make_front: Build, tmp_path: Path
+) -> None:
     key = tmp_path / "key"
     key.write_bytes(b"k" * 32)
-    w = world()
+    w = make_front()
     new_session = i.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
     encoded = []
     for path in (str(key), ""):
@@ -174,14 +176,14 @@
         CaptureWriter(CaptureSettings(key=str(tmp_path / "none")), capture_header(w.settings))
 
 
-def test_capture_page_returns_the_ring(world: Build, tmp_path: Path) -> None:
-    w = world()
-    w.playing("/browse/a")
-    from lemonhall.front.process import status
+def test_capture_page_returns_the_ring(make_front: Build, tmp_path: Path) -> None:
+    w = make_front()
+    w.play_session("/browse/a")
+    from lemonhall.front.process import status_server
     from lemonhall.loop import listen
 
-    pages = {"/capture": w.daemon.shown.capture_page}
-    at = listen(w.loop, ("127.0.0.1", 0), status.serve(w.loop, pages)).getsockname()
+    pages = {"/capture": w.daemon.status_pages.capture_page}
+    at = listen(w.loop, ("127.0.0.1", 0), status_server.serve(w.loop, pages)).getsockname()
     received: list[bytes] = []
 
     def fetch() -> None:
@@ -190,6 +192,6 @@
 
     thread = Thread(target=fetch)
     thread.start()
-    w.until(lambda: received)
+    w.run_until(lambda: received)
     thread.join()
     assert [s.same for s in steps_of(received[0]) if isinstance(s, Step)]
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -17,7 +17,7 @@
 from lemonhall.loop import Loop
 from lemonhall.rtsp import Request, Response
 from lemonhall.store import Standing, Token
-from tests.front.world import TERMS, WAIT_S, Client, ScriptedBox, Server
+from tests.front.harness import TERMS, TIMEOUT_S, Client, ScriptedServer, ServerConnection
 
 PAID, FREE = "/claims/a", "/browse/a"
 
@@ -37,7 +37,7 @@
         self.faults: list[Exception] = []
         self.ports = [free_udp() for _ in range(fronts)]
         (folder / "keys").write_text("1 " + "ab" * 16 + "\n")
-        self.boxes = [ScriptedBox(self.loop, n + 1) for n in range(2)]
+        self.boxes = [ScriptedServer(self.loop, n + 1) for n in range(2)]
         self.fronts: dict[int, Daemon] = {}
         self.at: dict[int, tuple[str, int]] = {}
         self.clients: list[Client] = []
@@ -68,7 +68,8 @@
         self.loop.on_error = self.faults.append
         self.at[n] = daemon.open()
         boxes = [
-            Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
+            Box(id=b.server_id, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY)
+            for b in self.boxes
         ]
         event = daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=boxes))
         assert event
@@ -82,19 +83,19 @@
         assert store_service and daemon.membership
         store_service.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
         daemon.membership.close()
-        daemon.up.heard = lambda message: None
+        daemon.decider_queue.heard = lambda message: None
         for sock in daemon.listeners:
-            self.loop.watch(sock, 0, lambda _: None)
+            self.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
         for ask in list(daemon.worker.asks.values()):
             if ask.attempt:
                 ask.attempt.stream.abort()
         for viewer in list(daemon.worker.viewers):
             viewer.stream.abort()
-        self.loop.after_pass.remove(daemon.bridge.flush)
+        self.loop.end_of_pass_callbacks.remove(daemon.bridge.flush)
         store_service.close()
 
-    def until(self, condition: Callable[[], object], within_s: float = WAIT_S) -> None:
+    def until(self, condition: Callable[[], object], within_s: float = TIMEOUT_S) -> None:
         expired: list[bool] = []
         timer = self.loop.call_later(within_s, expired.append, True)
         self.loop.run(until=lambda: bool(expired) or bool(condition()))
@@ -148,7 +149,7 @@
     def set_ups(self) -> int:
         return sum(b.count("SETUP") for b in self.boxes)
 
-    def script(self, method: str, act: Callable[[Server, Request], object]) -> None:
+    def script(self, method: str, act: Callable[[ServerConnection, Request], object]) -> None:
         for box in self.boxes:
             box.script[method] = act
 
@@ -161,10 +162,10 @@
         for n in list(self.fronts):
             self.kill(n)
         for box in self.boxes:
-            for conn in box.conns:
+            for conn in box.connections:
                 if conn.stream.open:
                     conn.stream.abort()
-            box.shut()
+            box.stop_listening()
         self.loop.close()
 
 
@@ -175,11 +176,11 @@
     made.close()
 
 
-def silent(conn: Server, request: Request) -> None:
+def silent(conn: ServerConnection, request: Request) -> None:
     """Reads the request and does not respond."""
 
 
-def full(conn: Server, request: Request) -> None:
+def full(conn: ServerConnection, request: Request) -> None:
     conn.reply(request, 453)
 
 
@@ -199,7 +200,7 @@
 def test_set_up_is_sent_only_after_its_attempt_is_on_disk(site: Site) -> None:
     release = site.block(0)
     client, claim, play = site.play(0)
-    site.until(lambda: any(b.conns for b in site.boxes))  # connecting does not wait for the disk
+    site.until(lambda: any(b.connections for b in site.boxes))  # connecting does not wait for the disk
     free, _, free_play = site.play(0, FREE)
     assert site.answer(free, free_play).status == 200  # unpaid sessions do not wait for the disk
     paid = [r for b in site.boxes for r in b.requests if "/claims/" in r.url]
@@ -290,7 +291,7 @@
     site.until(lambda: again.bridge.calls > 1 or again.list_client.server_list.boxes)
     assert set(again.list_client.server_list.boxes) == {1, 2}
     restored = again.memory()
-    assert restored and restored.set_up_ms == learned.set_up_ms != 150.0
+    assert restored and restored.mean_set_up_ms == learned.mean_set_up_ms != 150.0
     restarted_store = again.store_service
     assert restarted_store
     # the sessions of the killed process are forgotten
@@ -317,7 +318,9 @@
     assert store_service.counts["damaged"]
 
 
-def test_draining_front_announces_it_and_answers_for_its_claims_until_the_end(site: Site) -> None:
+def test_draining_front_announces_it_and_answers_for_its_claims_until_the_end(
+    site: Site,
+) -> None:
     client, claim, play = site.play(0)
     assert site.answer(client, play).status == 200
     other = site.fronts[1].membership
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -15,7 +15,7 @@
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.importer import import_files
 from lemonhall.loop import Loop
-from tests.front.world import TERMS, WAIT_S, Client, ScriptedBox
+from tests.front.harness import TERMS, TIMEOUT_S, Client, ScriptedServer
 
 CONF = """
 upstream clips { server 127.0.0.1:%d weight=3; server 127.0.0.1:%d; }
@@ -39,7 +39,7 @@
     def __init__(self, folder: Path) -> None:
         self.loop = Loop()
         self.faults: list[Exception] = []
-        self.boxes = [ScriptedBox(self.loop, n + 1) for n in range(4)]
+        self.boxes = [ScriptedServer(self.loop, n + 1) for n in range(4)]
         (folder / "clips.conf").write_text(CONF % tuple(b.port for b in self.boxes[:3]))
         imported = import_files([folder / "clips.conf"], "browse-clip", problem=problem_of)
         (folder / "imported.kdl").write_text(imported.text)
@@ -49,7 +49,8 @@
         self.loop.on_error = self.faults.append
         self.at = self.daemon.open()
         boxes = [
-            Box(id=b.ident, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY) for b in self.boxes
+            Box(id=b.server_id, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY)
+            for b in self.boxes
         ]
         event = self.daemon.list_client.server_list.apply(Update(version=1, full=True, boxes=boxes))
         assert event
@@ -65,7 +66,7 @@
             session = [("Session", client.answers[-1].session)] if client.answers else []
             cseq = client.send(request[0], request[1], *request[2:], *session)
             expired: list[bool] = []
-            timer = self.loop.call_later(WAIT_S, expired.append, True)
+            timer = self.loop.call_later(TIMEOUT_S, expired.append, True)
             self.loop.run(until=lambda c=cseq, e=expired: bool(e) or bool(client.answers_to(c)))  # type: ignore
             timer.cancel()
             assert not expired and not self.faults, self.faults
@@ -83,13 +84,15 @@
         return found
 
     def close(self) -> None:
-        for stream in [c.stream for c in self.clients] + [c.stream for b in self.boxes for c in b.conns]:
+        for stream in [c.stream for c in self.clients] + [
+            c.stream for b in self.boxes for c in b.connections
+        ]:
             if stream.open:
                 stream.abort()
         for box in self.boxes:
-            box.shut()
+            box.stop_listening()
         for sock in self.daemon.listeners:
-            self.loop.watch(sock, 0, lambda _: None)
+            self.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
         self.loop.close()
 
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -18,12 +18,12 @@
 from lemonhall.config.day import read_day
 from lemonhall.day import play_day
 from lemonhall.front.decider.limits import LimitsDriver
-from lemonhall.limits import Limits, Plan
+from lemonhall.limits import FleetLimits, LimitSettings
 from lemonhall.loop import Loop
 from lemonhall.model.played.world import World
-from tests.front.world import TERMS
-from tests.front.world import World as Front
-from tests.limits.worlds import PERIOD, exact, plan
+from tests.front.harness import TERMS
+from tests.front.harness import FrontHarness as Front
+from tests.limits.fleet import PERIOD, exact_limit, settings_of
 
 Build = Callable[..., Front]
 
@@ -55,13 +55,13 @@
         return self.at
 
 
-def start_drivers(limits_plan: Plan) -> tuple[Loop, Clock, list[LimitsDriver]]:
+def start_drivers(limits_plan: LimitSettings) -> tuple[Loop, Clock, list[LimitsDriver]]:
     """Starts the drivers of fronts 0 and 1, and runs them for six periods."""
     clock = Clock()
     loop, drivers = Loop(lambda: clock.at / 1000), []
     links = [DirectLink(0), DirectLink(1)]
     for n, link in enumerate(links):
-        machine = Limits(limits_plan, n, 2, 0, 1, Random(n), clock.at)
+        machine = FleetLimits(limits_plan, n, 2, 0, 1, Random(n), clock.at)
         machine.escrow.members = (0, 1)
         drivers.append(LimitsDriver(loop, machine, link, clock))
     links[0].other, links[1].other = drivers[1], drivers[0]
@@ -78,46 +78,49 @@
 
 
 def test_fronts_share_a_limit_and_report_their_shares() -> None:
-    loop, clock, (one, other) = start_drivers(plan(exact(4)))
+    loop, clock, (one, other) = start_drivers(settings_of(exact_limit(4)))
     for ask in range(1, 20):
         one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     report = [json.loads(driver.page()[2])["limits"][0] for driver in (one, other)]
     assert [t["used"] for t in report] == [4, 0] and report[1]["lent"] == report[0]["borrowed"] == 2
-    assert one.reserve(99, 0, 0, "/a", 99, "").refused == "seats"
+    assert one.reserve(99, 0, 0, "/a", 99, "").refused_by == "seats"
     assert other.forget("0")[0] == 409 and other.forget("x")[0] == 400
     loop.close()
 
 
 def test_moved_session_keeps_its_reservation() -> None:
-    loop, clock, (one, other) = start_drivers(plan(exact(2)))
-    assert not one.reserve(1, 0, 0, "/a", 99, "").refused and not other.reserve(1, 0, 0, "/a", 99, "").refused
+    loop, clock, (one, other) = start_drivers(settings_of(exact_limit(2)))
+    assert (
+        not one.reserve(1, 0, 0, "/a", 99, "").refused_by
+        and not other.reserve(1, 0, 0, "/a", 99, "").refused_by
+    )
     one.park(1, "s")
     one.release(1)  # ends the set-up request, not the session
-    assert other.reserve(2, 0, 0, "/a", 99, "").refused
-    assert not one.reserve(2, 0, 0, "/a", 99, "s").refused
+    assert other.reserve(2, 0, 0, "/a", 99, "").refused_by
+    assert not one.reserve(2, 0, 0, "/a", 99, "s").refused_by
     one.park(2, "s")
     one.release(2)
     run(loop, clock, 20)  # the moved session never returned
-    assert not one.reserve(3, 0, 0, "/a", 99, "").refused
+    assert not one.reserve(3, 0, 0, "/a", 99, "").refused_by
     loop.close()
 
 
 def test_predecessor_admits_nothing_and_successor_admits_what_is_left() -> None:
-    loop, clock, (one, other) = start_drivers(plan(exact(4)))
+    loop, clock, (one, other) = start_drivers(settings_of(exact_limit(4)))
     for ask in range(1, 20):
         one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
-    state = one.machine.escrow.state()
-    successor = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
-    successor.take_over(clock.at, state)
-    assert one.reserve(50, 0, 0, "/a", 99, "").refused == "changing guard"
+    state = one.machine.escrow.handover_state()
+    successor = FleetLimits(settings_of(exact_limit(4)), 0, 2, 0, 9, Random(9), clock.at)
+    successor.restore_state(clock.at, state)
+    assert one.reserve(50, 0, 0, "/a", 99, "").refused_by == "changing guard"
     # the sessions of the predecessor count
-    assert successor.ask(clock.at, 51, 0, 0, "/a").refused == "seats"
-    successor.carried_all()
-    assert not successor.ask(clock.at, 52, 0, 0, "/a").refused
-    assert other.reserve(53, 0, 0, "/a", 99, "").refused
+    assert successor.admit(clock.at, 51, 0, 0, "/a").refused_by == "seats"
+    successor.finish_handover()
+    assert not successor.admit(clock.at, 52, 0, 0, "/a").refused_by
+    assert other.reserve(53, 0, 0, "/a", 99, "").refused_by
     loop.close()
 
 
@@ -173,67 +176,67 @@
     assert report["limit_over_most"] == 0 and report["limit_used_share"] < 0.7
 
 
-def test_refusal_by_a_limit_carries_its_reason(world: Build) -> None:
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    client, session = w.playing("/browse/a")
-    other, _, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+def test_refusal_by_a_limit_carries_its_reason(make_front: Build) -> None:
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    client, session = w.play_session("/browse/a")
+    other, _, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     answer = other.answers[-1]
     assert answer.status == 503 and "limit one" in str(answer.headers.get("X-Reason") or answer.reason)
     assert float(answer.headers.get("Retry-After")) >= 1
-    assert w.set_ups() == 1 and w.daemon.counts["over_limit"] == 1
-    report = json.loads(w.daemon.shown.limits_page()[2])["limits"][0]
+    assert w.set_up_count() == 1 and w.daemon.counts["over_limit"] == 1
+    report = json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]
     assert (report["used"], report["held"], report["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: client.answers_to(done))
-    w.until(lambda: not w.daemon.set_up_requests.attempt_table.out)
-    w.playing("/browse/b")
-    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.shown.metrics_page()[2]
+    w.run_until(lambda: client.answers_to(done))
+    w.run_until(lambda: not w.daemon.set_up_requests.attempt_table.open_attempts)
+    w.play_session("/browse/b")
+    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
 
 
 def test_lowered_limit_keeps_existing_sessions(reloaded: Callable[..., Any]) -> None:
     limit = 'limit "two" class="browse-clip" sessions={}\n'
     w, load = reloaded(TERMS + limit.format(2))
-    w.playing("/browse/a")
-    w.playing("/browse/b")
+    w.play_session("/browse/a")
+    w.play_session("/browse/b")
     assert load(TERMS + limit.format(1))
-    other, _, cseq = w.play("/browse/c")
-    w.until(lambda: other.answers_to(cseq))
+    other, _, cseq = w.send_play("/browse/c")
+    w.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
-    assert json.loads(w.daemon.shown.limits_page()[2])["limits"][0]["used"] == 2  # no session is ended
+    assert json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]["used"] == 2  # no session is ended
 
 
-def test_session_on_an_expired_loan_is_ended_with_a_bye(world: Build) -> None:
-    w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
-    client, _ = w.playing("/browse/a")
+def test_session_on_an_expired_loan_is_ended_with_a_bye(make_front: Build) -> None:
+    w = make_front(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
+    client, _ = w.play_session("/browse/a")
     machine = w.daemon.set_up_requests.limits.machine
-    room = next(iter(machine.escrow.rooms.values()))
-    room.parts.own = 0  # as if the room had been lent by another front
-    machine.escrow.lapsed((room.limit.ident, 0), 1)
-    w.until(lambda: client.byes)
-    w.until(lambda: not w.daemon.set_up_requests.open_requests)
-    assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
+    local = next(iter(machine.escrow.local_limits.values()))
+    local.share.own = 0  # as if the room had been lent by another front
+    machine.escrow.record_expired((local.limit.limit_id, 0), 1)
+    w.run_until(lambda: client.byes)
+    w.run_until(lambda: not w.daemon.set_up_requests.open_requests)
+    assert w.daemon.counts["ended_by_limit"] == 1 and local.share.used == 0
 
 
-def test_reservation_is_held_until_the_attempt_has_ended(world: Build) -> None:
+def test_reservation_is_held_until_the_attempt_has_ended(make_front: Build) -> None:
     """The session may still exist at the server until the attempt has ended."""
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.playing("/browse/a")
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    w.play_session("/browse/a")
     requests = w.daemon.set_up_requests
     (request_id,) = requests.open_requests
     request = requests.open_requests[request_id]
     requests.close_request(request)  # the request is closed while its attempt has not ended
     assert requests.limits.machine.sessions
-    other, _, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+    other, _, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
 
 
-def test_why_command_names_the_limit_of_a_refused_session(world: Build, tmp_path: Path) -> None:
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.playing("/browse/a")
-    other, session, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+def test_why_command_names_the_limit_of_a_refused_session(make_front: Build, tmp_path: Path) -> None:
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    w.play_session("/browse/a")
+    other, session, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     path = tmp_path / "kept.lhc"
     path.write_bytes(w.daemon.capture.save())
     done = CliRunner().invoke(group, ["why", str(path), session.partition(";")[0]])
@@ -241,7 +244,7 @@
 
 
 def test_limits_are_summarized_per_front_and_for_the_fleet() -> None:
-    loop, clock, (one, other) = start_drivers(plan(exact(4)))
+    loop, clock, (one, other) = start_drivers(settings_of(exact_limit(4)))
     for ask in range(1, 12):
         one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -15,12 +15,12 @@
 from lemonhall.front.decider.membership import Membership, read_keys
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Loop
-from lemonhall.members import Config
+from lemonhall.members import SwimConfig
 from lemonhall.problem import BadInput
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
 
 KEYS = {1: b"k" * 16}
-FAST = Config(period_ms=40.0, answer_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
+FAST = SwimConfig(period_ms=40.0, ack_timeout_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
 
 
 class Fronts:
@@ -73,17 +73,19 @@
     for number in range(5):
         fronts.add(number)
     fronts.until(lambda: fronts.agree(0, 1, 2, 3, 4))
-    fronts.until(lambda: all(events and events[-1] == i.Fleet(5, n) for n, events in fronts.events.items()))
+    fronts.until(
+        lambda: all(events and events[-1] == i.FleetChanged(5, n) for n, events in fronts.events.items())
+    )
 
 
 def test_share_of_a_failed_front_is_kept_for_a_while(fronts: Fronts) -> None:
     for number in range(4):
         fronts.add(number)
     fronts.until(lambda: fronts.agree(0, 1, 2, 3))
-    fronts.until(lambda: fronts.events[0] and fronts.events[0][-1] == i.Fleet(4, 0))
+    fronts.until(lambda: fronts.events[0] and fronts.events[0][-1] == i.FleetChanged(4, 0))
     fronts.by_number[3].close()
     fronts.until(lambda: fronts.agree(0, 1, 2))
-    assert fronts.events[0][-1] == i.Fleet(4, 0)
+    assert fronts.events[0][-1] == i.FleetChanged(4, 0)
 
 
 def test_leaving_front_is_removed_without_being_declared_dead(fronts: Fronts) -> None:
@@ -114,10 +116,10 @@
         tenants=(i.Tenant(10.0),),
     )
     front = decide.Front(settings, 1)
-    front.handle(0.0, [i.Fleet(20, 7)])
+    front.handle(0.0, [i.FleetChanged(20, 7)])
     assert (front.settings.fronts, front.settings.index) == (20, 7)
     assert replace(front.settings, fronts=1, index=0) == settings
-    front.handle(1.0, [i.Fleet(0, 0), i.Fleet(4, 9)])
+    front.handle(1.0, [i.FleetChanged(0, 0), i.FleetChanged(4, 9)])
     assert (front.settings.fronts, front.settings.index) == (4, 3)
 
 
@@ -141,7 +143,7 @@
     daemon = Daemon(read_settings(path), loop=Loop())
     daemon.open()
     assert daemon.membership and isinstance(daemon.membership.local_address[1], int)
-    status, _, body = daemon.shown.members_page()
+    status, _, body = daemon.status_pages.members_page()
     assert status == 200 and b'"members": [0]' in body
     daemon.stop()
     daemon.loop.run()
--- a/tests/front/test_recovery.py
+++ b/tests/front/test_recovery.py
@@ -14,7 +14,7 @@
 from lemonhall.front.decider.recovery import RecoveryDriver
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.front.servers.server_list import ServerListState
-from lemonhall.recovery import Mark, Trust
+from lemonhall.recovery import StoreCheckpoint, StoreTrust
 from lemonhall.store import Standing
 from tests.front.test_claims import Site, full, silent
 
@@ -30,7 +30,10 @@
     """Whether front 1 has received the current checkpoint of front 0's store."""
     recovery, store_service = site.fronts[1].set_up_requests.recovery, site.fronts[0].store_service
     assert recovery and store_service
-    return recovery.machine.seen.marks.get(0, Mark(0, 0)) >= store_service.checkpoint
+    return (
+        recovery.machine.peer_checkpoints.checkpoints.get(0, StoreCheckpoint(0, 0))
+        >= store_service.checkpoint
+    )
 
 
 def copy_of_store(site: Site) -> Path:
@@ -62,14 +65,14 @@
 def test_outdated_store_is_set_aside_and_its_claims_count_as_run(site: Site) -> None:
     claim = run_claim_and_restore_store(site)
     store_service, recovery = site.fronts[0].store_service, site.fronts[0].set_up_requests.recovery
-    assert store_service and recovery and recovery.machine.trust is Trust.OLDER
+    assert store_service and recovery and recovery.machine.store_trust is StoreTrust.OLDER
     assert store_service.counts["disowned"] == 1 and (site.folder / "f0.store" / "older-1.mdb").exists()
     client, _, play = site.play(0, claim=claim)
     assert site.answer(client, play).status == 502  # final, and without delay
     other, _, play = site.play(1, claim=claim)
     assert site.answer(other, play).status == 502
     assert site.set_ups == 1
-    assert store_service.checkpoint > Mark(0, 0)
+    assert store_service.checkpoint > StoreCheckpoint(0, 0)
     site.until(lambda: checkpoint_known(site))  # the new store's checkpoint supersedes the old one's
 
 
@@ -96,7 +99,7 @@
     site.kill(0)
     site.start(0)
     recovery = site.fronts[0].set_up_requests.recovery
-    assert recovery and recovery.machine.trust is Trust.SOUND
+    assert recovery and recovery.machine.store_trust is StoreTrust.SOUND
     for box in site.boxes:
         box.script.clear()
     again, _, play = site.play(0, claim=claim)
@@ -114,7 +117,7 @@
     site.start(0)
     assert 0.9 < site.loop.now() - before < 5  # waits for the others, but not forever
     recovery, store_service = site.fronts[0].set_up_requests.recovery, site.fronts[0].store_service
-    assert recovery and store_service and recovery.machine.trust is Trust.UNKNOWN
+    assert recovery and store_service and recovery.machine.store_trust is StoreTrust.UNKNOWN
     for box in site.boxes:
         box.script.clear()
     again, _, play = site.play(0, claim=claim)
