--- a/lemonhall/front/decider/bridge.py
+++ b/lemonhall/front/decider/bridge.py
@@ -10,20 +10,22 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from lemonhall import interface as i
+from lemonhall import interface
 
 
 class Decider(Protocol):
     """The decision module."""
 
-    def handle(self, now: float, events: list[i.Event]) -> list[i.Action]: ...
+    def handle(self, now: float, events: list[interface.Event]) -> list[interface.Action]: ...
 
 
 class Capture(Protocol):
     """Records the calls of the module, numbered from 0: before each call, and afterwards with its actions."""
 
     def before_call(self, module: Decider, number: int, now: float) -> None: ...
-    def add_call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None: ...
+    def add_call(
+        self, number: int, now: float, events: list[interface.Event], actions: list[interface.Action]
+    ) -> None: ...
     def add_note(self, now: float, who: str, text: str, session: int = 0) -> None: ...
 
 
@@ -36,15 +38,15 @@
     def __init__(self, decider: Decider, now_ms: Callable[[], float]) -> None:
         self.decider, self.now_ms = decider, now_ms
         self.action_handlers: dict[type, Callable[[Any], object]] = {}
-        self.events: list[i.Event] = []
+        self.events: list[interface.Event] = []
         self.calls = self.events_handled = 0
         self.capture: Capture | None = None
         self.unhandled_actions = 0  # actions of a type without a handler
 
-    def enqueue(self, event: i.Event) -> None:
+    def enqueue(self, event: interface.Event) -> None:
         self.events.append(event)
 
-    def remove_queued(self, event: i.Event) -> bool:
+    def remove_queued(self, event: interface.Event) -> bool:
         """Removes an event that the module has not received yet. Returns whether it was still queued."""
         for index, queued in enumerate(self.events):
             if queued is event:
@@ -52,7 +54,7 @@
                 return True
         return False
 
-    def enqueue_viewer_gone(self, new_session: i.NewSession) -> bool:
+    def enqueue_viewer_gone(self, new_session: interface.NewSession) -> bool:
         """Reports that the viewer of a session is gone.
 
         Returns False if the module has not received the session's `NewSession` event; the event is then
@@ -64,7 +66,7 @@
         """
         if self.remove_queued(new_session):
             return False
-        self.events.insert(0, i.ViewerGone(new_session.id))
+        self.events.insert(0, interface.ViewerGone(new_session.id))
         return True
 
     def flush(self) -> None:
--- a/lemonhall/front/decider/hooks.py
+++ b/lemonhall/front/decider/hooks.py
@@ -14,7 +14,7 @@
 
 import structlog
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.config.settings import FrontSettings
 from lemonhall.hooks import BadScript, Engine, EngineLimits, Known, Problem, Source
 from lemonhall.hooks.advice import Ruling, Session
@@ -69,8 +69,8 @@
 class Subject(Protocol):
     """The set-up request that a ruling is about."""
 
-    said: SetUpRequested
-    attempts: int
+    message: SetUpRequested
+    attempt_count: int
 
 
 class HookRunner:
@@ -84,7 +84,7 @@
         self,
         builder: Builder,
         settings: FrontSettings,
-        servers: Callable[[], list[i.Server]],
+        servers: Callable[[], list[interface.Server]],
         sessions: Callable[[], int],
         now_ms: Callable[[], float],
         wall_ms: Callable[[], float],
@@ -204,30 +204,30 @@
 
         `more` adds the facts that are known only at that point.
         """
-        asked = subject.said
+        message = subject.message
         if not self.engine.scripts:
-            return Ruling(asked.cls)
+            return Ruling(message.cls)
         terms = self.settings.terms
-        key = (asked.cls, moved)
+        key = (message.cls, moved)
         if key not in self.engine_sessions:
             self.engine_sessions[key] = Session(
-                asked.cls, moved, terms.classes, self.engine.known, terms.max_pause_ms
+                message.cls, moved, terms.classes, self.engine.known, terms.max_pause_ms
             )
-        cls = terms.classes[asked.cls]
+        cls = terms.classes[message.cls]
         facts = {
-            "class": terms.class_names[asked.cls],
-            "partner": terms.tenant_names[asked.tenant] if terms.tenant_names else "",
-            "title": asked.path.partition("?")[0],
-            "route": asked.route,
+            "class": terms.class_names[message.cls],
+            "partner": terms.tenant_names[message.tenant] if terms.tenant_names else "",
+            "title": message.path.partition("?")[0],
+            "route": message.route,
             "hall": terms.halls[self.settings.hall],
-            "viewer": asked.viewer_name,
-            "paid": cls.repeat is not i.Repeat.SAFE,
-            "again": asked.again,
+            "viewer": message.viewer_name,
+            "paid": cls.repeat is not interface.Repeat.SAFE,
+            "again": message.again,
             "moved": moved,
-            "rung": float(asked.top_rung),
+            "rung": float(message.top_rung),
             "floor": float(cls.floor),
             "sessions": float(self.sessions()),
-            "attempt": float(subject.attempts),
+            "attempt": float(subject.attempt_count),
             **more,
         }
         ruling = self.engine.ask(
@@ -237,11 +237,11 @@
             ScriptHost(self),
             self.now_ms(),
             self.wall_ms(),
-            asked.session_id,
+            message.session_id,
         )
         if ruling.log:
             log.info(
-                "session", session=asked.session_id, point=point, **{"class": facts["class"]}, **ruling.log
+                "session", session=message.session_id, point=point, **{"class": facts["class"]}, **ruling.log
             )
         if self.engine.events:
             for event in self.engine.events:
--- a/lemonhall/front/decider/limits.py
+++ b/lemonhall/front/decider/limits.py
@@ -1,4 +1,5 @@
-"""Limits of the whole fleet at a front: fed with what its asks and members tell, its words sent."""
+"""Drives the state machine of the fleet's limits at a front: forwards set-up requests and members' messages
+to it, and sends its messages."""
 
 from __future__ import annotations
 
@@ -16,16 +17,17 @@
 from lemonhall.members.members_pb2 import LIMITS, Message
 
 log = structlog.get_logger("lemonhall.front")
-RELIEVED = AdmissionDecision("changing guard", 200.0)  # the successor holds the front's parts
+# the decision of a front that is being handed over: its successor holds the shares
+HANDED_OVER = AdmissionDecision("changing guard", 200.0)
 
 
 def clock_ms() -> float:
-    """Goes on while the machine sleeps, and is the same in all its processes: what a lease is counted by."""
+    """The clock of leases: it includes the time in suspend, and all processes of a machine share it."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000
 
 
-class Carrier(Protocol):
-    """The members' socket."""
+class Messenger(Protocol):
+    """Sends messages to other fronts, as `Membership` does. `number` is this front's."""
 
     number: int
 
@@ -33,15 +35,16 @@
 
 
 class LimitsDriver:
-    """`said`: told of what a limit refuses or ends, for the capture. `on_end`: of a session that must end."""
+    """`record_event` receives refusals and ended sessions for the capture; `on_session_end` ends a
+    session."""
 
     def __init__(
         self,
         loop: Loop,
         machine: FleetLimits,
-        messenger: Carrier | None,
+        messenger: Messenger | None,
         clock: Callable[[], float] = clock_ms,
-        record_event: Callable[[str, int], object] = lambda words, ask: None,
+        record_event: Callable[[str, int], object] = lambda text, request_id: None,
     ) -> None:
         self.loop, self.machine, self.messenger, self.now, self.record_event = (
             loop,
@@ -52,65 +55,70 @@
         )
         self.timer: Timer | None = None
         self.stopped = True
-        self.on_session_end: Callable[[int, str], object] = lambda ask, why: None
+        self.on_session_end: Callable[[int, str], object] = lambda request_id, reason: None
 
     def start(self) -> None:
         self.stopped = False
         self.timer = self.loop.call_later(0.0, self.on_tick)
 
     def stop(self) -> None:
-        """Another process goes by this front's parts now, or none: nothing is said, or let in."""
+        """Stops sending and admitting: another process uses this front's shares from now on, or none does."""
         self.stopped = True
         if self.timer:
             self.timer.cancel()
 
-    def update_members(self, view: MembershipView, twin: bool) -> None:
+    def update_members(self, view: MembershipView, duplicate_member: bool) -> None:
         escrow = self.machine.escrow
         escrow.members = view.members
-        if escrow.duplicate_member != twin:
-            escrow.duplicate_member = twin
+        if escrow.duplicate_member != duplicate_member:
+            escrow.duplicate_member = duplicate_member
             escrow.recompute_shares()
 
-    def apply_plan(self, plan: LimitSettings) -> None:
-        self.machine.apply_settings(plan)
+    def apply_plan(self, settings: LimitSettings) -> None:
+        self.machine.apply_settings(settings)
 
-    # asks
+    # set-up requests
 
     def reserve(
-        self, ask: int, partner: int, cls: int, title: str, top: int, moved: str
+        self, request_id: int, partner: int, cls: int, title: str, top_rung: int, moved: str
     ) -> AdmissionDecision:
-        """`moved`: the session, if it has left a server and asks again."""
-        if moved and self.machine.resume_after_move(self.now(), ask, moved):
+        """Reserves a session under all limits that apply to it.
+
+        `moved` is the id of a session that has left a server and is set up again; it keeps its reservation.
+        """
+        if moved and self.machine.resume_after_move(self.now(), request_id, moved):
             return AdmissionDecision()
         if self.stopped:
-            return RELIEVED
-        ruling = self.machine.admit(self.now(), ask, partner, cls, title, top)
+            return HANDED_OVER
+        ruling = self.machine.admit(self.now(), request_id, partner, cls, title, top_rung)
         if ruling.refused_by:
-            self.record_event(f"limit {ruling.refused_by}: no room", ask)
+            self.record_event(f"limit {ruling.refused_by}: no room", request_id)
         self.end_recalled_sessions()
         return ruling
 
-    def may_set_up(self, ask: int) -> bool:
-        fine = self.machine.may_start_set_up(self.now(), ask)
+    def may_set_up(self, request_id: int) -> bool:
+        allowed = self.machine.may_start_set_up(self.now(), request_id)
         self.end_recalled_sessions()
-        return fine
+        return allowed
 
-    def release(self, ask: int) -> None:
-        self.machine.release(self.now(), ask)
+    def release(self, request_id: int) -> None:
+        self.machine.release(self.now(), request_id)
 
-    def park(self, ask: int, session: str) -> None:
-        self.machine.hold_for_move(self.now(), ask, session)
+    def park(self, request_id: int, session: str) -> None:
+        """Keeps the reservation of a session that is being moved, until it is set up again."""
+        self.machine.hold_for_move(self.now(), request_id, session)
 
-    def adopt_session(self, ask: int, partner: int, cls: int, title: str, rung: int) -> None:
-        self.machine.restore_session(self.now(), ask, partner, cls, title, rung)
+    def adopt_session(self, request_id: int, partner: int, cls: int, title: str, rung: int) -> None:
+        self.machine.restore_session(self.now(), request_id, partner, cls, title, rung)
 
     def end_recalled_sessions(self) -> None:
-        ends, self.machine.sessions_to_end = self.machine.sessions_to_end, []
-        for ask in ends:
-            self.record_event("its room was lent, and the loan is over", ask)
-            self.on_session_end(ask, "loan of room over")
+        """Ends the sessions whose reservation stood on a loan that has expired."""
+        request_ids, self.machine.sessions_to_end = self.machine.sessions_to_end, []
+        for request_id in request_ids:
+            self.record_event("its room was lent, and the loan is over", request_id)
+            self.on_session_end(request_id, "loan of room over")
 
-    # words
+    # messages between fronts
 
     def on_tick(self) -> None:
         self.send(self.machine.tick(self.now()))
@@ -127,25 +135,26 @@
             self.send(self.machine.tick(self.now()))
         self.end_recalled_sessions()
 
-    def send(self, words: list[OutgoingMessage]) -> None:
+    def send(self, messages: list[OutgoingMessage]) -> None:
         if self.messenger is None or self.stopped:
             return
-        for out in words:
+        for outgoing in messages:
             self.messenger.send_to_front(
-                out.to, Message(kind=LIMITS, sender=self.messenger.number, limits=out.data)
+                outgoing.to, Message(kind=LIMITS, sender=self.messenger.number, limits=outgoing.data)
             )
 
     # operators
 
     def page(self) -> tuple[int, str, bytes]:
+        """The status page `/limits`."""
         return 200, "application/json", json.dumps(self.machine.status(self.now())).encode() + b"\n"
 
     def forget(self, front: str) -> tuple[int, str, bytes]:
-        """An operator's word that a front is gone for good; it goes to all fronts."""
+        """Carries out an operator's order that a front is gone for good, and spreads it to all fronts."""
         if not front.isdecimal():
             return 400, "text/plain", b"fronts are named by their numbers\n"
-        why = self.machine.escrow.forget_front(self.now(), int(front))
-        if why:
-            return 409, "text/plain", why.encode() + b"\n"
-        log.warning("front forgotten", front=int(front))
+        reason = self.machine.escrow.forget_front(self.now(), int(front))
+        if reason:
+            return 409, "text/plain", reason.encode() + b"\n"
+        log.warning("front removed from the limits by an operator", front=int(front))
         return self.page()
--- a/lemonhall/front/decider/list_client.py
+++ b/lemonhall/front/decider/list_client.py
@@ -11,7 +11,7 @@
 import httptools
 import structlog
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.boxlist import CacheError, Delimited, Update, from_cache, to_cache
 from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.servers.server_list import ServerListState
@@ -36,7 +36,7 @@
         url: str,
         cache: str,
         name: str,
-        on_event: Callable[[i.Event], None],
+        on_event: Callable[[interface.Event], None],
         front_started_ms: float = 0.0,
     ) -> None:
         parts = urlsplit(url)
@@ -116,7 +116,7 @@
             self.messages = Delimited()
             self.stream = Stream.connect(self.loop, (self.host, self.port), self, 2.0)
 
-    def subscribe(self, action: i.Subscribe) -> None:
+    def subscribe(self, action: interface.Subscribe) -> None:
         self.wanted = action.on
         if not action.on:
             if self.stream:
@@ -126,7 +126,7 @@
             self.attempts += 1
             self.loop.call_later(delay_s + self.extra_delay_s(), self.start)
 
-    def reload(self, _: i.Reload | None) -> None:
+    def reload(self, _: interface.Reload | None) -> None:
         """Requests the full list by a new GET, whose response starts with it."""
         if self.stream:
             self.stream.close()
@@ -189,4 +189,4 @@
         self.stream = None
         self.fresh = False
         if self.wanted:
-            self.on_event(i.ServerList(i.ListKind.FAILED, self.server_list.version, ()))
+            self.on_event(interface.ServerList(interface.ListKind.FAILED, self.server_list.version, ()))
--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -1,4 +1,5 @@
-"""Fronts that know one another: the members' machine on a UDP socket, and what the module hears of it."""
+"""Membership of the fleet: runs the membership protocol's state machine on a UDP socket, and reports the
+number of fronts to the decision module."""
 
 from __future__ import annotations
 
@@ -13,7 +14,7 @@
 import structlog
 from google.protobuf.message import DecodeError
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.loop import Loop, Timer
 from lemonhall.loop.event_loop import READ
 from lemonhall.members import DatagramError, KeyRing, MembershipMachine, OutgoingDatagram, SwimConfig
@@ -23,22 +24,25 @@
 from lemonhall.problem import BadInput, Problem
 
 log = structlog.get_logger("lemonhall.front")
-READS_A_TURN = 64
-READ_MOST = 1400  # bytes: words about halls may be longer than a member's
+DATAGRAMS_PER_PASS = 64
+DATAGRAM_MAX_BYTES = 1400  # messages about zones may be longer than those of the membership protocol
 
 
-def packed(at: tuple[str, int]) -> tuple[int, int]:
-    return int(ipaddress.IPv4Address(at[0])), at[1]
+def pack_address(address: tuple[str, int]) -> tuple[int, int]:
+    return int(ipaddress.IPv4Address(address[0])), address[1]
 
 
 def read_keys(path: Path) -> dict[int, bytes]:
-    """A line a key: its number and 32 hexadecimal digits; the first line seals. Raises `BadInput`."""
+    """Reads the keys of datagrams: one per line, as a number and 32 hexadecimal digits.
+
+    The key of the first line encrypts. Raises `BadInput` if the file cannot be read or holds an invalid line.
+    """
     try:
         lines = path.read_text(encoding="ascii").splitlines()
     except (OSError, UnicodeDecodeError) as error:
         raise BadInput(str(path), f"keys cannot be read: {error}") from error
     keys: dict[int, bytes] = {}
-    for n, line in enumerate(lines, 1):
+    for line_number, line in enumerate(lines, 1):
         words = line.split("#")[0].split()
         if not words:
             continue
@@ -48,7 +52,9 @@
                 raise ValueError
         except (ValueError, IndexError):
             fix = "as in: 1 00112233445566778899aabbccddeeff"
-            raise BadInput([Problem(str(path), n, 1, "no key: number and 32 digits", fix)]) from None
+            raise BadInput(
+                [Problem(str(path), line_number, 1, "no key: number and 32 digits", fix)]
+            ) from None
         keys[number] = key
     if not keys:
         raise BadInput(str(path), "holds no key")
@@ -56,7 +62,10 @@
 
 
 class Membership:
-    """`tell` takes the module's events. `now_ms` does not go back."""
+    """Sends and receives the datagrams of the membership protocol, and all messages between fronts.
+
+    `on_event` receives events for the module. `now_ms` is monotonic.
+    """
 
     def __init__(
         self,
@@ -66,149 +75,160 @@
         listen: tuple[str, int],
         seeds: tuple[tuple[str, int], ...],
         keys: dict[int, bytes],
-        on_event: Callable[[i.Event], None],
+        on_event: Callable[[interface.Event], None],
         random: Random,
         config: SwimConfig | None = None,
         sock: socket.socket | None = None,
-        told: tuple[int, int] | None = None,
+        announced: tuple[int, int] | None = None,
         via: tuple[tuple[tuple[str, int], tuple[str, int]], ...] = (),
     ) -> None:
-        """Raises `OSError` if the address is taken. `sock`, `told`: of a front that this one relieves.
+        """Raises `OSError` if the address cannot be bound.
 
-        `via`: fronts that are reached, and heard, at another address than their own, which all know them by.
+        `sock` and `announced` (number of fronts and own rank) come from the predecessor in a handover. `via`
+        maps the addresses by which all members know a front to the address at which this one reaches it.
         """
-        self.through = dict(via)
-        self.known_as: dict[Any, tuple[str, int]] = {through: at for at, through in via}
+        self.via_addresses = dict(via)
+        self.member_addresses: dict[Any, tuple[str, int]] = {
+            via_address: address for address, via_address in via
+        }
         self.loop, self.on_event, self.number = loop, on_event, number
         self.sock = sock or socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         if sock is None:
             self.sock.bind(listen)
         self.sock.setblocking(False)
         self.local_address: tuple[str, int] = self.sock.getsockname()
-        boot = random.getrandbits(32)
-        self.keys = KeyRing(keys, boot)
-        addresses = [packed(s) for s in seeds]
-        own = packed(self.local_address)
+        boot_id = random.getrandbits(32)
+        self.keys = KeyRing(keys, boot_id)
+        seed_addresses = [pack_address(seed) for seed in seeds]
+        own_address = pack_address(self.local_address)
         self.machine = MembershipMachine(
-            number, own, boot, addresses, config or SwimConfig(), Random(random.random())
+            number, own_address, boot_id, seed_addresses, config or SwimConfig(), Random(random.random())
         )
         self.share = FrontCount(number, fronts, self.now_ms())
-        if told:
-            self.share.reported = told
-            on_event(i.FleetChanged(*told))
-        self.bad = 0
-        self.version = 0
+        if announced:
+            self.share.reported = announced
+            on_event(interface.FleetChanged(*announced))
+        self.rejected_datagrams = 0
+        self.view_version = 0
         self.timer: Timer | None = None
         self.on_claim_message: Callable[[Any], object] = lambda message: None
         self.on_zones_message: Callable[[Any], object] = lambda message: None
         self.on_limits_message: Callable[[Any], object] = lambda message: None
         self.on_recovery_message: Callable[[Any], object] = lambda message: None
-        self.on_share_changed: Callable[[int], object] = lambda fronts: None  # that shares go by
-        self.blocked_ports: set[int] = set()  # for tests: ports that nothing is heard from
+        # called with the number of fronts by which shares are computed
+        self.on_share_changed: Callable[[int], object] = lambda fronts: None
+        self.blocked_ports: set[int] = set()  # for tests: datagrams from these ports are dropped
         self.on_view_changed: Callable[[MembershipView], object] = lambda view: None
         loop.watch_socket(self.sock, READ, self.on_ready)
         self.send(self.machine.start(self.now_ms()))
-        self.arm()
+        self.set_timer()
 
     def now_ms(self) -> float:
         return self.loop.now() * 1000
 
     def on_ready(self, _: int) -> None:
-        for _turn in range(READS_A_TURN):
+        for _turn in range(DATAGRAMS_PER_PASS):
             try:
-                data, sender = self.sock.recvfrom(READ_MOST)
+                data, sender = self.sock.recvfrom(DATAGRAM_MAX_BYTES)
             except BlockingIOError:
                 break
-            except OSError:  # an ICMP error of an earlier send: whoever it was to is down
+            except OSError:  # ICMP error for an earlier send: that member is down
                 continue
             if sender[1] in self.blocked_ports:
                 continue
-            if sender in self.known_as:
-                sender = self.known_as[sender]
+            if sender in self.member_addresses:
+                sender = self.member_addresses[sender]
             try:
                 message = self.keys.open(data)
             except DatagramError as error:
-                self.bad += 1
-                if self.bad & (self.bad - 1) == 0:  # once, twice, four times, ...
+                self.rejected_datagrams += 1
+                # logs the 1st, 2nd, 4th, 8th, ... rejection
+                if self.rejected_datagrams & (self.rejected_datagrams - 1) == 0:
                     log.warning(
-                        "member's datagram refused", sender=str(sender), why=str(error), times=self.bad
+                        "rejected an invalid datagram on the members' port",
+                        sender=str(sender),
+                        reason=str(error),
+                        rejected=self.rejected_datagrams,
                     )
                 continue
             if not self.dispatch(message):
-                self.send(self.machine.receive(self.now_ms(), packed(sender), message))
-        self.arm()
+                self.send(self.machine.receive(self.now_ms(), pack_address(sender), message))
+        self.set_timer()
 
     def dispatch(self, data: bytes) -> bool:
-        """Words about other things travel under the same seal: they are not for the machine of members."""
+        """Delivers a message of another protocol that uses the members' encryption to its handler.
+
+        Returns False if the message belongs to the membership protocol.
+        """
         try:
             message = Message.FromString(data)
         except DecodeError:
             return False
-        about = {
+        handlers = {
             ASK_CLAIM: self.on_claim_message,
             CLAIM: self.on_claim_message,
             HALLS: self.on_zones_message,
             RECOVERY: self.on_recovery_message,
             LIMITS: self.on_limits_message,
         }
-        if message.kind not in about or message.sender == self.number:
+        if message.kind not in handlers or message.sender == self.number:
             return False
-        about[message.kind](message)
+        handlers[message.kind](message)
         return True
 
     def greet_seeds(self) -> None:
-        """Asks the seeds who is there, out of turn."""
+        """Sends join requests to the seeds now, outside the protocol's period."""
         self.send(self.machine.request_join(self.now_ms()))
 
     def send_to_front(self, number: int, message: Any) -> bool:
-        """Sends to a front by its number. False if it is not known to be there."""
+        """Sends a message to a front by its number. Returns False if the front is unknown or dead."""
         member = self.machine.members.get(number)
         if member is None or member.state is MemberState.DEAD:
-            return False  # one that has left may still drain, and speak for its claims
+            return False  # a member that has left may be draining, and still answers for its claims
         self.send([OutgoingDatagram(member.address, message.SerializeToString())])
         return True
 
-    def on_due(self) -> None:
+    def on_timer(self) -> None:
         self.send(self.machine.tick(self.now_ms()))
-        self.arm()
+        self.set_timer()
 
-    def arm(self) -> None:
-        """One timer, for whatever the machine has to do next; then a look at what the module should know."""
+    def set_timer(self) -> None:
+        """Sets the timer for the machine's next action, and reports a changed view or number of fronts."""
         if self.timer:
             self.timer.cancel()
-        wait = min(1000.0, max(1.0, self.machine.next_tick_at() - self.now_ms()))
-        self.timer = self.loop.call_later(wait / 1000, self.on_due)
+        wait_ms = min(1000.0, max(1.0, self.machine.next_tick_at() - self.now_ms()))
+        self.timer = self.loop.call_later(wait_ms / 1000, self.on_timer)
         view = self.machine.view()
-        if view.version != self.version:
-            self.version = view.version
+        if view.version != self.view_version:
+            self.view_version = view.version
             log.info(
                 "members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.duplicate_number
             )
             self.on_view_changed(view)
-        if told := self.share.update(view, self.now_ms()):
-            self.on_event(i.FleetChanged(*told))
-            self.on_share_changed(told[0])
+        if announced := self.share.update(view, self.now_ms()):
+            self.on_event(interface.FleetChanged(*announced))
+            self.on_share_changed(announced[0])
 
-    def send(self, out: list[OutgoingDatagram]) -> None:
-        for each in out:
-            at = str(ipaddress.IPv4Address(each.to[0])), each.to[1]
+    def send(self, datagrams: list[OutgoingDatagram]) -> None:
+        for datagram in datagrams:
+            address = str(ipaddress.IPv4Address(datagram.to[0])), datagram.to[1]
             try:
-                self.sock.sendto(self.keys.seal(each.data), self.through.get(at, at))
-            except OSError:  # nobody there, or no way: the machine finds out by silence
+                self.sock.sendto(self.keys.seal(datagram.data), self.via_addresses.get(address, address))
+            except OSError:  # unreachable: the machine detects it by the missing answer
                 continue
 
     def pause(self) -> None:
-        """Says and hears nothing, while it is not clear who is this front."""
+        """Stops sending and receiving while two processes may both be this front."""
         if self.timer:
             self.timer.cancel()
         self.loop.watch_socket(self.sock, 0, self.on_ready)
 
     def resume(self) -> None:
         self.loop.watch_socket(self.sock, READ, self.on_ready)
-        self.arm()
+        self.set_timer()
 
     def announce_leave(self) -> None:
-        """Tells the others that this front goes on purpose. It speaks for its claims until it is closed."""
+        """Announces that this front leaves on purpose. It answers for its claims until it is closed."""
         if not self.machine.leaving:
             self.send(self.machine.leave(self.now_ms()))
 
@@ -224,8 +244,9 @@
             self.sock.close()
 
     def page(self) -> tuple[int, str, bytes]:
+        """The status page `/members`."""
         view = self.machine.view()
-        shown = {
+        status = {
             "number": self.number,
             "members": view.members,
             "cut_off": view.cut_off,
@@ -233,8 +254,8 @@
             "told": {"fronts": self.share.reported[0], "rank": self.share.reported[1]},
             "incarnation": self.machine.incarnation,
             "health": self.machine.health,
-            "states": {m.number: m.state.name.lower() for m in self.machine.members.values()},
+            "states": {member.number: member.state.name.lower() for member in self.machine.members.values()},
             "counts": self.machine.counts,
-            "refused": self.bad,
+            "refused": self.rejected_datagrams,
         }
-        return 200, "application/json", json.dumps(shown).encode() + b"\n"
+        return 200, "application/json", json.dumps(status).encode() + b"\n"
--- a/lemonhall/front/decider/peers.py
+++ b/lemonhall/front/decider/peers.py
@@ -9,7 +9,7 @@
 import struct
 from collections.abc import Callable
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.loop import Loop
 from lemonhall.loop.event_loop import READ
 
@@ -45,7 +45,7 @@
         listen: tuple[str, int],
         index: int,
         peers: dict[int, tuple[str, int]],
-        on_event: Callable[[i.Event], None],
+        on_event: Callable[[interface.Event], None],
         sock: socket.socket | None = None,
     ) -> None:
         self.loop, self.index, self.peers, self.on_event = loop, index, peers, on_event
@@ -57,7 +57,7 @@
         self.rejected_datagrams = 0  # not a peer message, or not from the address of its sender
         loop.watch_socket(self.sock, READ, self.on_ready)
 
-    def send(self, action: i.SendToPeers) -> None:
+    def send(self, action: interface.SendToPeers) -> None:
         """Sends to one peer or to all. A send error is ignored, since a datagram may be lost anyway."""
         data = encode(self.index, action.data)
         for number, address in self.peers.items():
@@ -79,7 +79,7 @@
             if decoded is None or self.peers.get(decoded[0]) != address[:2]:
                 self.rejected_datagrams += 1
                 continue
-            self.on_event(i.PeerMessage(*decoded))
+            self.on_event(interface.PeerMessage(*decoded))
 
     def close(self) -> None:
         self.loop.watch_socket(self.sock, 0, self.on_ready)
--- a/lemonhall/front/decider/recovery.py
+++ b/lemonhall/front/decider/recovery.py
@@ -1,4 +1,5 @@
-"""The machine of recovery at a front: fed with its list, members and store, its words sent, its gate kept."""
+"""Drives the state machine of recovery at a front: forwards the server list, members' messages and set-up
+requests to it, sends its messages, verifies the store at the start, and applies the admission gate."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 
 import structlog
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.boxlist import Box, Update
 from lemonhall.front.decider.membership import Membership
 from lemonhall.front.persistence.store_service import StoreService
@@ -22,65 +23,80 @@
 from lemonhall.recovery.server_pages import build_pages
 
 log = structlog.get_logger("lemonhall.front")
-WITNESS_PERIODS = 2.0  # in which others are waited for, at the start, to speak of the store
-WITNESS_LEAST_MS = 1000.0
-MINUTE_MS = 60_000.0  # after which what was heard of a server is not handed on
+CHECKPOINT_QUERY_PERIODS = 2.0  # membership periods to wait at the start for the checkpoints that others know
+CHECKPOINT_QUERY_MIN_MS = 1000.0
+LOAD_MAX_AGE_MS = 60_000.0  # older loads of a server are not sent to other fronts
 NEVER = float("-inf")
-GREET_MS = 50.0  # the seeds are greeted again after, while nobody has spoken; then twice as long each time
-GREET_MOST_MS = 400.0
+GREET_DELAY_MS = 50.0  # until the seeds are contacted again while no front has answered; doubles each time
+GREET_DELAY_MAX_MS = 400.0
 
 
-SAME = ("id", "address", "kind", "weight", "zone", "cell", "started_ms", "state")  # in a list and in words
+SHARED_FIELDS = ("id", "address", "kind", "weight", "zone", "cell", "started_ms", "state")  # of Box and Entry
 
 
-def entry_of(box: Box) -> Any:
-    return Entry(**{name: getattr(box, name) for name in SAME})
+def entry_from_box(box: Box) -> Any:
+    return Entry(**{name: getattr(box, name) for name in SHARED_FIELDS})
 
 
-def box_of(entry: Any) -> Box:
-    return Box(**{name: getattr(entry, name) for name in SAME})
+def box_from_entry(entry: Any) -> Box:
+    return Box(**{name: getattr(entry, name) for name in SHARED_FIELDS})
 
 
-def list_pages(boxes: ServerListState, memory: i.LearnedState | None, now: float) -> list[Any]:
-    """Pages of the list and of what was learned of its servers, for one that has lost both."""
-    learned = {s.server: s for s in memory.servers} if memory else {}
+def list_pages(server_list: ServerListState, memory: interface.LearnedState | None, now: float) -> list[Any]:
+    """Returns the server list and the learned state of its servers in pages, for a front that has lost
+    both."""
+    learned = {state.server: state for state in memory.servers} if memory else {}
     entries = []
-    for box in boxes.boxes.values():
-        entry = entry_of(box)
-        if one := learned.get(box.id):
-            entry.evidence, entry.others_kb = one.failure_score, max(0.0, one.other_fronts_kb)
-            entry.heard_ms_ago = max(1, round(min(MINUTE_MS, now - one.updated_at)))
-            if one.updated_at < now - MINUTE_MS:
+    for box in server_list.boxes.values():
+        entry = entry_from_box(box)
+        if state := learned.get(box.id):
+            entry.evidence, entry.others_kb = state.failure_score, max(0.0, state.other_fronts_kb)
+            entry.heard_ms_ago = max(1, round(min(LOAD_MAX_AGE_MS, now - state.updated_at)))
+            if state.updated_at < now - LOAD_MAX_AGE_MS:
                 entry.heard_ms_ago = 0
         entries.append(entry)
-    return build_pages(entries, boxes.as_of_ms, boxes.version) if entries else []
+    return build_pages(entries, server_list.as_of_ms, server_list.version) if entries else []
 
 
 def update_from_page(page: Any) -> Update:
-    return Update(version=page.version, full=True, boxes=[box_of(e) for e in page.entries])
+    return Update(version=page.version, full=True, boxes=[box_from_entry(entry) for entry in page.entries])
 
 
-def memory_from_page(page: Any, usual: i.LearnedState | None, now: float) -> i.LearnedState | None:
-    """Loads as others heard them, beside what this module knows of lengths; None: it keeps no memory."""
-    if usual is None:
+def memory_from_page(
+    page: Any, current: interface.LearnedState | None, now: float
+) -> interface.LearnedState | None:
+    """Returns the loads that other fronts know, combined with this module's own statistics of sessions.
+
+    Returns None if `current` is None, that is, if the module keeps no learned state.
+    """
+    if current is None:
         return None
     servers = tuple(
-        i.LearnedServerState(e.id, e.started_ms, e.evidence, 0.0, NEVER, e.others_kb, now - e.heard_ms_ago)
-        for e in page.entries
-        if e.heard_ms_ago
+        interface.LearnedServerState(
+            entry.id,
+            entry.started_ms,
+            entry.evidence,
+            0.0,
+            NEVER,
+            entry.others_kb,
+            now - entry.heard_ms_ago,
+        )
+        for entry in page.entries
+        if entry.heard_ms_ago
     )
-    return i.LearnedState(
+    return interface.LearnedState(
         now,
-        usual.mean_session_ms,
-        usual.sessions_ended,
-        usual.mean_set_up_ms,
-        usual.set_up_deviation_ms,
+        current.mean_session_ms,
+        current.sessions_ended,
+        current.mean_set_up_ms,
+        current.set_up_deviation_ms,
         servers,
     )
 
 
 class RecoveryDriver:
-    """`let` is told of asks that waited: they go on now (None), or are to come again after so many ms."""
+    """`on_admitted` receives each request that waited, with None if it may proceed, or the pause in ms after
+    which it should be repeated. `record_event` receives each phase for the capture."""
 
     def __init__(
         self,
@@ -102,7 +118,7 @@
         self.on_admitted, self.record_event = on_admitted, record_event
         self.timer: Timer | None = None
         self.stopped = False
-        self.greet_ms = GREET_MS
+        self.greet_delay_ms = GREET_DELAY_MS
         self.on_full: Callable[[float], object] = lambda after_s: None
         self.on_page_received: Callable[[Any], object] = lambda page: None
         if store_service:
@@ -113,12 +129,15 @@
             members.on_share_changed = machine.set_front_count
             self.update_members(members.machine.view())
 
-    # the store, before anything of it is used
+    # verification of the store, before anything in it is used
 
     def verify_store(self, period_ms: float) -> None:
-        """Runs the loop until others have said whether the store is the last one, or have not in time. One
-        that is not is put aside. Nothing is asked about a store that was only made now, nor where there are
-        no members."""
+        """Runs the loop until other fronts have confirmed that the store is the latest one, or a timeout
+        expires.
+
+        A store that is not confirmed is rejected. A newly created store is not verified, nor is any without
+        members.
+        """
         if (
             self.store_service is None
             or self.members is None
@@ -126,21 +145,29 @@
             or not self.machine.phases.other_fronts
         ):
             return
-        began = self.now()
-        self.machine.query_checkpoints(began, max(WITNESS_LEAST_MS, WITNESS_PERIODS * period_ms))
+        started_at = self.now()
+        self.machine.query_checkpoints(
+            started_at, max(CHECKPOINT_QUERY_MIN_MS, CHECKPOINT_QUERY_PERIODS * period_ms)
+        )
         self.loop.call_soon(self.on_tick)
         self.greet_seeds()
         self.loop.run(until=lambda: self.machine.store_trust is not StoreTrust.WAITING)
-        witnesses = self.machine.checkpoint_query
-        assert witnesses
-        answers, waited = len(witnesses.answers), round(self.now() - began)
-        log.info("store asked about", trust=self.machine.store_trust.value, answers=answers, waited_ms=waited)
+        query = self.machine.checkpoint_query
+        assert query
+        answers, waited_ms = len(query.answers), round(self.now() - started_at)
+        log.info(
+            "verified the store with other fronts",
+            trust=self.machine.store_trust.value,
+            answers=answers,
+            waited_ms=waited_ms,
+        )
         if self.machine.store_trust is not StoreTrust.SOUND:
-            later = max((m for m in witnesses.answers.values() if m), default=None)
+            later = max((checkpoint for checkpoint in query.answers.values() if checkpoint), default=None)
             self.store_service.reject_store(later if self.machine.store_trust is StoreTrust.OLDER else None)
 
     def greet_seeds(self) -> None:
-        """A fleet that starts together finds itself sooner than by the members' periods."""
+        """Contacts the seeds repeatedly, so that fronts that start together find one another within a
+        period."""
         if (
             self.members
             and self.machine.store_trust is StoreTrust.WAITING
@@ -148,11 +175,11 @@
         ):
             self.members.greet_seeds()
             self.loop.call_later(
-                self.greet_ms * (0.5 + self.machine.random.random()) / 1000, self.greet_seeds
+                self.greet_delay_ms * (0.5 + self.machine.random.random()) / 1000, self.greet_seeds
             )
-            self.greet_ms = min(GREET_MOST_MS, 2 * self.greet_ms)
+            self.greet_delay_ms = min(GREET_DELAY_MAX_MS, 2 * self.greet_delay_ms)
 
-    # what is seen
+    # observations
 
     def start(self) -> None:
         self.stopped = False
@@ -164,7 +191,7 @@
             self.timer.cancel()
 
     def record_list_alive(self, as_of_ms: float, servers: int) -> None:
-        """Of the list's life. `as_of_ms`: when it was true; 0: now."""
+        """Records that the server list was valid at `as_of_ms` (0 for now) with this number of servers."""
         self.machine.on_list(self.now(), as_of_ms or self.now(), servers)
         self.report_progress()
 
@@ -178,73 +205,73 @@
         self.report_progress()
 
     def request_list(self) -> None:
-        """Nothing is known of servers: others are asked."""
+        """Requests the server list from other fronts, as this one has none."""
         if self.members:
             self.machine.query_server_pages(self.now())
 
-    # asks
+    # set-up requests
 
-    def request_admission(self, number: int, worth: float, left_ms: float) -> AdmissionResult | None:
-        """None: it waits, and `let` will be told."""
-        made = self.machine.admit_request(self.now(), number, worth, left_ms)
-        if made is None:
-            self.arm()
-        return made
+    def request_admission(self, request_id: int, worth: float, left_ms: float) -> AdmissionResult | None:
+        """Returns the decision, or None if the request waits; `on_admitted` is called for it later."""
+        admission = self.machine.admit_request(self.now(), request_id, worth, left_ms)
+        if admission is None:
+            self.set_timer()
+        return admission
 
-    def drop_request(self, number: int) -> None:
-        self.machine.cancel_request(number)
+    def drop_request(self, request_id: int) -> None:
+        self.machine.cancel_request(request_id)
 
-    # time
+    # timer
 
     def on_tick(self) -> None:
-        words, admissions = self.machine.tick(self.now())
-        self.send(words)
+        messages, admissions = self.machine.tick(self.now())
+        self.send(messages)
         for admission in admissions:
             self.on_admitted(admission.request_id, admission.retry_after_ms)
         self.report_progress()
 
     def report_progress(self) -> None:
-        """Phases that were entered are said; the timer is set for whatever comes next."""
+        """Reports received pages and entered phases, and sets the timer."""
         for page in self.machine.received_pages:
             self.on_page_received(page)
         self.machine.received_pages.clear()
-        entered, self.machine.entered_phases = self.machine.entered_phases, []
-        for one in entered:
-            words = f"{one.phase.name.lower()} after {one.after_ms / 1000:.2f} s"
-            words += f", without {one.missing}" if one.missing else ""
+        phases, self.machine.entered_phases = self.machine.entered_phases, []
+        for entered in phases:
+            text = f"{entered.phase.name.lower()} after {entered.after_ms / 1000:.2f} s"
+            text += f", without {entered.missing}" if entered.missing else ""
             gate = self.machine.gate
             log.info(
-                "phase",
-                pace=round(gate.rate_per_s, 1) if gate.rate_per_s < inf else None,
-                waiting=len(gate.waiting),
-                phase=one.phase.name.lower(),
-                after_s=round(one.after_ms / 1000, 2),
-                lacks=one.missing,
+                "recovery phase entered",
+                admissions_per_s=round(gate.rate_per_s, 1) if gate.rate_per_s < inf else None,
+                waiting_requests=len(gate.waiting),
+                phase=entered.phase.name.lower(),
+                after_s=round(entered.after_ms / 1000, 2),
+                missing=entered.missing,
             )
-            self.record_event(words)
-            if one.phase is Phase.FULL:
-                self.on_full(round(one.after_ms / 1000, 2))
-        self.arm()
+            self.record_event(text)
+            if entered.phase is Phase.FULL:
+                self.on_full(round(entered.after_ms / 1000, 2))
+        self.set_timer()
 
-    def arm(self) -> None:
+    def set_timer(self) -> None:
         if self.timer:
             self.timer.cancel()
         if not self.stopped:
             wait_s = max(0.001, (self.machine.next_tick_at() - self.now()) / 1000)
             self.timer = self.loop.call_later(wait_s, self.on_tick)
 
-    def send(self, words: list[OutgoingMessage]) -> None:
+    def send(self, messages: list[OutgoingMessage]) -> None:
         if self.members is None or self.stopped:
             return
-        for out in words:
-            message = Message(kind=RECOVERY, sender=self.members.number, recovery=out.data)
-            self.members.send_to_front(out.to, message)
+        for outgoing in messages:
+            message = Message(kind=RECOVERY, sender=self.members.number, recovery=outgoing.data)
+            self.members.send_to_front(outgoing.to, message)
 
-    # what is shown
+    # status page
 
     def show(self) -> dict[str, Any]:
         return self.machine.status(self.now())
 
     def page(self) -> tuple[int, str, bytes]:
-        """`/health`: 200 while the process serves at all, with how far it has come back."""
+        """The status page `/health`: 200 while the process serves at all, with the progress of recovery."""
         return 200, "application/json", json.dumps(self.show()).encode() + b"\n"
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -1,8 +1,8 @@
-"""What is asked of this front, on the deciding side: the module's events made of what workers say, its
-actions given to them, and the ledger of paid claims between the two.
+"""Set-up requests on the decider's side: turns workers' messages into events for the decision module, the
+module's actions into messages for the workers, and records attempts of paid claims in the ledger in between.
 
-An ask is what the module knows as a session. It is here from the worker's `Asked` to the end of its last
-attempt.
+A set-up request is what the module knows as a session. It exists from the worker's `SetUpRequested` to the
+end of its last attempt.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import structlog
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.capture.story import advice_words
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.decider.bridge import Bridge
@@ -60,50 +60,63 @@
 from lemonhall.store import Begun, Hold, Token, Verdict
 
 log = structlog.get_logger("lemonhall.front")
-ASK_PART = 0.4  # of the time that is left: another front's word on a claim is waited for
+CLAIM_QUERY_SHARE = 0.4  # of the time until the deadline, to wait for another front's answer about a claim
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-FAILPOINTS = ("given", "written", "cleared")  # of a paid attempt; for tests, as in a change of guard
-LATE_S = 1.0  # behind the deadline: a worker that has said nothing by then does not run
+FAILPOINTS = ("given", "written", "cleared")  # of a paid attempt, for tests
+OVERDUE_S = 1.0  # after the deadline; a worker that has sent nothing by then is not running
 
 
-class Line(Protocol):
-    """To one worker. `number` is of the link: a worker that comes again has another."""
+class WorkerConnection(Protocol):
+    """A connection to one worker. `number` identifies the connection: a worker that reconnects has
+    another."""
 
     number: int
 
     def send(self, message: Message) -> bool: ...
 
 
-class Ask:
-    def __init__(self, line: Line, said: SetUpRequested) -> None:
-        self.line, self.said, self.number, self.deadline = line, said, said.request_id, said.deadline
+class SetUpRequest:
+    """The state of one request. `message` is the worker's request, unchanged."""
+
+    def __init__(self, connection: WorkerConnection, message: SetUpRequested) -> None:
+        self.connection, self.message, self.request_id, self.deadline = (
+            connection,
+            message,
+            message.request_id,
+            message.deadline,
+        )
         self.rung = 0
-        self.attempts = 0
-        self.out: OpenAttempt | None = None  # the attempt that is out, or plays
+        self.attempt_count = 0
+        self.open_attempt: OpenAttempt | None = None  # in progress or playing
         self.answered = False
-        self.came = 0.0  # when it was asked for
-        self.advice = i.NO_ADVICE  # what the module was told of wishes for it
-        self.hold: Hold | None = None  # of a paid claim: the right to set it up
-        self.told: i.NewSession | None = None  # as the module was told of it
-        self.reason = ""  # given by a hook that wishes it refused
-        self.cls = said.cls  # as the module was told
+        self.received_at = 0.0
+        self.advice = interface.NO_ADVICE  # as last reported to the module
+        self.hold: Hold | None = None  # the right to set up a paid claim
+        self.new_session: interface.NewSession | None = None  # the event sent to the module
+        self.reason = ""  # of a refusal, from a hook or a limit
+        self.cls = message.cls  # the class reported to the module, which a hook may have changed
         self.moving = False
-        self.since = 0.0  # when it came to play
+        self.playing_since = 0.0
 
 
-def advice_of(packed: dict[str, Any]) -> i.Advice:
-    pairs = {n: tuple((str(a), int(b)) for a, b in packed[n]) for n in ("prefer", "avoid")}
-    return i.Advice(**{**packed, **pairs, "bars": tuple(int(n) for n in packed.get("bars", ()))})
+def parse_advice(packed: dict[str, Any]) -> interface.Advice:
+    pairs = {
+        name: tuple((str(kind), int(number)) for kind, number in packed[name]) for name in ("prefer", "avoid")
+    }
+    return interface.Advice(
+        **{**packed, **pairs, "bars": tuple(int(zone) for zone in packed.get("bars", ()))}
+    )
 
 
-def remembered(memo: bytes) -> tuple[int, i.Advice, str]:
-    """Of `Asks.memo`. Raises `ValueError`, `KeyError` or `TypeError`."""
+def parse_memo(memo: bytes) -> tuple[int, interface.Advice, str]:
+    """Parses the result of `SetUpRequests.pack_memo`. Raises `ValueError`, `KeyError` or `TypeError`."""
     cls, advice, reason = json.loads(memo)
-    return int(cls), advice_of(advice), str(reason)
+    return int(cls), parse_advice(advice), str(reason)
 
 
 class SetUpRequests:
-    """`addresses` gives a server's address by its number, also of servers that have left the list."""
+    """All open requests of this front. `addresses` returns a server's address by its id, also for servers
+    that were removed from the list."""
 
     def __init__(
         self,
@@ -117,9 +130,9 @@
     ) -> None:
         self.loop, self.settings, self.bridge, self.counts = loop, settings, bridge, counts
         self.addresses, self.hooks = addresses, hooks
-        self.open_requests: dict[int, Ask] = {}
-        self.attempt_table = AttemptRegistry()
-        self.holds: dict[tuple[int, int], Hold] = {}  # of attempts that are out, by ask and attempt
+        self.open_requests: dict[int, SetUpRequest] = {}
+        self.attempt_registry = AttemptRegistry()
+        self.holds: dict[tuple[int, int], Hold] = {}  # of open attempts, by request and attempt number
         self.failpoint: Callable[[str], object] = lambda name: None
         self.on_set_up_time: Callable[[float], object] = lambda ms: None
         self.recorder: SessionRecorder | None = None
@@ -128,480 +141,613 @@
         self.zones: ZonesDriver | None = None
         self.limits: LimitsDriver | None = None
         self.recovery: RecoveryDriver | None = None
-        self.held_verdicts: dict[int, Verdict] = {}  # held back by the return: what was said of their claims
+        self.held_verdicts: dict[int, Verdict] = {}  # on the claims of requests that wait for admission
         self.pool_preferences = PoolPreferences(
             settings, self.attempts_by_server, self.counts, Random(random.random())
         )
-        self.message_handlers: dict[type[Message], Callable[[Line, Any], object]] = {
-            SetUpRequested: self.asked,
-            PlaybackStarted: self.playing,
-            AttemptFinished: self.ended,
-            ServerNote: self.noted,
-            ViewerGone: self.gone,
-            DeadlineExpired: self.lapsed,
-            SessionClosed: self.over,
-            OngoingSession: self.carried,
+        self.message_handlers: dict[type[Message], Callable[[WorkerConnection, Any], object]] = {
+            SetUpRequested: self.on_request,
+            PlaybackStarted: self.on_playing,
+            AttemptFinished: self.on_attempt_finished,
+            ServerNote: self.on_note,
+            ViewerGone: self.on_viewer_gone,
+            DeadlineExpired: self.on_deadline_expired,
+            SessionClosed: self.on_session_closed,
+            OngoingSession: self.on_ongoing_session,
         }
         bridge.action_handlers.update(
             {
-                i.SetUp: self.set_up,
-                i.SetRung: self.set_rung,
-                i.Refuse: self.refuse,
-                i.Fail: self.fail,
-                i.Move: self.move,
-                i.Cancel: self.cancel,
+                interface.SetUp: self.set_up,
+                interface.SetRung: self.set_rung,
+                interface.Refuse: self.refuse,
+                interface.Fail: self.fail,
+                interface.Move: self.move,
+                interface.Cancel: self.cancel,
             }
         )
 
-    def on_worker_message(self, line: Line, message: Message) -> bool:
-        """A worker's word. False: it is not about an ask."""
-        if act := self.message_handlers.get(type(message)):
-            act(line, message)
+    def on_worker_message(self, connection: WorkerConnection, message: Message) -> bool:
+        """Handles a worker's message. Returns False if it is not about a set-up request."""
+        if handler := self.message_handlers.get(type(message)):
+            handler(connection, message)
             return True
         return False
 
     def attempts_by_server(self) -> Counter[int]:
-        """Attempts that are out or play, by server."""
-        return Counter(out.server for out in self.attempt_table.open_attempts.values())
+        """Counts the attempts that are in progress or playing, by server id."""
+        return Counter(attempt.server for attempt in self.attempt_registry.open_attempts.values())
+
+    # messages of workers
 
-    # what workers say
+    def on_request(self, connection: WorkerConnection, message: SetUpRequested) -> None:
+        """Reports the request to the module, after the claim's own front has answered if it has a claim.
 
-    def asked(self, line: Line, said: SetUpRequested) -> None:
-        """The module is told now, or when a claim's own front has spoken. What is late has had its answer."""
+        A request past its deadline is ignored, as the worker has answered it.
+        """
         now = self.loop.now()
-        if said.deadline <= now or not self.attempt_table.add_request(line.number, said.request_id):
+        if message.deadline <= now or not self.attempt_registry.add_request(
+            connection.number, message.request_id
+        ):
             self.counts["asked_late"] += 1
             return
-        ask = self.open_requests[said.request_id] = Ask(line, said)
-        ask.came = now
+        request = self.open_requests[message.request_id] = SetUpRequest(connection, message)
+        request.received_at = now
         self.counts["asked"] += 1
-        if self.recorder and not said.moved:
-            self.recorder.on_request(said, now * 1000)
-        claim = None if said.moved else Token.parse(said.claim)
+        if self.recorder and not message.moved:
+            self.recorder.on_request(message, now * 1000)
+        claim = None if message.moved else Token.parse(message.claim)
         if claim is None:
-            self.admit(ask, Verdict.RAN if said.maybe_ran else Verdict.GO)
+            self.admit(request, Verdict.RAN if message.maybe_ran else Verdict.GO)
             return
-        if said.unsent_attempt and self.store_service:
-            self.store_service.settle_unsent(claim, said.unsent_turn, said.unsent_attempt)
-        self.claim_resolver.begin(claim, ASK_PART * (said.deadline - now), partial(self.begun, ask))
+        if message.unsent_attempt and self.store_service:
+            self.store_service.settle_unsent(claim, message.unsent_turn, message.unsent_attempt)
+        self.claim_resolver.begin(
+            claim,
+            CLAIM_QUERY_SHARE * (message.deadline - now),
+            partial(self.on_claim_resolved, request),
+        )
 
-    def begun(self, ask: Ask, begun: Begun) -> None:
-        """Whether a claim may be set up here is known, or that nobody can say in time."""
-        if self.open_requests.get(ask.number) is not ask:
+    def on_claim_resolved(self, request: SetUpRequest, begun: Begun) -> None:
+        """Called once it is known whether the claim may be set up here, or that no front can say so in
+        time."""
+        if self.open_requests.get(request.request_id) is not request:
             return
-        ask.hold = begun.hold
-        verdict = Verdict.RAN if ask.said.maybe_ran else begun.verdict
+        request.hold = begun.hold
+        verdict = Verdict.RAN if request.message.maybe_ran else begun.verdict
         self.counts[f"claim_{verdict.value}"] += verdict is not Verdict.GO
-        self.admit(ask, verdict)
+        self.admit(request, verdict)
+
+    def admit(self, request: SetUpRequest, verdict: Verdict) -> None:
+        """Passes the request through the admission gate of a recovering front, which follows the fleet's
+        capacity.
 
-    def admit(self, ask: Ask, verdict: Verdict) -> None:
-        """A front that comes back lets through what the fleet can take. What plays, or is only to be told
-        off, may go."""
-        if self.recovery is None or ask.said.moved or verdict is not Verdict.GO:
-            self.tell(ask, verdict)
+        Moved sessions, and requests that the verdict on their claim rejects, bypass the gate.
+        """
+        if self.recovery is None or request.message.moved or verdict is not Verdict.GO:
+            self.submit(request, verdict)
             return
-        worth = self.settings.terms.classes[ask.said.cls].worth
-        self.held_verdicts[ask.number] = verdict
-        made = self.recovery.request_admission(ask.number, worth, (ask.deadline - self.loop.now()) * 1000)
-        if made:
-            self.release_held_request(made.request_id, made.retry_after_ms)
-
-    def release_held_request(self, number: int, pause_ms: float | None) -> None:
-        """An ask that was held back: on with it, or it is wished away with a pause."""
-        ask, verdict = self.open_requests.get(number), self.held_verdicts.pop(number, None)
-        if ask and verdict:
+        worth = self.settings.terms.classes[request.message.cls].worth
+        self.held_verdicts[request.request_id] = verdict
+        admission = self.recovery.request_admission(
+            request.request_id, worth, (request.deadline - self.loop.now()) * 1000
+        )
+        if admission:
+            self.release_held_request(admission.request_id, admission.retry_after_ms)
+
+    def release_held_request(self, request_id: int, pause_ms: float | None) -> None:
+        """Submits a request that waited for admission. With `pause_ms`, it is to be refused with that
+        pause."""
+        request, verdict = (
+            self.open_requests.get(request_id),
+            self.held_verdicts.pop(request_id, None),
+        )
+        if request and verdict:
             self.counts["told_to_wait"] += pause_ms is not None
-            self.tell(ask, verdict, pause_ms)
+            self.submit(request, verdict, pause_ms)
 
-    def tell(self, ask: Ask, verdict: Verdict, pause_ms: float | None = None) -> None:
-        """Tells the module of a session asked for: once. A claim that nobody can speak for is wished away."""
-        left_ms = max(1.0, (ask.deadline - self.loop.now()) * 1000)
-        said, capture = ask.said, self.bridge.capture
+    def submit(self, request: SetUpRequest, verdict: Verdict, pause_ms: float | None = None) -> None:
+        """Reports the request to the module, once, with the advice of hooks, pools, zones and limits.
+
+        If no front could resolve the claim, the advice is to refuse.
+        """
+        left_ms = max(1.0, (request.deadline - self.loop.now()) * 1000)
+        message, capture = request.message, self.bridge.capture
         if capture:
             capture.add_note(
-                self.bridge.now_ms(), "viewer", f"session {said.session_id} {said.path}", ask.number
+                self.bridge.now_ms(),
+                "viewer",
+                f"session {message.session_id} {message.path}",
+                request.request_id,
             )
-        ruling = self.hooks.run("arrival", ask, said.moved)
-        ask.advice, ask.reason, ask.cls = ruling.advice, ruling.reason, ruling.cls
-        if capture and (ruling.advice != i.NO_ADVICE or ruling.cls != said.cls):
+        ruling = self.hooks.run("arrival", request, message.moved)
+        request.advice, request.reason, request.cls = ruling.advice, ruling.reason, ruling.cls
+        if capture and (ruling.advice != interface.NO_ADVICE or ruling.cls != message.cls):
             words = advice_words(ruling.advice)
-            if ruling.cls != said.cls:
+            if ruling.cls != message.cls:
                 words += f", counts as {self.settings.terms.class_names[ruling.cls]}"
-            capture.add_note(self.bridge.now_ms(), "hook", f"arrival: {words}", ask.number)
-        prefer = said.prefer + self.pool_preferences.preferences(said.pool, said.key or said.viewer_name)
-        if prefer:  # the route's pool; what a hook says comes first
-            ask.advice = merge(i.Advice(prefer=prefer), ruling.advice)
+            capture.add_note(self.bridge.now_ms(), "hook", f"arrival: {words}", request.request_id)
+        prefer = message.prefer + self.pool_preferences.preferences(
+            message.pool, message.key or message.viewer_name
+        )
+        if prefer:  # the preference of the route's pool yields to that of a hook
+            request.advice = merge(interface.Advice(prefer=prefer), ruling.advice)
         if self.zones:
-            ask.advice = merge(
-                self.zones.advice_for(ask.number, ask.cls, said.first_cell, said.cells), ask.advice
+            request.advice = merge(
+                self.zones.advice_for(request.request_id, request.cls, message.first_cell, message.cells),
+                request.advice,
             )
         if self.limits:
-            self.take_room(ask, self.limits)
+            self.reserve_limits(request, self.limits)
         if verdict is Verdict.UNKNOWN:
-            ask.advice = merge(ask.advice, i.Advice(refuse=True))
+            request.advice = merge(request.advice, interface.Advice(refuse=True))
         if pause_ms is not None:
-            ask.advice = merge(ask.advice, i.Advice(refuse=True, pause_ms=max(1.0, pause_ms)))
-        told = self.new_session(ask, left_ms, verdict is Verdict.RAN)
-        ask.told = replace(told, waited_ms=(self.loop.now() - ask.came) * 1000)
-        self.bridge.enqueue(ask.told)
-
-    def take_room(self, ask: Ask, limits: LimitsDriver) -> None:
-        """Under the limits of the whole fleet, or it is wished away with a pause."""
-        said = ask.said
-        moved = said.session_id if said.moved else ""
-        ruling = limits.reserve(ask.number, said.tenant, ask.cls, str(said.title), said.top_rung, moved)
-        advice = i.Advice(cap=ruling.rung_cap)
+            request.advice = merge(request.advice, interface.Advice(refuse=True, pause_ms=max(1.0, pause_ms)))
+        new_session = self.build_new_session(request, left_ms, verdict is Verdict.RAN)
+        request.new_session = replace(new_session, waited_ms=(self.loop.now() - request.received_at) * 1000)
+        self.bridge.enqueue(request.new_session)
+
+    def reserve_limits(self, request: SetUpRequest, limits: LimitsDriver) -> None:
+        """Reserves the session under the limits of the fleet, or advises to refuse it with a pause."""
+        message = request.message
+        moved = message.session_id if message.moved else ""
+        ruling = limits.reserve(
+            request.request_id,
+            message.tenant,
+            request.cls,
+            str(message.title),
+            message.top_rung,
+            moved,
+        )
+        advice = interface.Advice(cap=ruling.rung_cap)
         if ruling.refused_by:
             self.counts["over_limit"] += 1
-            ask.reason = f"limit {ruling.refused_by}"
-            advice = i.Advice(refuse=True, pause_ms=max(1.0, ruling.retry_after_ms))
-        ask.advice = merge(ask.advice, advice)
-
-    def new_session(self, ask: Ask, left_ms: float, ran: bool) -> i.NewSession:
-        said = ask.said
-        return i.NewSession(
-            id=ask.number,
-            cls=ask.cls,
-            viewer=said.viewer,
-            title=said.title,
+            request.reason = f"limit {ruling.refused_by}"
+            advice = interface.Advice(refuse=True, pause_ms=max(1.0, ruling.retry_after_ms))
+        request.advice = merge(request.advice, advice)
+
+    def build_new_session(
+        self, request: SetUpRequest, left_ms: float, maybe_ran: bool
+    ) -> interface.NewSession:
+        message = request.message
+        return interface.NewSession(
+            id=request.request_id,
+            cls=request.cls,
+            viewer=message.viewer,
+            title=message.title,
             left_ms=left_ms,
-            top=said.top_rung,
-            first_cell=said.first_cell,
-            cells=said.cells,
-            tenant=said.tenant,
-            moved=said.moved,
-            repeated=said.moved or said.again,
-            advice=ask.advice,
-            maybe_ran=ran,
+            top=message.top_rung,
+            first_cell=message.first_cell,
+            cells=message.cells,
+            tenant=message.tenant,
+            moved=message.moved,
+            repeated=message.moved or message.again,
+            advice=request.advice,
+            maybe_ran=maybe_ran,
         )
 
-    def playing(self, line: Line, word: PlaybackStarted) -> None:
-        ask = self.mine(line, word.request_id, word.attempt)
-        if ask is None or ask.answered:
+    def on_playing(self, connection: WorkerConnection, message: PlaybackStarted) -> None:
+        request = self.find_request(connection, message.request_id, message.attempt)
+        if request is None or request.answered:
             return
-        ask.answered, ask.since = True, self.loop.now()
+        request.answered, request.playing_since = True, self.loop.now()
         self.counts["played"] += 1
-        self.on_set_up_time(word.took_ms)
+        self.on_set_up_time(message.took_ms)
         if self.zones:
-            self.zones.on_playing(ask.number, word.server)
+            self.zones.on_playing(request.request_id, message.server)
         if self.store_service:
-            said = ask.said
-            self.store_service.save_session(said.session_id, said.claim, said.path, said.cls, word.server)
-        self.bridge.enqueue(i.Playing(ask.number, word.attempt, word.server, word.took_ms))
-        for name, value in zip(self.settings.terms.report_fields, word.report, strict=False):
-            if kind := {"x0": i.NoteKind.LINK, "x1": i.NoteKind.UPLINK}.get(name):
-                self.note(ask.number, word.attempt, word.server, kind, value)  # as a note of now
-
-    def mine(self, line: Line, number: int, attempt: int) -> Ask | None:
-        """The ask of a line whose attempt this is."""
-        ask = self.open_requests.get(number)
-        if ask is None or ask.line is not line or ask.out is None or ask.out.number != attempt:
+            requested = request.message
+            self.store_service.save_session(
+                requested.session_id, requested.claim, requested.path, requested.cls, message.server
+            )
+        self.bridge.enqueue(
+            interface.Playing(request.request_id, message.attempt, message.server, message.took_ms)
+        )
+        for name, value in zip(self.settings.terms.report_fields, message.report, strict=False):
+            if kind := {"x0": interface.NoteKind.LINK, "x1": interface.NoteKind.UPLINK}.get(name):
+                # the load reported with the set-up counts as a note received now
+                self.report_note(request.request_id, message.attempt, message.server, kind, value)
+
+    def find_request(
+        self, connection: WorkerConnection, request_id: int, attempt: int
+    ) -> SetUpRequest | None:
+        """Returns the connection's request if `attempt` is its current attempt."""
+        request = self.open_requests.get(request_id)
+        if (
+            request is None
+            or request.connection is not connection
+            or request.open_attempt is None
+            or request.open_attempt.number != attempt
+        ):
             return None
-        return ask
+        return request
 
-    def noted(self, line: Line, word: ServerNote) -> None:
-        if self.mine(line, word.request_id, word.attempt):
-            self.note(word.request_id, word.attempt, word.server, word.note_kind, word.value)
+    def on_note(self, connection: WorkerConnection, message: ServerNote) -> None:
+        if self.find_request(connection, message.request_id, message.attempt):
+            self.report_note(
+                message.request_id, message.attempt, message.server, message.note_kind, message.value
+            )
 
-    def note(self, ask: int, attempt: int, server: int, kind: int, value: float) -> None:
-        self.bridge.enqueue(i.Note(ask, attempt, server, kind, value))
+    def report_note(self, request_id: int, attempt: int, server: int, kind: int, value: float) -> None:
+        self.bridge.enqueue(interface.Note(request_id, attempt, server, kind, value))
         if self.zones:
             self.zones.on_outcome(server, Outcome.OK)
-        if kind == i.NoteKind.LINK:
+        if kind == interface.NoteKind.LINK:
             self.hooks.on_link_use(server, value)
 
-    def gone(self, line: Line, word: ViewerGone) -> None:
-        """The module is told now; of the end of an attempt that is out when it comes."""
-        ask = self.open_requests.get(word.request_id)
-        if ask is None or ask.line is not line:
+    def on_viewer_gone(self, connection: WorkerConnection, message: ViewerGone) -> None:
+        """Reports to the module at once that the viewer is gone; the end of an open attempt follows
+        separately."""
+        request = self.open_requests.get(message.request_id)
+        if request is None or request.connection is not connection:
             return
-        self.counts["viewer_gone"] += not ask.answered
-        if ask.told:
-            self.bridge.enqueue_viewer_gone(ask.told)
-        if ask.out is None:
-            self.close_request(ask)
-
-    def ended(self, line: Line, word: AttemptFinished) -> None:
-        out = self.attempt_table.finish_attempt(line.number, word.request_id, word.attempt)
-        if out is None:
+        self.counts["viewer_gone"] += not request.answered
+        if request.new_session:
+            self.bridge.enqueue_viewer_gone(request.new_session)
+        if request.open_attempt is None:
+            self.close_request(request)
+
+    def on_attempt_finished(self, connection: WorkerConnection, message: AttemptFinished) -> None:
+        attempt = self.attempt_registry.finish_attempt(connection.number, message.request_id, message.attempt)
+        if attempt is None:
             return
-        outcome = Outcome(word.outcome)
-        self.settle(out, word.request_sent and outcome not in NEVER_RAN)
-        if self.limits and word.moving and word.request_id in self.open_requests:
-            self.limits.park(word.request_id, self.open_requests[word.request_id].said.session_id)
+        outcome = Outcome(message.outcome)
+        self.settle_claim(attempt, message.request_sent and outcome not in NEVER_RAN)
+        if self.limits and message.moving and message.request_id in self.open_requests:
+            self.limits.park(message.request_id, self.open_requests[message.request_id].message.session_id)
         else:
-            self.give_room_back(word.request_id)
+            self.release_limits(message.request_id)
         if self.zones:
-            self.zones.on_outcome(word.server, outcome)
-        ask = self.open_requests.get(word.request_id)
-        if ask is None or ask.out is not out:
+            self.zones.on_outcome(message.server, outcome)
+        request = self.open_requests.get(message.request_id)
+        if request is None or request.open_attempt is not attempt:
             return
-        ask.out = None
+        request.open_attempt = None
         self.counts[f"ended_{outcome.name.lower()}"] += 1
-        if outcome not in (Outcome.OK, Outcome.MOOT, Outcome.CANCELLED) and not word.viewer_gone:
-            self.broke(ask, outcome, word)
-        told = i.AttemptEnded(
-            ask.number, word.attempt, word.server, outcome, word.request_closed, word.took_ms, word.report
+        if outcome not in (Outcome.OK, Outcome.MOOT, Outcome.CANCELLED) and not message.viewer_gone:
+            self.run_break_hooks(request, outcome, message)
+        event = interface.AttemptEnded(
+            request.request_id,
+            message.attempt,
+            message.server,
+            outcome,
+            message.request_closed,
+            message.took_ms,
+            message.report,
         )
-        self.bridge.enqueue(told)
-        if word.request_closed:
-            self.close_request(ask)
+        self.bridge.enqueue(event)
+        if message.request_closed:
+            self.close_request(request)
 
-    def settle(self, out: OpenAttempt, ran: bool) -> None:
-        hold = self.holds.pop((out.request_id, out.number), None)
+    def settle_claim(self, attempt: OpenAttempt, ran: bool) -> None:
+        """Records in the ledger that an attempt of a paid claim has ended, and whether it may have run."""
+        hold = self.holds.pop((attempt.request_id, attempt.number), None)
         if hold and self.store_service:
             self.store_service.settle(hold, ran)
 
-    def broke(self, ask: Ask, outcome: Outcome, word: AttemptFinished) -> None:
-        """The hooks are heard of a break before the module is told of it."""
-        facts = {"outcome": outcome.name.lower(), "played": word.played_ms}
-        ruling = self.hooks.run("break", ask, word.moving, **facts)
-        if not ask.answered:
-            self.advise(ask, ruling.advice)
-
-    def lapsed(self, line: Line, word: DeadlineExpired) -> None:
-        """The worker has answered in our place: the module was silent, or this process did not run."""
-        ask = self.open_requests.get(word.request_id)
-        if ask is None or ask.line is not line:
+    def run_break_hooks(self, request: SetUpRequest, outcome: Outcome, message: AttemptFinished) -> None:
+        """Runs the hooks for a failed attempt or stream, before the module receives the failure."""
+        facts = {"outcome": outcome.name.lower(), "played": message.played_ms}
+        ruling = self.hooks.run("break", request, message.moving, **facts)
+        if not request.answered:
+            self.update_advice(request, ruling.advice)
+
+    def on_deadline_expired(self, connection: WorkerConnection, message: DeadlineExpired) -> None:
+        """The worker answered the viewer itself, as the module did not decide or this process did not run in
+        time."""
+        request = self.open_requests.get(message.request_id)
+        if request is None or request.connection is not connection:
             return
         self.counts["overdue"] += 1
-        log.error("no answer by the deadline", session=ask.said.session_id, ask=ask.number)
-        if ask.told:
-            self.bridge.enqueue_viewer_gone(ask.told)
-        self.close_request(ask)
+        log.error(
+            "no decision by the deadline; the worker answered the viewer",
+            session=request.message.session_id,
+            request_id=request.request_id,
+        )
+        if request.new_session:
+            self.bridge.enqueue_viewer_gone(request.new_session)
+        self.close_request(request)
 
-    def over(self, line: Line, word: SessionClosed) -> None:
+    def on_session_closed(self, connection: WorkerConnection, message: SessionClosed) -> None:
         if self.recorder:
-            played = word.played_ms if word.played_ms >= 0 else None
-            self.recorder.on_session_over(word.session_id, played, word.vanished)
-        if word.played_ms >= 0 and self.store_service:
-            self.store_service.remove_session(word.session_id)
-
-    def carried(self, line: Line, word: OngoingSession) -> None:
-        """It plays, under a set-up of a decider that is gone, or of a front that this one relieves."""
-        said = MessageDecoder().feed(word.request)[0]
-        if isinstance(said, MalformedMessage) or not isinstance(said, SetUpRequested):
+            played_ms = message.played_ms if message.played_ms >= 0 else None
+            self.recorder.on_session_over(message.session_id, played_ms, message.vanished)
+        if message.played_ms >= 0 and self.store_service:
+            self.store_service.remove_session(message.session_id)
+
+    def on_ongoing_session(self, connection: WorkerConnection, message: OngoingSession) -> None:
+        """Adopts a playing session that was set up by an earlier decider, or by the predecessor of this
+        front."""
+        requested = MessageDecoder().feed(message.request)[0]
+        if isinstance(requested, MalformedMessage) or not isinstance(requested, SetUpRequested):
             self.counts["carried_unreadable"] += 1
             return
-        said.request_id = word.request_id
-        if not self.attempt_table.add_request(line.number, word.request_id):
+        requested.request_id = message.request_id
+        if not self.attempt_registry.add_request(connection.number, message.request_id):
             return
-        ask = self.open_requests[word.request_id] = Ask(line, said)
-        ask.answered, ask.rung, ask.attempts, ask.since = True, word.rung, 1, word.playing_since
-        if word.memo:
-            ask.cls, ask.advice, ask.reason = remembered(word.memo)
-        ask.told = self.new_session(ask, max(1.0, (said.deadline - self.loop.now()) * 1000), False)
-        ask.out = self.attempt_table.add_attempt(word.request_id, 0, word.server, True)
+        request = self.open_requests[message.request_id] = SetUpRequest(connection, requested)
+        request.answered, request.rung, request.attempt_count, request.playing_since = (
+            True,
+            message.rung,
+            1,
+            message.playing_since,
+        )
+        if message.memo:
+            request.cls, request.advice, request.reason = parse_memo(message.memo)
+        request.new_session = self.build_new_session(
+            request, max(1.0, (requested.deadline - self.loop.now()) * 1000), False
+        )
+        request.open_attempt = self.attempt_registry.add_attempt(message.request_id, 0, message.server, True)
         if self.store_service:
-            self.store_service.save_session(said.session_id, said.claim, said.path, said.cls, word.server)
-            if word.claim_attempts and (claim := Token.parse(said.claim)):
-                self.holds[word.request_id, 0] = Hold(claim, word.claim_turn, 0)
+            self.store_service.save_session(
+                requested.session_id, requested.claim, requested.path, requested.cls, message.server
+            )
+            if message.claim_attempts and (claim := Token.parse(requested.claim)):
+                self.holds[message.request_id, 0] = Hold(claim, message.claim_turn, 0)
         self.counts["carried"] += 1
         if self.zones:
-            self.zones.adopt_session(word.request_id, ask.cls, word.rung, word.server)
+            self.zones.adopt_session(message.request_id, request.cls, message.rung, message.server)
         if self.limits:
-            self.limits.adopt_session(word.request_id, said.tenant, ask.cls, str(said.title), word.rung)
-        self.bridge.enqueue(i.HandedOver(ask.told, word.server))
-        self.bridge.enqueue(i.Note(word.request_id, 0, word.server, i.NoteKind.RUNG, float(word.rung)))
-
-    def on_worker_lost(self, line: Line) -> None:
-        """A worker's link has ended: every end that it owes is told here, once."""
-        asks, ends = self.attempt_table.remove_connection(line.number)
-        for out, proof in ends:
-            self.settle(out, proof is Execution.MAY_HAVE_RUN)
-        told = {out.request_id: out for out, _ in ends}
-        for number in asks:
-            ask = self.open_requests.pop(number)
-            if self.held_verdicts.pop(number, None) and self.recovery:
-                self.recovery.drop_request(number)
+            self.limits.adopt_session(
+                message.request_id,
+                requested.tenant,
+                request.cls,
+                str(requested.title),
+                message.rung,
+            )
+        self.bridge.enqueue(interface.HandedOver(request.new_session, message.server))
+        self.bridge.enqueue(
+            interface.Note(
+                message.request_id, 0, message.server, interface.NoteKind.RUNG, float(message.rung)
+            )
+        )
+
+    def on_worker_lost(self, connection: WorkerConnection) -> None:
+        """Closes all requests of a lost connection and reports the end of each of its open attempts once."""
+        request_ids, ends = self.attempt_registry.remove_connection(connection.number)
+        for attempt, execution in ends:
+            self.settle_claim(attempt, execution is Execution.MAY_HAVE_RUN)
+        last_attempts = {attempt.request_id: attempt for attempt, _ in ends}
+        for request_id in request_ids:
+            request = self.open_requests.pop(request_id)
+            if self.held_verdicts.pop(request_id, None) and self.recovery:
+                self.recovery.drop_request(request_id)
             if self.zones:
-                self.zones.on_session_over(number)
-            self.give_room_back(number)
-            if ask.hold and self.store_service:
-                self.store_service.ledger.over(ask.hold)
-            if ask.answered and self.store_service:
-                self.store_service.remove_session(ask.said.session_id)
+                self.zones.on_session_over(request_id)
+            self.release_limits(request_id)
+            if request.hold and self.store_service:
+                self.store_service.ledger.over(request.hold)
+            if request.answered and self.store_service:
+                self.store_service.remove_session(request.message.session_id)
             if self.recorder:
-                played = (self.loop.now() - ask.since) * 1000 if ask.answered else None
-                self.recorder.on_session_over(ask.said.session_id, played, not ask.answered)
-            if ask.told:
-                self.bridge.enqueue_viewer_gone(ask.told)
-            if ask.out and (last := told.get(number)):
-                ended = i.AttemptEnded(number, last.number, last.server, Outcome.CANCELLED, True, 0.0)
-                self.bridge.enqueue(ended)
-        if asks:
-            self.counts["lost_with_worker"] += len(asks)
+                played_ms = (self.loop.now() - request.playing_since) * 1000 if request.answered else None
+                self.recorder.on_session_over(request.message.session_id, played_ms, not request.answered)
+            if request.new_session:
+                self.bridge.enqueue_viewer_gone(request.new_session)
+            if request.open_attempt and (last := last_attempts.get(request_id)):
+                event = interface.AttemptEnded(
+                    request_id, last.number, last.server, Outcome.CANCELLED, True, 0.0
+                )
+                self.bridge.enqueue(event)
+        if request_ids:
+            self.counts["lost_with_worker"] += len(request_ids)
 
     def expire_overdue_requests(self) -> None:
-        """Asks of workers that do not run: at some time after the deadline nobody waits any more."""
-        until = self.loop.now() - LATE_S
-        for ask in [a for a in self.open_requests.values() if not a.answered and a.deadline < until]:
+        """Closes unanswered requests some time after the deadline: their workers do not run, no viewer
+        waits."""
+        limit = self.loop.now() - OVERDUE_S
+        for request in [
+            request
+            for request in self.open_requests.values()
+            if not request.answered and request.deadline < limit
+        ]:
             self.counts["given_up_late"] += 1
-            if ask.told and self.bridge.enqueue_viewer_gone(ask.told) and ask.out:
-                cancelled = (ask.number, ask.out.number, ask.out.server, Outcome.CANCELLED, True, 0.0)
-                self.bridge.enqueue(i.AttemptEnded(*cancelled))
-            ask.out = None  # it stays in the book, for the ledger: its end may still come
-            self.close_request(ask)
-
-    def close_request(self, ask: Ask) -> None:
-        if self.store_service and ask.hold:
-            self.store_service.ledger.over(ask.hold)
-        self.attempt_table.remove_request(ask.number)
-        self.open_requests.pop(ask.number, None)
-        if self.held_verdicts.pop(ask.number, None) and self.recovery:
-            self.recovery.drop_request(ask.number)
+            if (
+                request.new_session
+                and self.bridge.enqueue_viewer_gone(request.new_session)
+                and request.open_attempt
+            ):
+                cancelled = (
+                    request.request_id,
+                    request.open_attempt.number,
+                    request.open_attempt.server,
+                    Outcome.CANCELLED,
+                    True,
+                    0.0,
+                )
+                self.bridge.enqueue(interface.AttemptEnded(*cancelled))
+            # the attempt stays in the registry: the ledger must learn of its end, which may still be reported
+            request.open_attempt = None
+            self.close_request(request)
+
+    def close_request(self, request: SetUpRequest) -> None:
+        if self.store_service and request.hold:
+            self.store_service.ledger.over(request.hold)
+        self.attempt_registry.remove_request(request.request_id)
+        self.open_requests.pop(request.request_id, None)
+        if self.held_verdicts.pop(request.request_id, None) and self.recovery:
+            self.recovery.drop_request(request.request_id)
         if self.zones:
-            self.zones.on_session_over(ask.number)
-        self.give_room_back(ask.number)
+            self.zones.on_session_over(request.request_id)
+        self.release_limits(request.request_id)
 
-    def give_room_back(self, number: int) -> None:
-        """Once nothing of it is asked for, out, or plays: what a limit counts stands at a server."""
-        if self.limits and number not in self.open_requests:
+    def release_limits(self, request_id: int) -> None:
+        """Releases the reservation of a closed request once none of its attempts is open: until then the
+        session that a limit counts may exist at a server."""
+        if self.limits and request_id not in self.open_requests:
             attempts = range(self.settings.terms.max_attempts)
-            if not any((number, n) in self.attempt_table.open_attempts for n in attempts):
-                self.limits.release(number)
+            if not any((request_id, attempt) in self.attempt_registry.open_attempts for attempt in attempts):
+                self.limits.release(request_id)
 
-    def end_session(self, number: int, why: str) -> None:
-        """The room that it stands on is not this front's any more."""
-        ask = self.open_requests.get(number)
-        if ask:
+    def end_session(self, request_id: int, reason: str) -> None:
+        """Ends a session because the loan that its reservation stood on has expired."""
+        request = self.open_requests.get(request_id)
+        if request:
             self.counts["ended_by_limit"] += 1
-            if ask.answered:
-                ask.line.send(EndSession(number, why))
-            elif ask.out:
-                ask.line.send(CancelAttempt(number, ask.out.number))
-
-    def advise(self, ask: Ask, advice: i.Advice) -> None:
-        """Tells the module of other wishes for a session, if they are any."""
-        merged = merge(ask.advice, advice) if advice != i.NO_ADVICE else ask.advice
-        if merged != ask.advice:
-            ask.advice = merged
-            self.bridge.enqueue(i.AdviceChanged(ask.number, merged))
-
-    def advise_move_home(self, number: int) -> None:
-        """Its own hall is back, and others lack the room that it takes: the module may move it."""
-        ask = self.open_requests.get(number)
-        if ask and ask.answered and not ask.moving:
-            self.bridge.enqueue(i.AdviceChanged(number, replace(ask.advice, move=True)))
-
-    # what the module decides
-
-    def pack_memo(self, ask: Ask) -> bytes:
-        """What another decider must know of it, if anything was wished."""
-        plain = ask.advice == i.NO_ADVICE and ask.cls == ask.said.cls and not ask.reason
-        return b"" if plain else json.dumps([ask.cls, asdict(ask.advice), ask.reason]).encode()
-
-    def set_up(self, action: i.SetUp) -> None:
-        ask = self.open_requests.get(action.id)
-        if ask is None:
+            if request.answered:
+                request.connection.send(EndSession(request_id, reason))
+            elif request.open_attempt:
+                request.connection.send(CancelAttempt(request_id, request.open_attempt.number))
+
+    def update_advice(self, request: SetUpRequest, advice: interface.Advice) -> None:
+        """Merges new advice and reports the result to the module if it has changed."""
+        merged = merge(request.advice, advice) if advice != interface.NO_ADVICE else request.advice
+        if merged != request.advice:
+            request.advice = merged
+            self.bridge.enqueue(interface.AdviceChanged(request.request_id, merged))
+
+    def advise_move_home(self, request_id: int) -> None:
+        """Advises to move a playing session: its own zone is up again, and others lack the room that it
+        takes."""
+        request = self.open_requests.get(request_id)
+        if request and request.answered and not request.moving:
+            self.bridge.enqueue(interface.AdviceChanged(request_id, replace(request.advice, move=True)))
+
+    # actions of the module
+
+    def pack_memo(self, request: SetUpRequest) -> bytes:
+        """Encodes what another decider must know of the request; empty if there is no advice."""
+        plain = (
+            request.advice == interface.NO_ADVICE
+            and request.cls == request.message.cls
+            and not request.reason
+        )
+        return b"" if plain else json.dumps([request.cls, asdict(request.advice), request.reason]).encode()
+
+    def set_up(self, action: interface.SetUp) -> None:
+        """Starts an attempt at a server; the attempt of a paid claim is first recorded in the ledger.
+
+        An attempt that must not or cannot start is reported to the module as `MOOT`.
+        """
+        request = self.open_requests.get(action.id)
+        if request is None:
             return
-        number = ask.attempts
-        ask.attempts += 1
-        left_s = ask.deadline - self.loop.now()
-        limit_s = min(left_s, action.timeout_ms / 1000) if action.timeout_ms > 0 else left_s
+        number = request.attempt_count
+        request.attempt_count += 1
+        left_s = request.deadline - self.loop.now()
+        timeout_s = min(left_s, action.timeout_ms / 1000) if action.timeout_ms > 0 else left_s
         address = self.addresses(action.server)
-        moot = number >= self.settings.terms.max_attempts or left_s <= 0 or ask.out is not None
-        moot |= ask.answered or address is None
-        moot |= bool(ask.said.claim) and ask.hold is None  # nobody has said that it may be set up
-        moot = moot or bool(self.limits and not self.limits.may_set_up(ask.number))
+        moot = number >= self.settings.terms.max_attempts or left_s <= 0 or request.open_attempt is not None
+        moot |= request.answered or address is None
+        moot |= bool(request.message.claim) and request.hold is None  # the claim may not be set up here
+        moot = moot or bool(self.limits and not self.limits.may_set_up(request.request_id))
         record = None
-        if not moot and ask.hold and self.store_service:
-            cleared = partial(self.cleared, ask.number, number)
-            record = self.store_service.attempt(ask.hold, action.server, cleared)
-            moot = record is None  # passed on, or taken by a later ask, meanwhile
+        if not moot and request.hold and self.store_service:
+            on_written = partial(self.on_claim_written, request.request_id, number)
+            record = self.store_service.attempt(request.hold, action.server, on_written)
+            moot = record is None  # meanwhile passed to another front, or held by a later request
         if not moot:
             assert address is not None
             message = StartAttempt(
-                ask.number,
+                request.request_id,
                 number,
                 action.server,
-                ask.rung,
+                request.rung,
                 record.turn if record else 0,
                 record.attempts if record else 0,
-                self.rate(ask, ask.rung),
-                max(0.001, limit_s),
+                self.rung_rate_kb(request, request.rung),
+                max(0.001, timeout_s),
                 record is not None,
                 address if isinstance(address, str) else f"{address[0]}:{address[1]}",
-                self.pack_memo(ask),
+                self.pack_memo(request),
             )
-            if ask.line.send(message):
+            if request.connection.send(message):
                 self.counts["attempts"] += 1
                 if self.zones:
-                    self.zones.on_set_up(ask.number, action.server)
-                ask.out = self.attempt_table.add_attempt(ask.number, number, action.server, record is None)
-                if ask.hold:
-                    self.holds[ask.number, number] = ask.hold
+                    self.zones.on_set_up(request.request_id, action.server)
+                request.open_attempt = self.attempt_registry.add_attempt(
+                    request.request_id, number, action.server, record is None
+                )
+                if request.hold:
+                    self.holds[request.request_id, number] = request.hold
                     self.failpoint("given")
                 return
             self.counts["seam_full"] += 1
-            if record and ask.hold and self.store_service:
-                self.store_service.settle(ask.hold, False)
-        self.counts["ended_moot"] += 1  # nothing is sent: too many, two at once, nowhere, or too late
-        self.bridge.enqueue(i.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0))
-
-    def cleared(self, ask: int, number: int, why: str) -> None:
-        """The ledger has it, or says why not: only now may the request leave."""
-        out = self.attempt_table.open_attempts.get((ask, number))
-        found = self.open_requests.get(ask)
-        if out is None or found is None or found.out is not out:
+            if record and request.hold and self.store_service:
+                self.store_service.settle(request.hold, False)
+        # nothing is sent: too many attempts, one still open, no address, past the deadline, or not allowed
+        self.counts["ended_moot"] += 1
+        self.bridge.enqueue(
+            interface.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0)
+        )
+
+    def on_claim_written(self, request_id: int, number: int, error: str) -> None:
+        """Allows the worker to send the attempt's request, now that the ledger has recorded the attempt.
+
+        `error` is empty, or why the record could not be written.
+        """
+        attempt = self.attempt_registry.open_attempts.get((request_id, number))
+        request = self.open_requests.get(request_id)
+        if attempt is None or request is None or request.open_attempt is not attempt:
             return
         self.failpoint("written")
-        if why or self.attempt_table.allow_send(ask, number):
-            found.line.send(AttemptRecorded(ask, number, why))
-            self.loop.call_later(0.0, self.failpoint, "cleared")  # once it has left
+        if error or self.attempt_registry.allow_send(request_id, number):
+            request.connection.send(AttemptRecorded(request_id, number, error))
+            self.loop.call_later(0.0, self.failpoint, "cleared")  # after the message was sent
 
-    def rate(self, ask: Ask, rung: int) -> float:
-        """kB a second of a rung for the session's class."""
+    def rung_rate_kb(self, request: SetUpRequest, rung: int) -> float:
+        """The rate of a rung for the session's class, in kB/s."""
         terms = self.settings.terms
-        return terms.ladder_kb[rung] * terms.classes[ask.said.cls].scale
+        return terms.ladder_kb[rung] * terms.classes[request.message.cls].scale
 
-    def set_rung(self, action: i.SetRung) -> None:
-        ask = self.open_requests.get(action.id)
-        if ask is None:
+    def set_rung(self, action: interface.SetRung) -> None:
+        request = self.open_requests.get(action.id)
+        if request is None:
             return
-        before, ask.rung = ask.rung, action.rung
-        if ask.out:
+        before, request.rung = request.rung, action.rung
+        if request.open_attempt:
             self.counts["rung_changes"] += 1
-            ask.line.send(ChangeRung(ask.number, action.rung, self.rate(ask, action.rung)))
-            self.changed(ask, before)
-
-    def changed(self, ask: Ask, before: int) -> None:
-        """The hooks are heard of a change of rung; it stands, what they wish holds from the next on."""
-        if ask.answered and not ask.moving and self.hooks.engine.scripts:
-            played_ms = (self.loop.now() - ask.since) * 1000
-            rungs = {"rung": float(ask.rung), "before": float(before)}
-            self.advise(ask, self.hooks.run("change", ask, False, played=played_ms, **rungs).advice)
-
-    def refuse(self, action: i.Refuse) -> None:
-        if ask := self.final(action.id, "refused"):
-            reason = ask.reason if ask.advice.refuse and not ask.attempts else ""
-            ask.line.send(RefuseRequest(action.id, action.pause_ms, reason))
-
-    def fail(self, action: i.Fail) -> None:
-        if ask := self.final(action.id, "failed"):
-            ask.line.send(FailRequest(action.id, 502))
-
-    def final(self, number: int, name: str) -> Ask | None:
-        """The module's last word; the end of an attempt that is still out is the ledger's alone."""
-        ask = self.open_requests.get(number)
-        if ask is None or ask.answered:
+            request.connection.send(
+                ChangeRung(request.request_id, action.rung, self.rung_rate_kb(request, action.rung))
+            )
+            self.run_change_hooks(request, before)
+
+    def run_change_hooks(self, request: SetUpRequest, before: int) -> None:
+        """Runs the hooks for a change of rung. The change stands; their advice applies from the next one
+        on."""
+        if request.answered and not request.moving and self.hooks.engine.scripts:
+            played_ms = (self.loop.now() - request.playing_since) * 1000
+            rungs = {"rung": float(request.rung), "before": float(before)}
+            self.update_advice(
+                request,
+                self.hooks.run("change", request, False, played=played_ms, **rungs).advice,
+            )
+
+    def refuse(self, action: interface.Refuse) -> None:
+        if request := self.close_unanswered(action.id, "refused"):
+            reason = request.reason if request.advice.refuse and not request.attempt_count else ""
+            request.connection.send(RefuseRequest(action.id, action.pause_ms, reason))
+
+    def fail(self, action: interface.Fail) -> None:
+        if request := self.close_unanswered(action.id, "failed"):
+            request.connection.send(FailRequest(action.id, 502))
+
+    def close_unanswered(self, request_id: int, verdict: str) -> SetUpRequest | None:
+        """Closes the request at the module's final decision. An attempt that is still open stays in the
+        registry; its end concerns the ledger only."""
+        request = self.open_requests.get(request_id)
+        if request is None or request.answered:
             return None
-        self.counts[name] += 1
+        self.counts[verdict] += 1
         self.hooks.refusal_times.add(self.hooks.now_ms())
-        self.hooks.run("refusal", ask, ask.said.moved, verdict=name)
-        self.close_request(ask)
-        return ask
-
-    def move(self, action: i.Move) -> None:
-        """Off its server; its worker asks again shortly, as moved."""
-        ask = self.open_requests.get(action.id)
-        if ask is None or not ask.answered or ask.moving:
+        self.hooks.run("refusal", request, request.message.moved, verdict=verdict)
+        self.close_request(request)
+        return request
+
+    def move(self, action: interface.Move) -> None:
+        """Moves a playing session off its server; its worker soon sends a new request, marked as moved."""
+        request = self.open_requests.get(action.id)
+        if request is None or not request.answered or request.moving:
             return
         self.counts["moved"] += 1
-        ask.moving = True
-        ask.line.send(MoveSession(action.id))
-
-    def cancel(self, action: i.Cancel) -> None:
-        ask = self.open_requests.get(action.id)
-        if ask and not ask.answered and ask.out and ask.out.number == action.attempt:
-            ask.line.send(CancelAttempt(action.id, action.attempt))
+        request.moving = True
+        request.connection.send(MoveSession(action.id))
+
+    def cancel(self, action: interface.Cancel) -> None:
+        request = self.open_requests.get(action.id)
+        if (
+            request
+            and not request.answered
+            and request.open_attempt
+            and request.open_attempt.number == action.attempt
+        ):
+            request.connection.send(CancelAttempt(action.id, action.attempt))
--- a/lemonhall/front/persistence/capture_writer.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -19,7 +19,7 @@
 import structlog
 
 from lemonhall import decide
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.capture.file import Block
 from lemonhall.capture.ring import Ring, Told
@@ -149,7 +149,9 @@
                 return
         self.queue.append(("begin", (number, snapshot, now, self.wall() * 1000)))
 
-    def add_call(self, number: int, now: float, events: list[i.Event], actions: list[i.Action]) -> None:
+    def add_call(
+        self, number: int, now: float, events: list[interface.Event], actions: list[interface.Action]
+    ) -> None:
         if len(self.queue) >= QUEUE_MAX_RECORDS:
             self.dropped = [self.dropped[0] + 1, self.dropped[1], now] if self.dropped else [1, now, now]
             return
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -13,7 +13,7 @@
 import structlog
 import xxhash
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.config.settings import StoreSettings
 from lemonhall.loop import Loop, Timer
 from lemonhall.recovery import StoreCheckpoint
@@ -67,7 +67,7 @@
     )
 
 
-def to_learned(memory: i.LearnedState) -> Any:
+def to_learned(memory: interface.LearnedState) -> Any:
     return Learned(
         at_ms=memory.recorded_at,
         length_ms=memory.mean_session_ms,
@@ -89,9 +89,9 @@
     )
 
 
-def to_memory(learned: Any) -> i.LearnedState:
+def to_memory(learned: Any) -> interface.LearnedState:
     servers = tuple(
-        i.LearnedServerState(
+        interface.LearnedServerState(
             server.id,
             server.started_ms,
             server.evidence,
@@ -102,7 +102,7 @@
         )
         for server in learned.servers
     )
-    return i.LearnedState(
+    return interface.LearnedState(
         learned.at_ms, learned.length_ms, learned.ends, learned.set_up_ms, learned.set_up_spread_ms, servers
     )
 
@@ -120,7 +120,7 @@
         settings: StoreSettings,
         front: int,
         random: Random,
-        memory: Callable[[], i.LearnedState | None],
+        memory: Callable[[], interface.LearnedState | None],
         wall: Callable[[], float] = time.time,
         lock: int | None = None,
     ) -> None:
@@ -180,7 +180,10 @@
         store_id = self.random.getrandbits(32)
         self.writer.close()
         if later:
-            reason = f"other fronts know it up to commit {later.commit_count}, the file ends at {self.checkpoint.commit_count}"
+            reason = (
+                f"other fronts know it up to commit {later.commit_count}, "
+                f"the file ends at {self.checkpoint.commit_count}"
+            )
             records = (("list", LIST), ("learned", LEARNED), ("learned", RECOVERY))
             kept = [
                 (table, key, value, ANYTHING)
@@ -324,7 +327,7 @@
             self.put_blob(RECOVERY, state, self.on_written)
         self.memory_timer = self.loop.call_later(SAVE_LEARNED_PERIOD_S, self.save_memory)
 
-    def load_memory(self) -> i.LearnedState | None:
+    def load_memory(self) -> interface.LearnedState | None:
         value = self.store.raw("learned", LEARNED)
         if value is None:
             return None
--- a/lemonhall/front/servers/descriptions.py
+++ b/lemonhall/front/servers/descriptions.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.loop import Handler, Loop, Stream
 from lemonhall.loop.stream import Address
 from lemonhall.rtsp import Parser, Response, sdp
@@ -28,14 +28,16 @@
 
 
 def choose_server(
-    servers: Iterable[i.Server], now_ms: float, warm_ms: float, excluded: set[int], random: Random
+    servers: Iterable[interface.Server], now_ms: float, warm_ms: float, excluded: set[int], random: Random
 ) -> int | None:
     """Returns the id of the server for a DESCRIBE, or None if no server is eligible.
 
     Cold servers are chosen only if no warm one is ready.
     """
     ready = [
-        server for server in servers if server.state == i.ServerState.READY and server.id not in excluded
+        server
+        for server in servers
+        if server.state == interface.ServerState.READY and server.id not in excluded
     ]
     warm = [server for server in ready if not server.ready_at or now_ms - server.ready_at >= warm_ms]
     return random.choice(warm or ready).id if ready else None
@@ -81,7 +83,7 @@
     def __init__(
         self,
         loop: Loop,
-        servers: Callable[[], Iterable[i.Server]],
+        servers: Callable[[], Iterable[interface.Server]],
         addresses: Callable[[int], Address | None],
         now_ms: Callable[[], float],
         warm_ms: float,
--- a/lemonhall/front/servers/server_list.py
+++ b/lemonhall/front/servers/server_list.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.boxlist import Box, State, Update
 from lemonhall.loop.stream import Address
 
@@ -17,9 +17,15 @@
     return (host.strip("[]"), int(port)) if host and port.isdigit() else None
 
 
-def to_server(box: Box) -> i.Server:
-    return i.Server(
-        box.id, box.kind, box.weight, box.zone, box.cell, box.started_ms, i.ServerState(int(box.state))
+def to_server(box: Box) -> interface.Server:
+    return interface.Server(
+        box.id,
+        box.kind,
+        box.weight,
+        box.zone,
+        box.cell,
+        box.started_ms,
+        interface.ServerState(int(box.state)),
     )
 
 
@@ -46,7 +52,7 @@
         self.addresses: dict[int, Address] = {}  # including removed servers: their attempts may still end
         self.on_update: Callable[[Update], object] = lambda update: None  # called after each applied update
 
-    def apply(self, update: Update, cached: bool = False) -> i.ServerList | None:
+    def apply(self, update: Update, cached: bool = False) -> interface.ServerList | None:
         if self.is_behind(update):
             return None
         news = update.full or update.version > self.version or (update.as_of_ms and not update.boxes)
@@ -65,9 +71,9 @@
         self.version = max(update.version, self.version) if not update.full else update.version
         self.on_update(update)
         if cached or 0 < update.as_of_ms < self.front_started_ms:
-            return i.ServerList(i.ListKind.CACHED, self.version, tuple(self.servers()))
-        kind = i.ListKind.FULL if update.full else i.ListKind.CHANGES
-        return i.ServerList(kind, update.version, tuple(to_server(box) for box in update.boxes))
+            return interface.ServerList(interface.ListKind.CACHED, self.version, tuple(self.servers()))
+        kind = interface.ListKind.FULL if update.full else interface.ListKind.CHANGES
+        return interface.ServerList(kind, update.version, tuple(to_server(box) for box in update.boxes))
 
     def is_behind(self, update: Update) -> bool:
         """Whether the update belongs to a restored list that is older than the current one."""
@@ -84,7 +90,7 @@
         """Server ids by the address text of the list (`host:port`)."""
         return {box.address: box.id for box in self.boxes.values()}
 
-    def servers(self) -> list[i.Server]:
+    def servers(self) -> list[interface.Server]:
         return [to_server(box) for box in self.boxes.values()]
 
     def snapshot(self) -> Update:
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lemonhall import decide
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.capture import Replay, Step, Told, read_capture
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.config.settings import CaptureSettings
@@ -35,7 +35,7 @@
     client, session = w.play_session("/browse/a")
     w.play_session("/claims/a")
     client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.run_until(lambda: w.module.events_of(i.AttemptEnded))
+    w.run_until(lambda: w.module.events_of(interface.AttemptEnded))
     assert w.daemon.capture
     replayed = steps_of(w.daemon.capture.save())
     steps = [s for s in replayed if isinstance(s, Step)]
@@ -86,7 +86,7 @@
 
 
 def add_call(writer: CaptureWriter, number: int, now: float) -> None:
-    writer.add_call(number, now, [i.TimerDue(number)], [i.SetTimer(0, 500.0)])
+    writer.add_call(number, now, [interface.TimerDue(number)], [interface.SetTimer(0, 500.0)])
 
 
 def test_files_rotate_and_the_oldest_are_deleted(tmp_path: Path) -> None:
@@ -163,7 +163,7 @@
     key = tmp_path / "key"
     key.write_bytes(b"k" * 32)
     w = make_front()
-    new_session = i.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
+    new_session = interface.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
     encoded = []
     for path in (str(key), ""):
         writer = CaptureWriter(CaptureSettings(key=path), capture_header(w.settings))
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.boxlist import State
 from lemonhall.config.settings import read_settings
 from lemonhall.front.process.daemon import Daemon
@@ -62,7 +62,7 @@
     split_into_zones(w)
     for _ in range(8):
         w.play_session("/browse/a")
-    assert {p.server for p in w.module.events_of(i.Playing)} <= {3, 4}
+    assert {p.server for p in w.module.events_of(interface.Playing)} <= {3, 4}
 
 
 def test_draining_servers_of_a_preferred_zone_are_passed_over(hooked: Build) -> None:
@@ -88,9 +88,9 @@
 def test_rung_below_the_floor_of_a_paid_class_is_overruled(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0\n ask rung 0 }\non change { cap rung 0 }")
     w.play_session("/claims/a")
-    told = w.module.events_of(i.NewSession)[-1]
+    told = w.module.events_of(interface.NewSession)[-1]
     assert told.advice.cap == 1 and w.daemon.hooks.engine.overruled
-    rungs = [a.rung for a in w.module.actions if isinstance(a, i.SetRung)]
+    rungs = [a.rung for a in w.module.actions if isinstance(a, interface.SetRung)]
     assert rungs and min(rungs) >= 1
     bits = [
         int(r.headers.get("Bandwidth"))
@@ -104,14 +104,14 @@
 def test_rung_cap_holds_for_the_whole_session(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 1 }")
     w.play_session("/browse/a")
-    assert max(a.rung for a in w.module.actions if isinstance(a, i.SetRung)) == 1
+    assert max(a.rung for a in w.module.actions if isinstance(a, interface.SetRung)) == 1
 
 
 def test_session_counted_as_another_class_keeps_its_deadline(hooked: Build) -> None:
     script = 'on arrival when class == "browse-clip" { count as "claim-view" }'
     w = hooked(script)
     w.play_session("/browse/a")
-    told = w.module.events_of(i.NewSession)[-1]
+    told = w.module.events_of(interface.NewSession)[-1]
     assert told.cls == 0 and 1000 < told.left_ms <= 1400
 
 
@@ -123,8 +123,8 @@
     client, _, cseq = w.send_play("/browse/a")
     w.run_until(lambda: client.answers_to(cseq))
     kinds = [type(e) for e in w.module.events]
-    assert kinds.index(i.AdviceChanged) < kinds.index(i.AttemptEnded)
-    assert w.module.events_of(i.AdviceChanged)[0].advice.avoid == (("zone", 0),)
+    assert kinds.index(interface.AdviceChanged) < kinds.index(interface.AttemptEnded)
+    assert w.module.events_of(interface.AdviceChanged)[0].advice.avoid == (("zone", 0),)
 
 
 def test_hook_cannot_cause_a_retry_of_a_paid_session(hooked: Build) -> None:
@@ -144,11 +144,13 @@
     w = hooked("on change when rung == 2 { cap rung 1 }")
     w.play_session("/browse/a")
     request_id = next(iter(w.daemon.set_up_requests.open_requests))
-    w.module.injected.append(i.SetRung(request_id, 2))
-    w.daemon.bridge.enqueue(i.TimerDue(99))
-    w.run_until(lambda: w.module.events_of(i.AdviceChanged))
-    w.run_until(lambda: isinstance(w.module.actions[-1], i.SetRung) and w.module.actions[-1].rung == 1)
-    assert w.module.events_of(i.AdviceChanged)[0].advice.cap == 1
+    w.module.injected.append(interface.SetRung(request_id, 2))
+    w.daemon.bridge.enqueue(interface.TimerDue(99))
+    w.run_until(lambda: w.module.events_of(interface.AdviceChanged))
+    w.run_until(
+        lambda: isinstance(w.module.actions[-1], interface.SetRung) and w.module.actions[-1].rung == 1
+    )
+    assert w.module.events_of(interface.AdviceChanged)[0].advice.cap == 1
 
 
 def test_refusal_hook_runs_and_refusals_are_counted(hooked: Build) -> None:
@@ -185,12 +187,12 @@
     write_scripts(tmp_path, "on arrival { cap rung 2 }", "on arival { }")
     assert not reload(w)
     w.play_session("/browse/b")
-    assert w.module.events_of(i.NewSession)[-1].advice.cap == 1
+    assert w.module.events_of(interface.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.rejected_loads == 1 and client.stream.open
     write_scripts(tmp_path, "on arrival { cap rung 2 }")
     assert reload(w)
     w.play_session("/browse/c")
-    assert w.module.events_of(i.NewSession)[-1].advice.cap == 2
+    assert w.module.events_of(interface.NewSession)[-1].advice.cap == 2
 
 
 def test_reload_requested_during_a_reload_loads_the_last_scripts(hooked: Build, tmp_path: Path) -> None:
@@ -202,7 +204,7 @@
         w.daemon.hooks.reload()
     w.run_until(lambda: len(ended) == 2, 30)
     w.play_session("/browse/a")
-    assert w.module.events_of(i.NewSession)[-1].advice.cap == 2
+    assert w.module.events_of(interface.NewSession)[-1].advice.cap == 2
 
 
 def test_killed_compiler_process_keeps_the_scripts(hooked: Build) -> None:
@@ -230,7 +232,7 @@
     w = hooked(f"on arrival {{ {loops} }}", "on arrival { cap rung 1 }")
     for _ in range(5):
         w.play_session("/browse/a")
-        assert w.module.events_of(i.NewSession)[-1].advice.cap == 1
+        assert w.module.events_of(interface.NewSession)[-1].advice.cap == 1
     assert w.daemon.hooks.engine.scripts[0].out
     assert w.daemon.hooks.engine.scripts[0].calls == 3
 
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -189,7 +189,7 @@
     assert (report["used"], report["held"], report["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
     w.run_until(lambda: client.answers_to(done))
-    w.run_until(lambda: not w.daemon.set_up_requests.attempt_table.open_attempts)
+    w.run_until(lambda: not w.daemon.set_up_requests.attempt_registry.open_attempts)
     w.play_session("/browse/b")
     assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
 
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lemonhall import decide
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.config.settings import read_settings
 from lemonhall.front.decider.membership import Membership, read_keys
 from lemonhall.front.process.daemon import Daemon
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self.loop = Loop()
-        self.events: dict[int, list[i.Event]] = {}
+        self.events: dict[int, list[interface.Event]] = {}
         self.by_number: dict[int, Membership] = {}
 
     def add(self, number: int, keys: dict[int, bytes] | None = None, fronts: int = 1) -> Membership:
@@ -74,7 +74,9 @@
         fronts.add(number)
     fronts.until(lambda: fronts.agree(0, 1, 2, 3, 4))
     fronts.until(
-        lambda: all(events and events[-1] == i.FleetChanged(5, n) for n, events in fronts.events.items())
+        lambda: all(
+            events and events[-1] == interface.FleetChanged(5, n) for n, events in fronts.events.items()
+        )
     )
 
 
@@ -82,10 +84,10 @@
     for number in range(4):
         fronts.add(number)
     fronts.until(lambda: fronts.agree(0, 1, 2, 3))
-    fronts.until(lambda: fronts.events[0] and fronts.events[0][-1] == i.FleetChanged(4, 0))
+    fronts.until(lambda: fronts.events[0] and fronts.events[0][-1] == interface.FleetChanged(4, 0))
     fronts.by_number[3].close()
     fronts.until(lambda: fronts.agree(0, 1, 2))
-    assert fronts.events[0][-1] == i.FleetChanged(4, 0)
+    assert fronts.events[0][-1] == interface.FleetChanged(4, 0)
 
 
 def test_leaving_front_is_removed_without_being_declared_dead(fronts: Fronts) -> None:
@@ -101,25 +103,25 @@
     fronts.add(0)
     fronts.add(1)
     stranger = fronts.add(2, {1: b"x" * 16})
-    fronts.until(lambda: fronts.agree(0, 1) and fronts.by_number[0].bad > 2)
+    fronts.until(lambda: fronts.agree(0, 1) and fronts.by_number[0].rejected_datagrams > 2)
     assert stranger.machine.view().members == (2,)
 
 
 def test_module_applies_the_number_and_rank_of_the_fleet() -> None:
-    settings = i.Settings(
-        classes=(i.SessionClass(1, i.Repeat.SAFE, 1000, 4000),),
+    settings = interface.Settings(
+        classes=(interface.SessionClass(1, interface.Repeat.SAFE, 1000, 4000),),
         ladder_kb=(10.0,),
         ladder_worth=(1.0,),
         places_by_kind=(20,),
         link_kb_per_weight=500.0,
         cells=1,
-        tenants=(i.Tenant(10.0),),
+        tenants=(interface.Tenant(10.0),),
     )
     front = decide.Front(settings, 1)
-    front.handle(0.0, [i.FleetChanged(20, 7)])
+    front.handle(0.0, [interface.FleetChanged(20, 7)])
     assert (front.settings.fronts, front.settings.index) == (20, 7)
     assert replace(front.settings, fronts=1, index=0) == settings
-    front.handle(1.0, [i.FleetChanged(0, 0), i.FleetChanged(4, 9)])
+    front.handle(1.0, [interface.FleetChanged(0, 0), interface.FleetChanged(4, 9)])
     assert (front.settings.fronts, front.settings.index) == (4, 3)
 
 
--- a/tests/front/test_reload.py
+++ b/tests/front/test_reload.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lemonhall import interface as i
+from lemonhall import interface
 from tests.front.harness import TERMS, FrontHarness
 
 Build = Callable[..., FrontHarness]
@@ -34,7 +34,7 @@
     w.play_session("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/browse/" class="claim-view"'))
     w.play_session("/browse/b")
-    assert [e.cls for e in w.module.events_of(i.NewSession)] == [1, 0]
+    assert [e.cls for e in w.module.events_of(interface.NewSession)] == [1, 0]
     assert [s.asked.cls for s in w.daemon.worker.by_id.values()] == [1, 0]
 
 
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -462,4 +462,4 @@
     w.run_until(lambda: client.answers_to(cseq))
     assert w.module.events_of(i.AttemptEnded)[0].outcome == i.Outcome.MOOT
     assert w.daemon.counts["seam_full"] == 1 and len(client.answers_to(cseq)) == 1
-    assert not w.daemon.set_up_requests.attempt_table.open_attempts or client.answers_to(cseq) == [200]
+    assert not w.daemon.set_up_requests.attempt_registry.open_attempts or client.answers_to(cseq) == [200]
