--- a/lemonhall/front/persistence/capture_writer.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -18,8 +18,7 @@
 
 import structlog
 
-from lemonhall import decide
-from lemonhall import interface
+from lemonhall import decide, interface
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.capture.file import Block
 from lemonhall.capture.ring import Ring, Told
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -13,8 +13,7 @@
 
 import pytest
 
-from lemonhall import decide
-from lemonhall import interface
+from lemonhall import decide, interface
 from lemonhall.capture import Replay, Step, Told, read_capture
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.config.settings import CaptureSettings
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -262,7 +262,7 @@
     _, errors = process.popen.communicate(timeout=20)
     assert process.popen.returncode == 0
     events = [json.loads(line)["event"] for line in errors.splitlines()]
-    assert [e for e in events if e != "phase"][0] == "serving" and "stopping" in events
+    assert [e for e in events if e != "recovery phase entered"][0] == "serving" and "stopping" in events
 
 
 def test_a_disk_that_is_full_at_the_start_costs_paid_sessions_alone(tmp_path: Path) -> None:
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -9,8 +9,7 @@
 
 import pytest
 
-from lemonhall import decide
-from lemonhall import interface
+from lemonhall import decide, interface
 from lemonhall.config.settings import read_settings
 from lemonhall.front.decider.membership import Membership, read_keys
 from lemonhall.front.process.daemon import Daemon
