--- a/lemonhall/front/decider/__init__.py
+++ b/lemonhall/front/decider/__init__.py
@@ -1,1 +1,1 @@
-"""The deciding side: what goes into the module and comes out of it, and what the front knows."""
+"""The decider: the decision module's events and actions, and the state that a front keeps around it."""
--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -127,8 +127,7 @@
             self.reply(message.sender, reply, "")
 
     def reply(self, to: int, message: Any, error: str) -> None:
-        """Sends an answer whose content is on disk. After a write error nothing is sent; the query is
-        repeated."""
+        """Sends an answer whose content is on disk. After a write error none is sent; the query repeats."""
         if self.messenger and not error:
             self.messenger.send_to_front(to, message)
 
--- a/lemonhall/front/decider/hooks.py
+++ b/lemonhall/front/decider/hooks.py
@@ -115,16 +115,14 @@
             raise BadInput(error.problems[0].file, "\n".join(map(str, error.problems))) from error
 
     def start(self) -> None:
-        """Loads the scripts. If one is invalid, the front starts without any of them and logs the
-        problems."""
+        """Loads the scripts. If one is invalid, logs the problems and starts without any of them."""
         try:
             self.load()
         except BadInput as error:
             self.reject_load(str(error).split("\n"))
 
     def reload(self) -> None:
-        """Reloads the scripts in the background. Requests during a reload are merged into one that follows
-        it."""
+        """Reloads the scripts in the background. Calls during a reload cause one more reload after it."""
         if self.building:
             self.reload_pending = True
             return
--- a/lemonhall/front/decider/limits.py
+++ b/lemonhall/front/decider/limits.py
@@ -35,8 +35,8 @@
 
 
 class LimitsDriver:
-    """`record_event` receives refusals and ended sessions for the capture; `on_session_end` ends a
-    session."""
+    """Reports refusals and ended sessions to `record_event`, for the capture, and sessions to end to
+    `on_session_end`."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
             escrow.duplicate_member = duplicate_member
             escrow.recompute_shares()
 
-    def apply_plan(self, settings: LimitSettings) -> None:
+    def update_settings(self, settings: LimitSettings) -> None:
         self.machine.apply_settings(settings)
 
     # set-up requests
--- a/lemonhall/front/decider/list_client.py
+++ b/lemonhall/front/decider/list_client.py
@@ -1,5 +1,4 @@
-"""Client of the server list service: receives the list over HTTP, caches it on disk, and reports it to the
-module."""
+"""Receives the server list over HTTP, caches it on disk for a restart, and reports it to the module."""
 
 from __future__ import annotations
 
@@ -76,8 +75,7 @@
             self.on_event(event)
 
     def adopt_list(self, update: Update) -> bool:
-        """Applies a list received from other fronts if this front has none. Returns whether it was
-        applied."""
+        """Applies a list of other fronts if this front has none. Returns whether it was applied."""
         if self.server_list.version or self.server_list.boxes:
             return False
         if event := self.server_list.apply(update, cached=True):
@@ -85,8 +83,8 @@
         return event is not None
 
     def read_cache(self) -> bytes | None:
-        if self.store_service and (kept := self.store_service.load_list()):
-            return kept
+        if self.store_service and (stored := self.store_service.load_list()):
+            return stored
         return self.cache.read_bytes() if self.cache and self.cache.exists() else None
 
     def save_cache(self) -> None:
--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -1,5 +1,5 @@
-"""Membership of the fleet: runs the membership protocol's state machine on a UDP socket, and reports the
-number of fronts to the decision module."""
+"""Runs the state machine of the membership protocol on a UDP socket, and reports the number of fronts to the
+decision module."""
 
 from __future__ import annotations
 
--- a/lemonhall/front/decider/recovery.py
+++ b/lemonhall/front/decider/recovery.py
@@ -43,8 +43,7 @@
 
 
 def list_pages(server_list: ServerListState, memory: interface.LearnedState | None, now: float) -> list[Any]:
-    """Returns the server list and the learned state of its servers in pages, for a front that has lost
-    both."""
+    """Returns the server list with the learned state, in pages, for a front that has lost both."""
     learned = {state.server: state for state in memory.servers} if memory else {}
     entries = []
     for box in server_list.boxes.values():
@@ -95,8 +94,11 @@
 
 
 class RecoveryDriver:
-    """`on_admitted` receives each request that waited, with None if it may proceed, or the pause in ms after
-    which it should be repeated. `record_event` receives each phase for the capture."""
+    """Applies the machine's decisions.
+
+    `on_admitted` receives each request that waited, with None if it may proceed, or the pause in ms after
+    which it should be repeated. `record_event` receives each phase for the capture.
+    """
 
     def __init__(
         self,
@@ -166,8 +168,7 @@
             self.store_service.reject_store(later if self.machine.store_trust is StoreTrust.OLDER else None)
 
     def greet_seeds(self) -> None:
-        """Contacts the seeds repeatedly, so that fronts that start together find one another within a
-        period."""
+        """Contacts the seeds repeatedly: fronts that start together find one another within a period."""
         if (
             self.members
             and self.machine.store_trust is StoreTrust.WAITING
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -67,8 +67,7 @@
 
 
 class WorkerConnection(Protocol):
-    """A connection to one worker. `number` identifies the connection: a worker that reconnects has
-    another."""
+    """A connection to one worker. `number` belongs to the connection and changes when a worker reconnects."""
 
     number: int
 
@@ -115,8 +114,10 @@
 
 
 class SetUpRequests:
-    """All open requests of this front. `addresses` returns a server's address by its id, also for servers
-    that were removed from the list."""
+    """All open requests of this front.
+
+    `addresses` returns a server's address by its id, also for servers that were removed from the list.
+    """
 
     def __init__(
         self,
@@ -208,8 +209,7 @@
         )
 
     def on_claim_resolved(self, request: SetUpRequest, begun: Begun) -> None:
-        """Called once it is known whether the claim may be set up here, or that no front can say so in
-        time."""
+        """Called when it is known whether the claim may be set up here, or after the timeout."""
         if self.open_requests.get(request.request_id) is not request:
             return
         request.hold = begun.hold
@@ -235,8 +235,7 @@
             self.release_held_request(admission.request_id, admission.retry_after_ms)
 
     def release_held_request(self, request_id: int, pause_ms: float | None) -> None:
-        """Submits a request that waited for admission. With `pause_ms`, it is to be refused with that
-        pause."""
+        """Submits a request that waited for admission, or advises to refuse it with a pause."""
         request, verdict = (
             self.open_requests.get(request_id),
             self.held_verdicts.pop(request_id, None),
@@ -375,8 +374,7 @@
             self.hooks.on_link_use(server, value)
 
     def on_viewer_gone(self, connection: WorkerConnection, message: ViewerGone) -> None:
-        """Reports to the module at once that the viewer is gone; the end of an open attempt follows
-        separately."""
+        """Reports to the module that the viewer is gone; the end of an open attempt follows separately."""
         request = self.open_requests.get(message.request_id)
         if request is None or request.connection is not connection:
             return
@@ -432,8 +430,7 @@
             self.update_advice(request, ruling.advice)
 
     def on_deadline_expired(self, connection: WorkerConnection, message: DeadlineExpired) -> None:
-        """The worker answered the viewer itself, as the module did not decide or this process did not run in
-        time."""
+        """The worker answered the viewer: the module did not decide, or this process did not run in time."""
         request = self.open_requests.get(message.request_id)
         if request is None or request.connection is not connection:
             return
@@ -455,8 +452,7 @@
             self.store_service.remove_session(message.session_id)
 
     def on_ongoing_session(self, connection: WorkerConnection, message: OngoingSession) -> None:
-        """Adopts a playing session that was set up by an earlier decider, or by the predecessor of this
-        front."""
+        """Adopts a playing session that an earlier decider, or the predecessor of this front, set up."""
         requested = MessageDecoder().feed(message.request)[0]
         if isinstance(requested, MalformedMessage) or not isinstance(requested, SetUpRequested):
             self.counts["carried_unreadable"] += 1
@@ -532,8 +528,7 @@
             self.counts["lost_with_worker"] += len(request_ids)
 
     def expire_overdue_requests(self) -> None:
-        """Closes unanswered requests some time after the deadline: their workers do not run, no viewer
-        waits."""
+        """Closes unanswered requests after their deadline: their workers do not run, no viewer waits."""
         limit = self.loop.now() - OVERDUE_S
         for request in [
             request
@@ -571,8 +566,10 @@
         self.release_limits(request.request_id)
 
     def release_limits(self, request_id: int) -> None:
-        """Releases the reservation of a closed request once none of its attempts is open: until then the
-        session that a limit counts may exist at a server."""
+        """Releases the reservation of a closed request once none of its attempts is open.
+
+        Until then the session that a limit counts may exist at a server.
+        """
         if self.limits and request_id not in self.open_requests:
             attempts = range(self.settings.terms.max_attempts)
             if not any((request_id, attempt) in self.attempt_registry.open_attempts for attempt in attempts):
@@ -596,7 +593,7 @@
             self.bridge.enqueue(interface.AdviceChanged(request.request_id, merged))
 
     def advise_move_home(self, request_id: int) -> None:
-        """Advises to move a playing session: its own zone is up again, and others lack the room that it
+        """Advises to move a session back to its own zone, which is up again: others lack the room that it
         takes."""
         request = self.open_requests.get(request_id)
         if request and request.answered and not request.moving:
@@ -702,8 +699,7 @@
             self.run_change_hooks(request, before)
 
     def run_change_hooks(self, request: SetUpRequest, before: int) -> None:
-        """Runs the hooks for a change of rung. The change stands; their advice applies from the next one
-        on."""
+        """Runs the hooks for a change of rung. Their advice applies from the next change on."""
         if request.answered and not request.moving and self.hooks.engine.scripts:
             played_ms = (self.loop.now() - request.playing_since) * 1000
             rungs = {"rung": float(request.rung), "before": float(before)}
@@ -722,8 +718,10 @@
             request.connection.send(FailRequest(action.id, 502))
 
     def close_unanswered(self, request_id: int, verdict: str) -> SetUpRequest | None:
-        """Closes the request at the module's final decision. An attempt that is still open stays in the
-        registry; its end concerns the ledger only."""
+        """Closes the request at the module's final decision.
+
+        An attempt that is still open stays in the registry; its end concerns the ledger only.
+        """
         request = self.open_requests.get(request_id)
         if request is None or request.answered:
             return None
--- a/lemonhall/front/decider/zones.py
+++ b/lemonhall/front/decider/zones.py
@@ -35,8 +35,11 @@
 
 
 class ZonesDriver:
-    """`now` is the module's clock, in which the list gives start times; `cells` is the number of cells of
-    the service. `record_event` receives each change of a zone's state for the capture."""
+    """Applies the machine's decisions.
+
+    `now` is the module's clock, in which the list gives start times; `cells` is the number of cells of the
+    service. `record_event` receives each change of a zone's state for the capture.
+    """
 
     def __init__(
         self,
--- a/lemonhall/front/persistence/session_recorder.py
+++ b/lemonhall/front/persistence/session_recorder.py
@@ -35,8 +35,7 @@
         self.files_written = 0
 
     def on_request(self, message: SetUpRequested, now_ms: float) -> None:
-        """Opens the row at the first request of a session. Not called for moves, which no viewer
-        requested."""
+        """Opens the row at the first request of a session. Moves are not the viewer's requests."""
         terms = self.settings.terms
         if message.session_id in self.open_rows:
             return
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -1,5 +1,4 @@
-"""The front's store, used from the event loop: the ledger, playing sessions, the server list and learned
-state."""
+"""The front's store on the event loop: the ledger, playing sessions, the server list and learned state."""
 
 from __future__ import annotations
 
@@ -211,8 +210,7 @@
     # the ledger
 
     def lookup(self, key: bytes) -> Record | None:
-        """Returns the latest record of a claim, written or pending. A record that cannot be read counts as
-        run."""
+        """Returns the latest record of a claim, written or pending. An unreadable record counts as run."""
         if pending := self.pending.get(key):
             return pending[0]
         try:
@@ -273,8 +271,10 @@
             self.write(write, soon=False)
 
     def on_written(self, error: str) -> None:
-        """Handles the result of a write. While writes fail, paid sessions are refused and test writes are
-        repeated."""
+        """Handles the result of a write.
+
+        While writes fail, paid sessions are refused and a test write is repeated.
+        """
         if error == OTHERWISE:
             self.counts["overtaken"] += 1
             return
@@ -363,8 +363,7 @@
         self.put_blob(ZONES, data, written)
 
     def load_zones(self) -> bytes | None:
-        """As `load_blob`; also None if the store was rejected, as it is not known what this front had
-        lent."""
+        """As `load_blob`; also None for a rejected store, since what this front had lent is not known."""
         return None if self.counts["disowned"] else self.load_blob(ZONES, "halls")
 
     def load_recovery(self) -> bytes | None:
@@ -373,8 +372,7 @@
     # maintenance
 
     def prune(self) -> None:
-        """Deletes claims beyond the retention time; the token of such a claim shows by itself that it is too
-        old."""
+        """Deletes claims after the retention time. Their tokens show by themselves that they are too old."""
         oldest = max(0, int(self.wall() - self.settings.keep_ms / 1000) - 1)
         self.ledger.pruned_s = max(self.ledger.pruned_s, oldest - 1)
         try:
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -221,7 +221,7 @@
             for change in changes:
                 self.capture.add_note(self.now_ms(), "settings", change.what)
         if self.set_up_requests.limits:
-            self.set_up_requests.limits.apply_plan(self.subsystems.limits_plan())
+            self.set_up_requests.limits.update_settings(self.subsystems.limits_plan())
         elif new.terms.fleet_limits:
             self.subsystems.open_limits()
         self.hooks.apply_settings(new)
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -212,8 +212,8 @@
     # called by the session
 
     def set_bandwidth(self, kb: float, rung: int) -> None:
-        """Sends SET_PARAMETER with the rung and its rate `kb` (kB/s) once PLAY was sent; before, the next
-        request carries the rate."""
+        """Changes the rate to `kb` (kB/s): by SET_PARAMETER once PLAY was sent, before with the next
+        request."""
         self.bandwidth = kb
         if self.state in (State.PLAY_SENT, State.PLAYING):
             body = f"rung: {rung}\r\n".encode()
@@ -221,8 +221,10 @@
             self.send("SET_PARAMETER", self.url, self.bandwidth_header(), content_type, body=body)
 
     def teardown(self, outcome: Outcome = Outcome.OK) -> None:
-        """Sends TEARDOWN and ends with `outcome` after the response. Before media plays the connection is
-        reset and the outcome is `CANCELLED`."""
+        """Sends TEARDOWN and ends with `outcome` after the response.
+
+        Before media plays the connection is reset instead, and the outcome is `CANCELLED`.
+        """
         if self.state is State.PLAYING:
             self.state, self.teardown_outcome = State.TEARING_DOWN, outcome
             self.stream.resume_reading()
--- a/lemonhall/front/servers/rtp_rewriter.py
+++ b/lemonhall/front/servers/rtp_rewriter.py
@@ -62,8 +62,7 @@
             self.last_sent = (sequence, timestamp, now)
 
     def rewrite_rtcp(self, packet: rtp.RtcpPacket) -> bytes:
-        """Returns a sender report or BYE with the viewer's SSRC and timestamps; other types are not
-        changed."""
+        """Returns the packet with the viewer's SSRC and, in a sender report, the viewer's timestamp."""
         body = bytearray(packet.body)
         if self.ssrc is not None and self.offsets is not None and len(body) >= 4:
             struct.pack_into(">I", body, 0, self.ssrc)
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -1,5 +1,4 @@
-"""Paid claims at fronts with a ledger, on real sockets: a set-up is written before it is sent, and never
-repeated."""
+"""Paid claims at fronts with a ledger, on real sockets: set-ups are recorded first and never repeated."""
 
 from __future__ import annotations
 
--- a/tests/front/test_hooks.py
+++ b/tests/front/test_hooks.py
@@ -88,8 +88,8 @@
 def test_rung_below_the_floor_of_a_paid_class_is_overruled(hooked: Build) -> None:
     w = hooked("on arrival { cap rung 0\n ask rung 0 }\non change { cap rung 0 }")
     w.play_session("/claims/a")
-    told = w.module.events_of(interface.NewSession)[-1]
-    assert told.advice.cap == 1 and w.daemon.hooks.engine.overruled
+    new_session = w.module.events_of(interface.NewSession)[-1]
+    assert new_session.advice.cap == 1 and w.daemon.hooks.engine.overruled
     rungs = [a.rung for a in w.module.actions if isinstance(a, interface.SetRung)]
     assert rungs and min(rungs) >= 1
     bits = [
@@ -111,8 +111,8 @@
     script = 'on arrival when class == "browse-clip" { count as "claim-view" }'
     w = hooked(script)
     w.play_session("/browse/a")
-    told = w.module.events_of(interface.NewSession)[-1]
-    assert told.cls == 0 and 1000 < told.left_ms <= 1400
+    new_session = w.module.events_of(interface.NewSession)[-1]
+    assert new_session.cls == 0 and 1000 < new_session.left_ms <= 1400
 
 
 def test_break_hook_runs_before_the_module_retries(hooked: Build) -> None:
--- a/tests/front/test_imported.py
+++ b/tests/front/test_imported.py
@@ -1,5 +1,4 @@
-"""Settings imported from nginx files at a running front: the same pools, paths and redirections as in
-nginx."""
+"""Settings imported from nginx at a running front: the same pools, paths and redirections."""
 
 from __future__ import annotations
 
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -79,8 +79,8 @@
 
 def test_fronts_share_a_limit_and_report_their_shares() -> None:
     loop, clock, (one, other) = start_drivers(settings_of(exact_limit(4)))
-    for ask in range(1, 20):
-        one.reserve(ask, 0, 0, "/a", 99, "")
+    for request_id in range(1, 20):
+        one.reserve(request_id, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     report = [json.loads(driver.page()[2])["limits"][0] for driver in (one, other)]
     assert [t["used"] for t in report] == [4, 0] and report[1]["lent"] == report[0]["borrowed"] == 2
@@ -108,8 +108,8 @@
 
 def test_predecessor_admits_nothing_and_successor_admits_what_is_left() -> None:
     loop, clock, (one, other) = start_drivers(settings_of(exact_limit(4)))
-    for ask in range(1, 20):
-        one.reserve(ask, 0, 0, "/a", 99, "")
+    for request_id in range(1, 20):
+        one.reserve(request_id, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
     state = one.machine.escrow.handover_state()
@@ -245,8 +245,8 @@
 
 def test_limits_are_summarized_per_front_and_for_the_fleet() -> None:
     loop, clock, (one, other) = start_drivers(settings_of(exact_limit(4)))
-    for ask in range(1, 12):
-        one.reserve(ask, 0, 0, "/a", 99, "")
+    for request_id in range(1, 12):
+        one.reserve(request_id, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     report = [json.loads(driver.page()[2]) for driver in (one, other)]
     assert line(report[0]["limits"][0]).startswith("seats            exact  4 of 4 sessions used, 4 held")
--- a/tests/front/test_recovery.py
+++ b/tests/front/test_recovery.py
@@ -1,5 +1,4 @@
-"""Recovery of a front from its own store, from an outdated one, and without one; two fronts on real
-sockets."""
+"""Recovery of a front from its own store, an outdated one, and none; two fronts on real sockets."""
 
 from __future__ import annotations
 
--- a/tests/front/test_zones.py
+++ b/tests/front/test_zones.py
@@ -1,5 +1,4 @@
-"""Zones at a running front: operators' orders from the command line, restarts, handovers and the status
-page."""
+"""Zones at a running front: operators' orders, restarts, handovers and the status page."""
 
 from __future__ import annotations
 
