--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -75,7 +75,7 @@
             sender=self.messenger.number,
             claim=token.key,
             turn=query.begun.turn,
-            own_store=self.store_service.number,
+            own_store=self.store_service.store_id,
             store=query.begun.store,
         )
         self.messenger.send_to_front(query.begun.front, message)
--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -104,9 +104,9 @@
         self.machine = MembershipMachine(
             number, own_address, boot_id, seed_addresses, config or SwimConfig(), Random(random.random())
         )
-        self.share = FrontCount(number, fronts, self.now_ms())
+        self.front_count = FrontCount(number, fronts, self.now_ms())
         if announced:
-            self.share.reported = announced
+            self.front_count.reported = announced
             on_event(interface.FleetChanged(*announced))
         self.rejected_datagrams = 0
         self.view_version = 0
@@ -205,7 +205,7 @@
                 "members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.duplicate_number
             )
             self.on_view_changed(view)
-        if announced := self.share.update(view, self.now_ms()):
+        if announced := self.front_count.update(view, self.now_ms()):
             self.on_event(interface.FleetChanged(*announced))
             self.on_share_changed(announced[0])
 
@@ -251,7 +251,7 @@
             "members": view.members,
             "cut_off": view.cut_off,
             "twin": self.machine.duplicate_number,
-            "told": {"fronts": self.share.reported[0], "rank": self.share.reported[1]},
+            "told": {"fronts": self.front_count.reported[0], "rank": self.front_count.reported[1]},
             "incarnation": self.machine.incarnation,
             "health": self.machine.health,
             "states": {member.number: member.state.name.lower() for member in self.machine.members.values()},
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -630,7 +630,7 @@
         record = None
         if not moot and request.hold and self.store_service:
             on_written = partial(self.on_claim_written, request.request_id, number)
-            record = self.store_service.attempt(request.hold, action.server, on_written)
+            record = self.store_service.record_attempt(request.hold, action.server, on_written)
             moot = record is None  # meanwhile passed to another front, or held by a later request
         if not moot:
             assert address is not None
--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -128,7 +128,7 @@
             else "",
             "born_ms": d.list_client.server_list.front_started_ms,
             "clock": [d.start_wall_ms, d.start],
-            "fleet": list(d.membership.share.reported) if d.membership else None,
+            "fleet": list(d.membership.front_count.reported) if d.membership else None,
             "limits": connection_state.text(d.set_up_requests.limits.machine.escrow.handover_state())
             if d.set_up_requests.limits
             else "",
--- a/lemonhall/front/persistence/capture_writer.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -71,16 +71,16 @@
     def __init__(self, folder: Path, name: str, size: int, files: int) -> None:
         self.folder, self.name, self.size, self.files = folder, name, size, files
         self.file: Any = None
-        self.written = 0
+        self.bytes_written = 0
         folder.mkdir(parents=True, exist_ok=True)
 
     def write_block(self, block: Block, starts_segment: bool) -> None:
         """Raises `OSError` if the block cannot be written."""
-        if self.file is None or (starts_segment and self.written > 0):
+        if self.file is None or (starts_segment and self.bytes_written > 0):
             self.rotate()
         self.file.write(block.data)
         self.file.flush()
-        self.written += len(block.data)
+        self.bytes_written += len(block.data)
 
     def rotate(self) -> None:
         """Starts the next file and deletes the oldest ones."""
@@ -89,12 +89,12 @@
         existing = sorted(self.folder.glob(f"{self.name}-*.lhc"))
         last = int(existing[-1].stem.rpartition("-")[2]) if existing else 0
         self.file = open(self.folder / f"{self.name}-{last + 1:06d}.lhc", "xb")  # noqa: SIM115
-        self.written = 0
+        self.bytes_written = 0
         for old in existing[: max(0, len(existing) + 1 - self.files)]:
             old.unlink(missing_ok=True)
 
     def is_full(self) -> bool:
-        return self.written >= self.size
+        return self.bytes_written >= self.size
 
 
 class CaptureWriter:
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -150,16 +150,16 @@
         self.failing = ""
         self.on_failing_changed: Callable[[bool], object] = lambda failing: None
         self.prune_timer: Timer | None = None
-        self.memory_timer: Timer | None = None
+        self.save_timer: Timer | None = None
         # serializes the state of recovery (checkpoints of other fronts)
         self.recovery_state: Callable[[], bytes | None] = lambda: None
 
     def open_ledger(self) -> None:
         """Starts a ledger and a writer on the store's current file."""
-        self.number = int(self.store.about.store)
-        self.made = self.store.created
+        self.store_id = int(self.store.about.store)
+        self.created = self.store.created
         self.ledger = Ledger(
-            self.front, self.number, self.lookup, self.pending_has, self.settings.keep_ms / 1000
+            self.front, self.store_id, self.lookup, self.pending_has, self.settings.keep_ms / 1000
         )
         self.ledger.pruned_s = int(self.store.about.pruned_s)
         self.writer = Writer(self.loop, self.store)
@@ -205,7 +205,7 @@
 
     def start(self) -> None:
         self.prune()
-        self.save_memory()
+        self.save_learned_state()
 
     # the ledger
 
@@ -245,7 +245,7 @@
         before = None if write.before is None else wrap(key, to_claim(write.before))
         self.writer.put(("claims", key, wrap(key, to_claim(write.record)), before), written, soon)
 
-    def attempt(self, hold: Hold, server: int, then: Callable[[str], object]) -> Record | None:
+    def record_attempt(self, hold: Hold, server: int, then: Callable[[str], object]) -> Record | None:
         """Records an attempt before it is sent; `then` is called as by `write`.
 
         Returns None, and writes nothing, if the attempt must not be sent.
@@ -318,16 +318,16 @@
     def load_list(self) -> bytes | None:
         return self.store.raw("list", LIST)
 
-    def save_memory(self) -> None:
+    def save_learned_state(self) -> None:
         if memory := self.memory():
             self.writer.put(
                 ("learned", LEARNED, wrap(LEARNED, to_learned(memory)), ANYTHING), self.on_written
             )
         if (state := self.recovery_state()) is not None:
             self.put_blob(RECOVERY, state, self.on_written)
-        self.memory_timer = self.loop.call_later(SAVE_LEARNED_PERIOD_S, self.save_memory)
+        self.save_timer = self.loop.call_later(SAVE_LEARNED_PERIOD_S, self.save_learned_state)
 
-    def load_memory(self) -> interface.LearnedState | None:
+    def load_learned_state(self) -> interface.LearnedState | None:
         value = self.store.raw("learned", LEARNED)
         if value is None:
             return None
@@ -383,7 +383,7 @@
 
     def stop_upkeep(self) -> None:
         """Stops pruning and saving, which a successor does from now on."""
-        for timer in (self.prune_timer, self.memory_timer):
+        for timer in (self.prune_timer, self.save_timer):
             if timer:
                 timer.cancel()
 
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -436,7 +436,7 @@
         if not anew:
             store_service.start()
             return
-        if memory := store_service.load_memory():
+        if memory := store_service.load_learned_state():
             self.bridge.enqueue(memory)
         lost = store_service.forget_lost_sessions()
         if memory or lost:
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -211,10 +211,10 @@
 
     # called by the session
 
-    def set_bandwidth(self, kb: float, rung: int) -> None:
-        """Changes the rate to `kb` (kB/s): by SET_PARAMETER once PLAY was sent, before with the next
+    def set_bandwidth(self, rate_kb: float, rung: int) -> None:
+        """Changes the rate to `rate_kb` (kB/s): by SET_PARAMETER once PLAY was sent, before with the next
         request."""
-        self.bandwidth = kb
+        self.bandwidth = rate_kb
         if self.state in (State.PLAY_SENT, State.PLAYING):
             body = f"rung: {rung}\r\n".encode()
             content_type = ("Content-Type", "text/parameters")
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -99,7 +99,7 @@
         if n % 1000 == 999:
             writer.drain()
             assert writer.folder
-            writer.folder.written = 1 << 30  # simulates a full file: the next call starts another
+            writer.folder.bytes_written = 1 << 30  # simulates a full file: the next call starts another
             writer.can_snapshot = True
             writer.next_snapshot = float("-inf")
     writer.close()
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -278,7 +278,7 @@
     store_service = site.fronts[0].store_service
     assert store_service
     site.fronts[0].list_client.save_cache()
-    store_service.save_memory()
+    store_service.save_learned_state()
     site.until(lambda: not store_service.writer.queue and list(store_service.store.each("held")))
     learned = site.fronts[0].memory()
     assert learned
