--- a/lemonhall/front/decider/recovery.py
+++ b/lemonhall/front/decider/recovery.py
@@ -143,7 +143,7 @@
         if (
             self.store_service is None
             or self.members is None
-            or self.store_service.created
+            or self.store_service.is_new
             or not self.machine.phases.other_fronts
         ):
             return
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -157,7 +157,7 @@
     def open_ledger(self) -> None:
         """Starts a ledger and a writer on the store's current file."""
         self.store_id = int(self.store.about.store)
-        self.created = self.store.created
+        self.is_new = self.store.created
         self.ledger = Ledger(
             self.front, self.store_id, self.lookup, self.pending_has, self.settings.keep_ms / 1000
         )
