--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -129,7 +129,7 @@
             else "",
             "born_ms": daemon.list_client.server_list.front_started_ms,
             "clock": [daemon.start_wall_ms, daemon.start],
-            "fleet": list(daemon.membership.share.reported) if daemon.membership else None,
+            "fleet": list(daemon.membership.front_count.reported) if daemon.membership else None,
             "limits": connection_state.to_base64(
                 daemon.set_up_requests.limits.machine.escrow.handover_state()
             )
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -265,13 +265,13 @@
     _, errors = process.popen.communicate(timeout=20)
     assert process.popen.returncode == 0
     events = [json.loads(line)["event"] for line in errors.splitlines()]
-    assert [e for e in events if e != "phase"][0] == "serving" and "stopping" in events
+    assert [e for e in events if e != "recovery phase entered"][0] == "serving" and "stopping" in events
 
 
 def test_a_full_disk_at_the_start_affects_paid_sessions_only(tmp_path: Path) -> None:
     """If a store exists. If none can be created, the start fails and names the folder."""
     front = f'front "f0" hall="hall-a" listen="127.0.0.1:0" {{\n store "{tmp_path / "kept"}"\n}}\n'
-    expected = "store cannot be written, no paid sessions"
+    expected = "cannot write the store; refusing paid sessions"
     for full in (False, True):
         process = Process(tmp_path, front, file_bytes=4096 if full else 0)
         process.serving()
