--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -125,17 +125,19 @@
         self.limits_by_id = {limit.limit_id: limit for limit in settings.limits}
         for key, local in self.local_limits.items():
             local.limit = self.limits_by_id.get(key[0], local.limit)  # a removed one is returned as it was
-        for m in settings.limits:
-            if m.kind is LimitKind.SOFT:
-                counters = self.soft_counters.setdefault(m.limit_id, SoftCounters(m, settings.period_ms))
-                counters.limit = m
+        for limit in settings.limits:
+            if limit.kind is LimitKind.SOFT:
+                counters = self.soft_counters.setdefault(
+                    limit.limit_id, SoftCounters(limit, settings.period_ms)
+                )
+                counters.limit = limit
         self.soft_counters = {
             limit_id: c for limit_id, c in self.soft_counters.items() if limit_id in self.limits_by_id
         }
         self.recompute_shares()
-        for m in settings.limits:
-            if m.kind is LimitKind.PACED:
-                self.local_limit(m, 0)
+        for limit in settings.limits:
+            if limit.kind is LimitKind.PACED:
+                self.local_limit(limit, 0)
 
     def recompute_shares(self) -> None:
         """Uses the smallest amount and the greatest number of fronts that any front has announced.
@@ -371,29 +373,29 @@
                 need=share.need,
                 recall=self.local_limits[key].needed_by_others_than(other) if lent.amount else 0,
             )
-        for m in self.settings.limits:
-            local = self.local_limits.get((m.limit_id, 0))
-            spare = local.lendable(now) if local else self.unused_share(m)
-            message.told.add(limit=m.limit_id, amount=m.amount, spare=spare)
+        for limit in self.settings.limits:
+            local = self.local_limits.get((limit.limit_id, 0))
+            spare = local.lendable(now) if local else self.unused_share(limit)
+            message.told.add(limit=limit.limit_id, amount=limit.amount, spare=spare)
         for limit_id, counters in self.soft_counters.items():
-            at = self.stamp
+            stamp = self.stamp
             message.counts.add(
                 limit=limit_id,
                 front=self.number,
                 life=self.incarnation,
-                at=at,
+                at=stamp,
                 used=self.soft_used[limit_id],
             )
             known = [f for f, e in counters.entries.items() if f != other and e.as_of < inf]
             for front in self.random.sample(known, min(MAX_COUNTERS, len(known))):
-                e = counters.entries[front]
-                age_us = max(0, ceil(1000 * (now - e.as_of)))
+                entry = counters.entries[front]
+                age_us = max(0, ceil(1000 * (now - entry.as_of)))
                 message.counts.add(
                     limit=limit_id,
                     front=front,
-                    life=e.incarnation,
-                    at=e.counter_stamp,
-                    used=e.used,
+                    life=entry.incarnation,
+                    at=entry.counter_stamp,
+                    used=entry.used,
                     age_us=age_us,
                 )
         data: bytes = message.SerializeToString()
@@ -425,7 +427,8 @@
         peer = self.peers.setdefault(sender, Peer())
         if message.life < peer.incarnation:
             self.counts["old_life"] += 1
-            self.pending_replies.add(sender)  # its clock was set back; the reply makes it pick a later number
+            # The sender's clock was set back; the reply makes it take a later incarnation.
+            self.pending_replies.add(sender)
             return
         if message.life > peer.incarnation:
             self.on_peer_restart(now, sender, peer, message)
@@ -519,10 +522,12 @@
         if changed:
             self.recompute_shares()
         transit_ms = now - message.echo / 1000
-        for c in message.counts if message.echo else ():
-            if c.limit in self.soft_counters and c.front != self.number:
-                as_of = now - transit_ms - c.age_us / 1000
-                self.soft_counters[c.limit].merge(c.front, CounterEntry(c.life, c.at, as_of, c.used))
+        for count in message.counts if message.echo else ():
+            if count.limit in self.soft_counters and count.front != self.number:
+                as_of = now - transit_ms - count.age_us / 1000
+                self.soft_counters[count.limit].merge(
+                    count.front, CounterEntry(count.life, count.at, as_of, count.used)
+                )
 
     def apply_peer_share(self, now: float, sender: int, key: Key, part: Any, knows_us: bool) -> None:
         """Takes over the sender's side of one limit.
@@ -607,14 +612,18 @@
             life=self.incarnation, stamp=self.stamp, numbers=self.grant_counter[0], open_at=self.open_at
         )
         state.unheard.extend(sorted(self.unreported))
-        for front, p in self.peers.items():
+        for front, peer in self.peers.items():
             state.peers.add(
-                front=front, life=p.incarnation, stamp=p.stamp, heard_at=p.received_at, asked=p.echoed
+                front=front,
+                life=peer.incarnation,
+                stamp=peer.stamp,
+                heard_at=peer.received_at,
+                asked=peer.echoed,
             )
         for (limit_id, title), local in self.local_limits.items():
-            for field_, loans in ((state.lent, local.share.lent), (state.held, local.share.borrowed)):
+            for stored, loans in ((state.lent, local.share.lent), (state.held, local.share.borrowed)):
                 for front, loan in loans.items():
-                    field_.add(limit=limit_id, title=title, front=front, seq=loan.seq, amount=loan.amount)
+                    stored.add(limit=limit_id, title=title, front=front, seq=loan.seq, amount=loan.amount)
             if local.share.used and not local.rate_limited:
                 state.owed.add(limit=limit_id, title=title, amount=local.share.used)
         data: bytes = state.SerializeToString()
@@ -628,13 +637,13 @@
             raise ValueError(f"limits cannot be read: {error}") from error
         self.incarnation, self.stamp, self.grant_counter[0] = state.life, state.stamp, state.numbers
         self.open_at, self.unreported = state.open_at, set(state.unheard)
-        for p in state.peers:
-            peer = self.peers.setdefault(p.front, Peer())
+        for stored in state.peers:
+            peer = self.peers.setdefault(stored.front, Peer())
             peer.incarnation, peer.stamp, peer.received_at, peer.echoed = (
-                p.life,
-                p.stamp,
-                p.heard_at,
-                p.asked,
+                stored.life,
+                stored.stamp,
+                stored.heard_at,
+                stored.asked,
             )
         for local in self.local_limits.values():
             local.share.unreported = set(self.unreported)
--- a/lemonhall/limits/machine.py
+++ b/lemonhall/limits/machine.py
@@ -170,27 +170,27 @@
             return UNLIMITED
         terms = self.settings.classes[cls]
         premium, digest = terms.worth > self.lowest_worth, title_digest(title)
-        locals_ = [self.escrow.local_limit(m, digest) for m in limits if m.kind is not LimitKind.SOFT]
+        local_limits = [self.escrow.local_limit(m, digest) for m in limits if m.kind is not LimitKind.SOFT]
         if len(self.escrow.local_limits) > MAX_LOCAL_LIMITS:
             self.escrow.drop_idle(now)
             if len(self.escrow.local_limits) > MAX_LOCAL_LIMITS:
                 return AdmissionDecision("too many titles at once", self.settings.period_ms)
-        for local in locals_:
+        for local in local_limits:
             local.reserve.record_request(now, premium)
         by_rate = any(m.unit is LimitUnit.RATE for m in limits)
         best = max(terms.floor, min(terms.top, top, len(self.settings.ladder_kb) - 1))
         full: list[LocalLimit] = []
         for rung in range(best, terms.floor - 1, -1) if by_rate else (terms.floor,):
-            units = {id(local): self.units_for(local.limit, terms, rung) for local in locals_}
+            units = {id(local): self.units_for(local.limit, terms, rung) for local in local_limits}
             above_floor = rung > terms.floor
             full = [
                 local
-                for local in locals_
+                for local in local_limits
                 if not self.fits(now, local, units[id(local)], premium, above_floor)
             ]
             if not full:
                 break
-        for local in locals_:
+        for local in local_limits:
             local.demand.record_request(now, 1 if local.rate_limited else units[id(local)])
         full_soft = next((m for m in limits if m.kind is LimitKind.SOFT and not self.fits_soft(now, m)), None)
         if full or full_soft:
@@ -200,7 +200,7 @@
             self.refused[name] += 1
             return AdmissionDecision(name, self.retry_after_ms(now, full[0] if full else None))
         reservation = Reservation({}, terms.worth, premium, now)
-        for local in locals_:
+        for local in local_limits:
             key, reserved = (local.limit.limit_id, local.title), units[id(local)]
             reservation.units[key] = reserved
             if local.rate_limited:
@@ -208,11 +208,11 @@
             else:
                 local.share.used += reserved
                 local.reserve.record_use(reserved, premium, 1)
-        for m in limits:
-            if m.kind is LimitKind.SOFT:
-                self.rise_buckets[m.limit_id].take_token(False)
-                self.escrow.soft_used[m.limit_id] += 1
-                reservation.units[m.limit_id, 0] = 1
+        for limit in limits:
+            if limit.kind is LimitKind.SOFT:
+                self.rise_buckets[limit.limit_id].take_token(False)
+                self.escrow.soft_used[limit.limit_id] += 1
+                reservation.units[limit.limit_id, 0] = 1
         self.sessions[request_id] = reservation
         return AdmissionDecision(rung_cap=rung if by_rate else 99)
 
@@ -262,14 +262,16 @@
         reservation = self.sessions.get(request_id)
         if reservation is None:
             return True
-        locals_ = [self.escrow.local_limits[k] for k in reservation.units if k in self.escrow.local_limits]
-        exact = [local for local in locals_ if not local.rate_limited]
+        local_limits = [
+            self.escrow.local_limits[k] for k in reservation.units if k in self.escrow.local_limits
+        ]
+        exact = [local for local in local_limits if not local.rate_limited]
         if not reservation.started and any(
             local.share.used > self.escrow.usable_units(local) for local in exact
         ):
             self.counts["lapsed_before_set_up"] += 1
             return False
-        rate_limited = [local for local in locals_ if local.rate_limited]
+        rate_limited = [local for local in local_limits if local.rate_limited]
         for local in rate_limited:
             local.refill_tokens(now, self.escrow.usable_units(local))
         if not all(
@@ -326,13 +328,13 @@
         """Counts a session that plays already, set up by an earlier process, whether or not it fits."""
         terms, digest = self.settings.classes[cls], title_digest(title)
         reservation = Reservation({}, terms.worth, terms.worth > self.lowest_worth, now, started=True)
-        for m in self.limits_for(partner, cls):
-            if m.kind is LimitKind.SOFT:
-                reservation.units[m.limit_id, 0] = 1
-                self.escrow.soft_used[m.limit_id] += 1
-            elif m.kind is LimitKind.EXACT:
-                local, units = self.escrow.local_limit(m, digest), self.units_for(m, terms, rung)
-                reservation.units[m.limit_id, local.title] = units
+        for limit in self.limits_for(partner, cls):
+            if limit.kind is LimitKind.SOFT:
+                reservation.units[limit.limit_id, 0] = 1
+                self.escrow.soft_used[limit.limit_id] += 1
+            elif limit.kind is LimitKind.EXACT:
+                local, units = self.escrow.local_limit(limit, digest), self.units_for(limit, terms, rung)
+                reservation.units[limit.limit_id, local.title] = units
                 local.share.used += units
                 local.handover_units = max(0, local.handover_units - units)
                 local.reserve.record_use(units, reservation.premium, 1)
@@ -358,42 +360,42 @@
             "counts": dict(self.counts),
         }
 
-    def limit_status(self, now: float, m: Limit) -> dict[str, Any]:
-        locals_ = [
-            local for (limit_id, _), local in self.escrow.local_limits.items() if limit_id == m.limit_id
+    def limit_status(self, now: float, limit: Limit) -> dict[str, Any]:
+        local_limits = [
+            local for (limit_id, _), local in self.escrow.local_limits.items() if limit_id == limit.limit_id
         ]
-        lenders = self.lenders(locals_)
+        lenders = self.lenders(local_limits)
         status: dict[str, Any] = {
-            "limit": m.name,
-            "hold": m.kind.value,
-            "of": m.unit.value,
-            "amount": m.amount,
-            "goes_by": self.escrow.amounts[m.limit_id],
-            "refused": self.refused[m.name],
+            "limit": limit.name,
+            "hold": limit.kind.value,
+            "of": limit.unit.value,
+            "amount": limit.amount,
+            "goes_by": self.escrow.amounts[limit.limit_id],
+            "refused": self.refused[limit.name],
         }
-        if m.kind is LimitKind.SOFT:
-            others = self.estimate_others(now, m)
-            status["used"] = self.escrow.soft_used[m.limit_id]
+        if limit.kind is LimitKind.SOFT:
+            others = self.estimate_others(now, limit)
+            status["used"] = self.escrow.soft_used[limit.limit_id]
             status["others"] = others.known
             status["off_most"] = round(others.max_added, 1)
             status["oldest_s"] = round(others.oldest_ms / 1000, 3) if others.oldest_ms < inf else None
             return status
-        own = 0 if m.each_title else self.escrow.unused_share(m)
-        status["used"] = sum(local.share.used for local in locals_)
-        status["held"] = sum(local.share.capacity() for local in locals_) if locals_ else own
-        status["borrowed"] = sum(local.share.borrowed_total for local in locals_)
-        status["lent"] = sum(local.share.lent_total for local in locals_)
-        status["needed"] = sum(local.share.need for local in locals_)
+        own = 0 if limit.each_title else self.escrow.unused_share(limit)
+        status["used"] = sum(local.share.used for local in local_limits)
+        status["held"] = sum(local.share.capacity() for local in local_limits) if local_limits else own
+        status["borrowed"] = sum(local.share.borrowed_total for local in local_limits)
+        status["lent"] = sum(local.share.lent_total for local in local_limits)
+        status["needed"] = sum(local.share.need for local in local_limits)
         oldest = max((now - self.escrow.peers[f].echoed / 1000 for f in lenders), default=0.0)
         status["oldest_s"] = round(oldest / 1000, 3)
-        if m.kind is LimitKind.EXACT:
+        if limit.kind is LimitKind.EXACT:
             status["over_most"] = 0
-            status["back_s"] = round(self.settings.expiry_ms(m) / 1000, 1)
+            status["back_s"] = round(self.settings.expiry_ms(limit) / 1000, 1)
         else:
-            status["in_a_second_most"] = round(self.settings.max_set_ups(m, 1000.0), 1)
-        if m.each_title:
-            status["titles"] = len(locals_)
+            status["in_a_second_most"] = round(self.settings.max_set_ups(limit, 1000.0), 1)
+        if limit.each_title:
+            status["titles"] = len(local_limits)
         return status
 
-    def lenders(self, locals_: Iterable[LocalLimit]) -> set[int]:
-        return {f for local in locals_ for f, loan in local.share.borrowed.items() if loan.amount}
+    def lenders(self, local_limits: Iterable[LocalLimit]) -> set[int]:
+        return {f for local in local_limits for f, loan in local.share.borrowed.items() if loan.amount}
--- a/lemonhall/limits/reserve.py
+++ b/lemonhall/limits/reserve.py
@@ -44,8 +44,8 @@
         self.units_in_use[premium] += sign * units
         self.session_count += sign
 
-    def record_length(self, ms: float) -> None:
-        self.length_ms += LENGTH_GAIN * (ms - self.length_ms)
+    def record_length(self, length_ms: float) -> None:
+        self.length_ms += LENGTH_GAIN * (length_ms - self.length_ms)
 
     def update_quota(self, now: float, capacity: int, classes: tuple[i.SessionClass, ...]) -> None:
         if now - self.updated_at < UPDATE_PERIOD_MS:
--- a/lemonhall/limits/shares.py
+++ b/lemonhall/limits/shares.py
@@ -87,13 +87,13 @@
 
     def peers_to_notify(self) -> set[int]:
         """Fronts that have not acknowledged a grant or a return of units."""
-        for n in [
+        for other in [
             n
             for n in self.peers_in_doubt
             if not self.awaits_acknowledgement(self.lent, n)
             and not self.awaits_acknowledgement(self.borrowed, n)
         ]:
-            self.peers_in_doubt.discard(n)
+            self.peers_in_doubt.discard(other)
         return self.peers_in_doubt
 
     @staticmethod
--- a/lemonhall/zones/machine.py
+++ b/lemonhall/zones/machine.py
@@ -241,14 +241,16 @@
         return self.fronts - sum(zone != self.home_zone for zone in self.peer_home_zones.values())
 
     def reserve_spill(self, now: float, reservation: Reservation, tier: Tier, terms: i.SessionClass) -> int:
-        """Reserves units under all limits of a tier, at the highest rung that fits. Returns the rung, or
-        99."""
+        """Reserves units under all limits of a tier, at the highest rung that leaves some to other sessions.
+
+        Returns the rung, or 99 if nothing was reserved.
+        """
         self.last_spill_at = now
         links_kb, scale = self.monitors[tier.to].total_link_kb(), terms.scale
         limits = self.settings.limits_of(tier)
         ladder = self.settings.ladder_kb
-        for n in limits:
-            self.reserves[n].record_request(now, reservation.premium)
+        for limit in limits:
+            self.reserves[limit].record_request(now, reservation.premium)
         if links_kb <= 0:
             return 99
         for rung in range(min(terms.top, len(ladder) - 1), terms.floor - 1, -1):
@@ -260,17 +262,19 @@
                 if not all(self.has_intake_token(now, n) for n in limits):
                     self.counts["over_rate"] += 1
                     return 99
-                for n in limits:
-                    self.shares[n].used += units[n]
-                    self.reserves[n].record_use(units[n], reservation.premium, 1)
-                    self.intake_buckets[n].tokens -= 1.0
+                for limit in limits:
+                    self.shares[limit].used += units[limit]
+                    self.reserves[limit].record_use(units[limit], reservation.premium, 1)
+                    self.intake_buckets[limit].tokens -= 1.0
                 reservation.tier, reservation.units = tier, units
                 self.counts["spilled"] += 1
                 return rung
-        for n in limits:
-            if self.shares[n].free() < units[n] + self.reserves[n].units_kept_free(reservation.premium):
-                self.shares[n].need = min(
-                    int(MAX_NEED_SHARE * MILLIONTHS), self.shares[n].need + 2 * units[n]
+        for limit in limits:
+            if self.shares[limit].free() < units[limit] + self.reserves[limit].units_kept_free(
+                reservation.premium
+            ):
+                self.shares[limit].need = min(
+                    int(MAX_NEED_SHARE * MILLIONTHS), self.shares[limit].need + 2 * units[limit]
                 )
         self.counts["over_limit"] += 1
         return 99
@@ -318,9 +322,9 @@
         terms = self.settings.classes[cls]
         reservation = Reservation(tier, since=now, repeatable=terms.repeat is Repeat.SAFE, plays_away=True)
         kb = self.settings.ladder_kb[min(rung, len(self.settings.ladder_kb) - 1)] * terms.scale
-        for n in self.settings.limits_of(tier):
-            reservation.units[n] = ceil(MILLIONTHS * kb / (self.settings.limits[n][1] * links_kb))
-            self.shares[n].used += reservation.units[n]
+        for limit in self.settings.limits_of(tier):
+            reservation.units[limit] = ceil(MILLIONTHS * kb / (self.settings.limits[limit][1] * links_kb))
+            self.shares[limit].used += reservation.units[limit]
         self.sessions[request_id] = reservation
 
     def release(self, now: float, request_id: int) -> None:
@@ -330,14 +334,14 @@
             return
         if reservation.ramp_token:
             self.ramp_bucket.tokens += 1.0
-        for n in reservation.units:
-            self.reserves[n].record_length(now - reservation.since)
+        for limit in reservation.units:
+            self.reserves[limit].record_length(now - reservation.since)
         self.release_units(reservation)
 
     def release_units(self, reservation: Reservation) -> None:
-        for n, units in reservation.units.items():
-            self.shares[n].used -= units
-            self.reserves[n].record_use(units, reservation.premium, -1)
+        for limit, units in reservation.units.items():
+            self.shares[limit].used -= units
+            self.reserves[limit].record_use(units, reservation.premium, -1)
         reservation.tier, reservation.units = None, {}
 
     # messages
@@ -395,13 +399,13 @@
         message = Words(
             plan=self.settings.digest, life=self.incarnation, to_life=to_life, home=self.home_zone + 1
         )
-        for n, share in enumerate(self.shares):
+        for limit, share in enumerate(self.shares):
             lent, borrowed = share.lent.get(other, Loan()), share.borrowed.get(other, Loan())
             if lent.seq or borrowed.seq or borrowed.amount or share.need:
                 wants_reply = lent.unacknowledged and lent.seq > 0
                 values = (lent.seq, lent.amount, borrowed.seq, borrowed.amount, share.need, wants_reply)
                 names = ("grant_seq", "grant", "held_seq", "held", "need", "tell")
-                message.parts.add(limit=n, **dict(zip(names, values, strict=True)))
+                message.parts.add(limit=limit, **dict(zip(names, values, strict=True)))
         for monitor in self.monitors:
             if monitor.override is not OperatorOverride.HOLD and (monitor.state or monitor.list_received):
                 state = monitor.state if self.is_own_evidence(now, monitor) else ZoneState.UP
@@ -453,10 +457,10 @@
             self.pending_replies.add(sender)  # it does not know this incarnation yet
             return
         by_limit: dict[int, Any] = {p.limit: p for p in message.parts}
-        for n, share in enumerate(self.shares):
-            part = by_limit.get(n)
+        for limit, share in enumerate(self.shares):
+            part = by_limit.get(limit)
             if part and part.need:
-                self.needed_by_others[n] = now
+                self.needed_by_others[limit] = now
             share.on_grant(sender, part.grant_seq if part else 0, part.grant if part else 0)
             share.on_holding(sender, part.held_seq if part else 0, part.held if part else 0)
             lent = part is not None and part.need > 0 and share.lend(sender, part.need) > 0
@@ -473,11 +477,11 @@
     def serialize(self) -> bytes:
         """The state to be stored; clears `dirty`."""
         state = Kept(plan=self.settings.digest, life=self.incarnation)
-        for n, share in enumerate(self.shares):
+        for limit, share in enumerate(self.shares):
             share.dirty = False
             for stored, loans in ((state.lent, share.lent), (state.held, share.borrowed)):
                 for front, loan in sorted(loans.items()):
-                    stored.add(limit=n, front=front, seq=loan.seq, amount=loan.amount)
+                    stored.add(limit=limit, front=front, seq=loan.seq, amount=loan.amount)
         for monitor in self.monitors:
             if monitor.override_at:
                 state.orders.add(hall=monitor.zone, what=monitor.override, at_ms=int(monitor.override_at))
@@ -503,9 +507,9 @@
         if state.plan != self.settings.digest:
             return
         self.incarnation = int(state.life)
-        for n, share in enumerate(self.shares):
+        for limit, share in enumerate(self.shares):
             lent, borrowed = (
-                {loan.front: Loan(loan.seq, loan.amount) for loan in stored if loan.limit == n}
+                {loan.front: Loan(loan.seq, loan.amount) for loan in stored if loan.limit == limit}
                 for stored in (state.lent, state.held)
             )
             share.restore(lent, borrowed)
@@ -532,8 +536,11 @@
                 }
             )
         limits = []
-        for n, (to, fraction) in enumerate(self.settings.limits):
-            share, tier = self.shares[n], self.settings.tiers[n] if n < len(self.settings.tiers) else None
+        for limit, (to, fraction) in enumerate(self.settings.limits):
+            share, tier = (
+                self.shares[limit],
+                self.settings.tiers[limit] if limit < len(self.settings.tiers) else None,
+            )
             limits.append(
                 {
                     "of": self.settings.zones[tier.hall] if tier else "all halls",
