--- a/lemonhall/limits/escrow.py
+++ b/lemonhall/limits/escrow.py
@@ -55,8 +55,8 @@
 
 @dataclass
 class Peer:
-    """Another front. `stamp`: of its last message that counted; `echoed`: own stamp that it has echoed
-    last."""
+    """Another front. `stamp`: of its last message that counted; `echoed`: the last own stamp that it
+    echoed."""
 
     incarnation: int = 0
     stamp: int = 0
@@ -69,8 +69,9 @@
 
 
 class Escrow:
-    """`incarnation` grows with each start; `fresh`: no session of an earlier incarnation still exists.
+    """This front's side of all limits, and its loans with other fronts.
 
+    `incarnation` grows with each start; `fresh`: no session of an earlier incarnation still exists.
     `expired_units`: units that have expired, by limit and title; the caller ends sessions that used as many.
     """
 
@@ -329,8 +330,7 @@
         return [k for k, local in self.local_limits.items() if local.share.need]
 
     def choose_lenders(self, now: float) -> list[int]:
-        """Fronts to request needed units of: first those with the most spare units, then those not yet
-        asked."""
+        """Fronts to request units from: those with the most spare units first, then those not asked yet."""
         found: dict[int, None] = {}
         for key in self.keys_in_need():
             local, retry_ms = self.local_limits[key], self.settings.period_ms
@@ -402,8 +402,7 @@
         return data
 
     def unused_share(self, limit: Limit) -> int:
-        """Spare units of a limit without local state; 1 for a limit by title, which one number cannot
-        tell."""
+        """Spare units of a limit without local state; 1 for a limit by title, which has no single number."""
         if limit.each_title:
             return 1
         amount = self.amounts[limit.limit_id]
--- a/lemonhall/limits/machine.py
+++ b/lemonhall/limits/machine.py
@@ -2,8 +2,8 @@
 passed in.
 
 Inputs are sessions, their ends, messages of other fronts and time; outputs are decisions, messages, and
-sessions that must end. `Escrow` knows this front's side of each limit. The module has the last word on each
-session that a limit admits; what a limit refuses is refused at once.
+sessions that must end. `Escrow` knows this front's side of each limit. The module makes the final
+decision on each session that a limit admits; what a limit refuses is refused at once.
 
 Times are ms of a monotonic clock that keeps running while the process does not.
 """
@@ -60,7 +60,7 @@
 
 
 class FleetLimits:
-    """`zone`: of this front; the other parameters as of `Escrow`.
+    """Admits sessions under all limits. `zone`: of this front; the other parameters as of `Escrow`.
 
     `sessions_to_end` holds sessions whose units have expired; the caller ends them and then calls `release`.
     """
--- a/lemonhall/members/encryption.py
+++ b/lemonhall/members/encryption.py
@@ -28,8 +28,10 @@
 
 
 class KeyRing:
-    """`keys`: by number (0 to 255), 16 bytes each; the first one encrypts, all decrypt. Raises
-    `ValueError`."""
+    """The shared keys and the replay protection of one front.
+
+    `keys`: by number (0 to 255), 16 bytes each; the first one encrypts, all decrypt. Raises `ValueError`.
+    """
 
     def __init__(self, keys: dict[int, bytes], boot: int) -> None:
         self.boot, self.counter = boot, 0
--- a/lemonhall/members/front_count.py
+++ b/lemonhall/members/front_count.py
@@ -15,7 +15,8 @@
 
 
 class FrontCount:
-    """`reported`: the number of fronts and this front's rank among them, as last returned by `update`."""
+    """Derives the number of fronts from membership views. `reported`: the number of fronts and this front's
+    rank among them, as last returned by `update`."""
 
     def __init__(self, number: int, fronts: int, now: float) -> None:
         self.number = number
--- a/lemonhall/recovery/admission.py
+++ b/lemonhall/recovery/admission.py
@@ -38,7 +38,8 @@
 
 
 class AdmissionGate:
-    """`admit` and `poll` return results of requests; `next_due_at` is when to call `poll`. Times in ms."""
+    """A rate limit with a queue. `admit` and `poll` return results of requests; `next_due_at` is when to call
+    `poll`. Times in ms."""
 
     def __init__(self, random: Random, max_retry_ms: float) -> None:
         self.random, self.max_retry_ms = random, max_retry_ms
--- a/lemonhall/recovery/machine.py
+++ b/lemonhall/recovery/machine.py
@@ -65,7 +65,9 @@
 
 
 class Recovery:
-    """`fronts`: by the settings. `quota_per_s`: of all partners together, used where the usual rate is
+    """The state machine of one front.
+
+    `fronts`: by the settings. `quota_per_s`: of all partners together, used where the usual rate is
     unknown; 0: not set. `get_checkpoint`: of the store, None without a store. Times in ms, of one clock."""
 
     def __init__(
--- a/lemonhall/recovery/phases.py
+++ b/lemonhall/recovery/phases.py
@@ -70,7 +70,8 @@
 
 
 class PhaseTracker:
-    """`other_fronts`: number of fronts that may exist beside this one. Times are of one clock, in ms."""
+    """Derives the phase from the evidence. `other_fronts`: number of fronts that may exist beside this one.
+    Times are of one clock, in ms."""
 
     def __init__(self, now: float, timeouts: PhaseTimeouts, other_fronts: int) -> None:
         self.timeouts, self.other_fronts = timeouts, other_fronts
--- a/lemonhall/recovery/server_pages.py
+++ b/lemonhall/recovery/server_pages.py
@@ -77,7 +77,7 @@
 
 
 class PageQuery:
-    """`until`: the time of the result at the latest."""
+    """Requests the pages of several fronts and merges them. `until`: the time of the result at the latest."""
 
     def __init__(self, until: float) -> None:
         self.until = until
--- a/lemonhall/zones/machine.py
+++ b/lemonhall/zones/machine.py
@@ -2,8 +2,8 @@
 zones that a session may use.
 
 Inputs are time, the server list, results of attempts and messages of other fronts; outputs are decisions,
-messages and state changes. No I/O, no clock; randomness is passed in. The module has the last word on each
-session: a decision is advice, except for the zones that it bars.
+messages and state changes. No I/O, no clock; randomness is passed in. The module makes the final
+decision on each session: a decision here is advice, except for the zones that it bars.
 
 The home zone of a session is the zone of the front that received it. While that zone is up the session plays
 there and nowhere else, unless a tier allows what does not fit to overflow. While the zone is lost or
@@ -71,13 +71,13 @@
     ramp_token: bool = False  # not used yet
     is_probe: bool = False
     repeatable: bool = False  # another set-up does no harm
-    plays_away: bool = False  # in another zone than its home zone
+    plays_in_other_zone: bool = False
     since: float = 0.0
 
 
 @dataclass
 class TokenBucket:
-    """Tokens at a rate that is passed with each call; holds those of one second, and at least one."""
+    """Tokens at a rate that is passed with each call; at most those of one second, or one if that is less."""
 
     tokens: float = 0.0
     updated_at: float = 0.0
@@ -89,7 +89,9 @@
 
 
 class ZoneFailover:
-    """`incarnation` grows with each start without state; `saved_state`: from `serialize`, of the previous
+    """The state machine of one front.
+
+    `incarnation` grows with each start without state; `saved_state`: from `serialize`, of the previous
     process; `state_complete`: every loan is in `saved_state`."""
 
     def __init__(
@@ -310,7 +312,7 @@
         if reservation and reservation.tier and self.zone_by_server.get(server) == self.home_zone:
             self.release_units(reservation)
         elif reservation:
-            reservation.plays_away = True
+            reservation.plays_in_other_zone = True
 
     def restore_session(self, now: float, request_id: int, cls: int, rung: int, server: int) -> None:
         """Counts a session that plays already, set up by an earlier process, if it plays in another zone."""
@@ -320,7 +322,9 @@
         if tier is None or zone == self.home_zone or links_kb <= 0:
             return
         terms = self.settings.classes[cls]
-        reservation = Reservation(tier, since=now, repeatable=terms.repeat is Repeat.SAFE, plays_away=True)
+        reservation = Reservation(
+            tier, since=now, repeatable=terms.repeat is Repeat.SAFE, plays_in_other_zone=True
+        )
         kb = self.settings.ladder_kb[min(rung, len(self.settings.ladder_kb) - 1)] * terms.scale
         for limit in self.settings.limits_of(tier):
             reservation.units[limit] = ceil(MILLIONTHS * kb / (self.settings.limits[limit][1] * links_kb))
@@ -387,7 +391,11 @@
                 and self.ramp_bucket.fill(now, monitor.set_up_rate(now) / self.fronts_sharing_zone()) >= 1.0
             ):
                 for request_id, reservation in self.sessions.items():
-                    if limit in reservation.units and reservation.plays_away and reservation.repeatable:
+                    if (
+                        limit in reservation.units
+                        and reservation.plays_in_other_zone
+                        and reservation.repeatable
+                    ):
                         reservation.repeatable = False  # it is moved once only
                         self.ramp_bucket.tokens -= 1.0
                         self.pending_moves.append(request_id)
