--- a/lemonhall/cli/capture.py
+++ b/lemonhall/cli/capture.py
@@ -13,9 +13,17 @@
 from lemonhall import decide
 from lemonhall.capture import CannotReplay, Capture, Replay, Step, Told, differences, read_capture
 from lemonhall.capture.ring import rewritten
-from lemonhall.capture.story import Front, action_words, event_words, ident_of, story, timelines
+from lemonhall.capture.story import (
+    Front,
+    action_words,
+    event_words,
+    ident_of,
+    printed_name,
+    story,
+    timelines,
+)
 from lemonhall.config.settings import read_settings
-from lemonhall.front.keeping.capturing import write_new
+from lemonhall.front.persistence.capture_writer import write_atomically
 from lemonhall.front.process.daemon import load_module
 from lemonhall.problem import BadInput
 
@@ -62,7 +70,7 @@
             data = answer.read()
     except (OSError, urllib.error.URLError) as error:
         raise BadInput(status, f"no front answers there: {error}") from error
-    write_new(out, data)
+    write_atomically(out, data)
     click.echo(f"{out}: {len(data)} bytes")
 
 
@@ -95,11 +103,9 @@
             if isinstance(step, Step):
                 click.echo(f"call {step.number} at {step.now:.3f}")
                 for event in step.events:
-                    click.echo(f"  {ident_of(event) or ''} {event_words(event) or type(event).__name__}")
+                    click.echo(f"  {ident_of(event) or ''} {event_words(event) or printed_name(event)}")
                 for action in step.recorded:
-                    click.echo(
-                        f"  > {ident_of(action) or ''} {action_words(action) or type(action).__name__}"
-                    )
+                    click.echo(f"  > {ident_of(action) or ''} {action_words(action) or printed_name(action)}")
     if as_json:
         click.echo(
             json.dumps(
@@ -119,7 +125,7 @@
     make = load_module(module) if module else decide.Front
     steps = [s for s in run(file, Replay(make), made) if isinstance(s, Step)]
     changed = sum(not s.same for s in steps)
-    write_new(file, rewritten(made.records, [(s.number, s.decided) for s in steps], reason))
+    write_atomically(file, rewritten(made.records, [(s.number, s.decided) for s in steps], reason))
     click.echo(f"{file}: {changed} of {len(steps)} calls decided otherwise")
 
 
@@ -135,7 +141,9 @@
         assert replay.header
         offset = replay.header.wall_ms - replay.header.at_ms
         fronts.append(Front(f"{replay.header.front}, {file.name}", steps, offset))
-    write_new(out, timelines(fronts, "Captures" if len(files) > 1 else f"Capture {files[0].name}").encode())
+    write_atomically(
+        out, timelines(fronts, "Captures" if len(files) > 1 else f"Capture {files[0].name}").encode()
+    )
 
 
 @click.command()
--- a/lemonhall/front/workers/parent.py
+++ b/lemonhall/front/workers/parent.py
@@ -28,10 +28,10 @@
 
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.process.channel import Channel
-from lemonhall.front.process.supervise import Restarts
+from lemonhall.front.process.supervisor import Restarts
+from lemonhall.ipc.heartbeat import HeartbeatMonitor
 from lemonhall.loop import Loop, Timer, listen
 from lemonhall.loop.stream import Address
-from lemonhall.seam.pulse import Pulse
 
 log = structlog.get_logger("lemonhall.front")
 TICK_S = 0.5
@@ -65,7 +65,7 @@
             self.channel.close()
             ended(self, status)
 
-        loop.on_child(self.process.pid, reaped)
+        loop.add_child_handler(self.process.pid, reaped)
 
     def tell(self, message: dict[str, Any], fds: tuple[int, ...] = ()) -> None:
         if self.channel.open:
@@ -108,7 +108,7 @@
         self.taking: set[int] = set()  # numbers of workers that have been seen to take viewers
         self.die_at = ""  # for tests: where the first decider ends
         self.tree = ""  # the settings that hold, as the decider has them
-        self.pulse = Pulse(HUNG_S, TICK_S)
+        self.pulse = HeartbeatMonitor(HUNG_S, TICK_S)
         self.serving = self.ending = self.yielding = False
         self.exit_status = 0
         self.host = ""
@@ -128,8 +128,8 @@
             sock.close()
 
         def bound(address: Address, share: bool) -> socket.socket:
-            sock = listen(self.loop, address, nobody, share=share)
-            self.loop.watch(sock, 0, nobody)
+            sock = listen(self.loop, address, nobody, reuse_port=share)
+            self.loop.watch_socket(sock, 0, nobody)
             return sock
 
         self.viewers = bound(s.listen, s.share_port)
@@ -165,7 +165,7 @@
         return Child(self.loop, command, (), self.decider_says, self.decider_ended)
 
     def decider_says(self, child: Child, message: dict[str, Any]) -> None:
-        self.pulse.heard(child.process.pid, self.loop.now())
+        self.pulse.record(child.process.pid, self.loop.now())
         if "ready" in message and child is self.spare:
             self.spare_ready = True
             log.info("decider stands by", pid=child.process.pid)
@@ -195,7 +195,7 @@
         self.decider = child
         child.began = self.loop.now()
         self.deciders += 1
-        self.pulse.heard(child.process.pid, self.loop.now())
+        self.pulse.record(child.process.pid, self.loop.now())
         sockets = {"seam": self.seam, "viewers": self.viewers}
         if self.status:
             sockets["status"] = self.status
@@ -310,7 +310,7 @@
         def command(control: int) -> list[str]:
             given = {"number": slot.number, "family": self.family, "seam": self.seam_path}
             given |= {"viewers": viewers, "control": control, "log_format": self.log_format}
-            return [sys.executable, "-m", "lemonhall.front.workers.carrier", json.dumps(given)]
+            return [sys.executable, "-m", "lemonhall.front.workers.worker_process", json.dumps(given)]
 
         number = slot.number
 
@@ -410,13 +410,13 @@
     def run(self) -> int:
         """Until the front has ended. Returns the exit status."""
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1):
-            self.loop.on_signal(number, lambda n=number: self.signalled(n))
+            self.loop.add_signal_handler(number, lambda n=number: self.signalled(n))
         self.loop.run()
         self.loop.close()
         return self.exit_status
 
 
-def wait_for_go(control: socket.socket) -> tuple[bytes, dict[str, socket.socket]]:
+def wait_for_activation(control: socket.socket) -> tuple[bytes, dict[str, socket.socket]]:
     """Stands by, loaded, until the parent says so: the settings that hold (empty: read them), its sockets.
 
     Raises `SystemExit` when the parent ends.
@@ -436,14 +436,14 @@
     loop.run(until=lambda: bool(over) or any("go" in m for m in told))
     if over:
         raise SystemExit(0)
-    loop.watch(control, 0, channel.on_ready)
+    loop.watch_socket(control, 0, channel.on_ready)
     loop.close()
     go = next(m for m in told if "go" in m)
     named = {name: socket.socket(fileno=fd) for name, fd in zip(go["sockets"], sockets, strict=True)}
     return base64.b64decode(go["tree"]), named
 
 
-def ignore_terminal() -> None:
+def ignore_terminal_interrupts() -> None:
     """^C goes to a whole group of processes; only the parent acts on it."""
     with contextlib.suppress(ValueError):
         signal.signal(signal.SIGINT, signal.SIG_IGN)
--- a/tests/zones/test_machine.py
+++ b/tests/zones/test_machine.py
@@ -309,7 +309,7 @@
     for n, cls in enumerate((SAFE, PAID)):
         session = i.NewSession(n, cls, n, n, 1000.0, 3, 0, 6)
         set_ups = [a for a in front.handle(1.0, [session]) if isinstance(a, i.SetUp)]
-        advised = [i.Advised(n, i.Advice(move=True))]
+        advised = [i.AdviceChanged(n, i.Advice(move=True))]
         moved += [a for a in front.handle(2.0, advised) if isinstance(a, i.Move)]  # does not play yet
         playing = i.Playing(n, 0, set_ups[0].server, 20.0)
         moved += [a for a in front.handle(3.0, [playing, *advised]) if isinstance(a, i.Move)]
