--- a/lemonhall/front/guarding/handover.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -20,11 +20,17 @@
 from lemonhall.front.viewers.session import Ask, Session, State, ViewerTrack
 from lemonhall.front.viewers.viewer import ViewerConnection
 from lemonhall.interface import Outcome
+from lemonhall.ipc import (
+    AttemptFinished,
+    MalformedMessage,
+    MessageDecoder,
+    RequestStage,
+    SetUpRequested,
+    ViewerGone,
+    encode,
+)
 from lemonhall.loop import Handler, Stream
 from lemonhall.rtsp import Parser
-from lemonhall.seam import Asked as Said
-from lemonhall.seam import Broken, Gone, Reader, Stage, encode
-from lemonhall.seam import Ended as EndedWord
 from lemonhall.store import Token
 
 Packed = dict[str, Any]
@@ -81,9 +87,9 @@
         "control": track.control,
         "clock": rtp.clock_rate,
         "ssrc": rtp.ssrc,
-        "last": rtp.last,
+        "last": rtp.last_sent,
         "offsets": rtp.offsets,
-        "joining": rtp.joining,
+        "joining": rtp.resync,
     }
 
 
@@ -96,11 +102,11 @@
         "headers": attempt.headers,
         "bandwidth": attempt.bandwidth,
         "start_s": attempt.start_s,
-        "began": attempt.began,
+        "began": attempt.started_at,
         "kept": text(bytes(attempt.parser.kept)),
         "cseq": attempt.cseq,
         "session": attempt.session,
-        "waiting": attempt.waiting,
+        "waiting": attempt.pending_methods,
         "report": attempt.report,
         "stream": pack_stream(attempt.stream),
     }
@@ -108,12 +114,12 @@
 
 def pack_ask(daemon: Daemon, ask: Ask) -> Packed:
     assert ask.attempt
-    known = daemon.asks.open.get(ask.number)
+    known = daemon.set_up_requests.open_requests.get(ask.number)
     return {
         "said": text(encode(ask.said)),
-        "memo": text(daemon.asks.memo(known) if known else ask.memo),
+        "memo": text(daemon.set_up_requests.pack_memo(known) if known else ask.memo),
         "rung": ask.rung,
-        "claimed": [ask.carry.turn, ask.carry.made],
+        "claimed": [ask.carry.claim_turn, ask.carry.claim_attempts],
         "attempt": pack_attempt(ask.attempt),
     }
 
@@ -174,8 +180,8 @@
 def unpack_track(packed: Packed) -> ViewerTrack:
     first, second = packed["channels"]
     track = ViewerTrack((first, second), packed["control"], packed["clock"])
-    track.rtp.ssrc, track.rtp.joining = packed["ssrc"], packed["joining"]
-    track.rtp.last = None if packed["last"] is None else tuple(packed["last"])
+    track.rtp.ssrc, track.rtp.resync = packed["ssrc"], packed["joining"]
+    track.rtp.last_sent = None if packed["last"] is None else tuple(packed["last"])
     track.rtp.offsets = None if packed["offsets"] is None else tuple(packed["offsets"])
     return track
 
@@ -188,12 +194,12 @@
     attempt.headers = [(name, value) for name, value in packed["headers"]]
     attempt.bandwidth, attempt.start_s = packed["bandwidth"], packed["start_s"]
     attempt.report_fields = daemon.settings.terms.report_fields
-    attempt.state, attempt.left_as = AttemptState.PLAYING, Outcome.OK
-    attempt.began, attempt.parser = packed["began"], parser_of(packed["kept"])
-    attempt.cseq, attempt.set_up = packed["cseq"], len(attempt.tracks)
-    attempt.session, attempt.waiting = packed["session"], dict(packed["waiting"])
+    attempt.state, attempt.teardown_outcome = AttemptState.PLAYING, Outcome.OK
+    attempt.started_at, attempt.parser = packed["began"], parser_of(packed["kept"])
+    attempt.cseq, attempt.tracks_set_up = packed["cseq"], len(attempt.tracks)
+    attempt.session, attempt.pending_methods = packed["session"], dict(packed["waiting"])
     attempt.report = tuple(packed["report"])
-    attempt.play_ok = attempt.media_seen = attempt.clear = True
+    attempt.play_ok = attempt.media_seen = attempt.may_send = True
     attempt.timer = None
     attempt.stream = unpack_stream(daemon, packed["stream"], fd, attempt, 1 << 18)
     return attempt
@@ -201,15 +207,15 @@
 
 def unpack_ask(daemon: Daemon, session: Session, packed: Packed, fd: int) -> Ask:
     worker = daemon.worker
-    said = Reader().feed(base64.b64decode(packed["said"]))[0]
-    if isinstance(said, Broken) or not isinstance(said, Said):
+    said = MessageDecoder().feed(base64.b64decode(packed["said"]))[0]
+    if isinstance(said, MalformedMessage) or not isinstance(said, SetUpRequested):
         raise ValueError("a session that cannot be read")
-    said.ask = worker.next_ask
+    said.request_id = worker.next_ask
     worker.next_ask += 1
     ask = Ask(session, said, daemon.settings.terms.max_attempts)
     ask.rung, ask.answered, ask.memo = packed["rung"], True, base64.b64decode(packed["memo"])
-    ask.carry.stage, ask.carry.tries = Stage.PLAYING, 1
-    ask.carry.turn, ask.carry.made = packed["claimed"]
+    ask.carry.stage, ask.carry.attempts_made = RequestStage.PLAYING, 1
+    ask.carry.claim_turn, ask.carry.claim_attempts = packed["claimed"]
     ask.attempt = unpack_attempt(daemon, ask, packed["attempt"], fd)
     return ask
 
@@ -317,8 +323,8 @@
         if ask is None or ask.attempt is None:
             continue
         attempt = ask.attempt
-        daemon.asks.holds.pop((ask.number, attempt.number), None)
+        daemon.set_up_requests.holds.pop((ask.number, attempt.number), None)
         if ask.carry.close(worker.link):
-            worker.say(Gone(ask.number, True))
+            worker.say(ViewerGone(ask.number, True))
             cancelled = (ask.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
-            worker.say(EndedWord(*cancelled, True, True, False, True, ()))
+            worker.say(AttemptFinished(*cancelled, True, True, False, True, ()))
--- a/lemonhall/front/node/process.py
+++ b/lemonhall/front/node/process.py
@@ -13,7 +13,7 @@
 
 from lemonhall import interface
 from lemonhall.decide import Front
-from lemonhall.front.deciding.bridge import Bridge
+from lemonhall.front.decider.bridge import Bridge
 from lemonhall.front.node.log import log
 from lemonhall.front.node.resolver import Resolver
 from lemonhall.front.node.servers import MediaServers
@@ -42,8 +42,8 @@
         # times.
         clock_offset_s = self.clock_offset_s = time.time() - loop.now()
         self.bridge = Bridge(Front(settings, config.seed), lambda: (loop.now() + clock_offset_s) * 1000)
-        self.bridge.carry_out[interface.SetTimer] = self.set_timer
-        max_note_interval_s = (settings.reports_every_ms * 1.5 + settings.told_late_ms) / 1000
+        self.bridge.action_handlers[interface.SetTimer] = self.set_timer
+        max_note_interval_s = (settings.reports_every_ms * 1.5 + settings.report_delay_ms) / 1000
         self.servers = MediaServers(
             loop,
             config.names,
@@ -76,7 +76,7 @@
         loop.on_error = self.on_callback_error
         loop.end_of_pass_callbacks.append(self.flush_events)
         self.report_list(interface.ListKind.CACHED, config.list_number, tuple(config.servers.values()), ())
-        self.bridge.call()
+        self.bridge.call_module()
         self.resolver = Resolver(
             loop,
             config.resolver_address,
@@ -109,7 +109,7 @@
         log.emit("fault", error=f"{type(error).__name__}: {error}", where=where)
 
     def set_timer(self, action: interface.SetTimer) -> None:
-        self.loop.call_later(action.after_ms / 1000, self.bridge.tell, interface.TimerDue(action.token))
+        self.loop.call_later(action.after_ms / 1000, self.bridge.enqueue, interface.TimerDue(action.token))
 
     # Server list
 
@@ -153,7 +153,7 @@
                 server = self.servers.get_or_add(entry.id)
                 reported.append(self.make_server(entry, server.number, interface.ServerState.GONE))
         log.emit("list", number=list_number, kind=kind.name.lower(), changed=len(changed), gone=len(removed))
-        self.bridge.tell(interface.ServerList(kind, list_number, tuple(reported)))
+        self.bridge.enqueue(interface.ServerList(kind, list_number, tuple(reported)))
         # After the report, so that the decider sees these sessions end on a server that is gone.
         for entry in removed:
             server = self.servers.get_or_add(entry.id)
--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 
 from lemonhall import interface
-from lemonhall.front.deciding.bridge import Bridge
+from lemonhall.front.decider.bridge import Bridge
 from lemonhall.front.node.servers import NEVER, MediaServer, MediaServers, ServerConnection
 from lemonhall.front.node.session import Attempt, Session
 from lemonhall.front.node.viewers import ViewerConnection, ViewerConnections
@@ -68,7 +68,7 @@
             self.on_server_note,
         )
         servers.on_attempt_ended, servers.on_session_lost = self.end_attempt, self.end_lost_session
-        bridge.carry_out.update(
+        bridge.action_handlers.update(
             {
                 interface.SetUp: self.start_attempt,
                 interface.SetRung: self.set_rung,
@@ -99,7 +99,7 @@
         self.counts["asked"] += 1
         left_ms = max(1.0, (deadline - now) * 1000)
         session.new_session_event = self.make_new_session_event(session, left_ms)
-        self.bridge.tell(session.new_session_event)
+        self.bridge.enqueue(session.new_session_event)
         return True
 
     def add(self, session: Session) -> Session:
@@ -119,7 +119,7 @@
             first_cell=set_up.first_cell,
             cells=set_up.cells,
             tenant=set_up.tenant,
-            again=set_up.retry or set_up.again,
+            repeated=set_up.retry or set_up.again,
         )
 
     def take_over(self, viewer: ViewerConnection, set_up: NewSetUp) -> None:
@@ -137,7 +137,7 @@
         server.add_session(session)
         self.established_count += 1
         self.counts["handed_over"] += 1
-        self.bridge.tell(
+        self.bridge.enqueue(
             interface.HandedOver(
                 self.make_new_session_event(session, max(1.0, set_up.left_ms)), server.number
             )
@@ -201,7 +201,7 @@
         if attempt:
             self.stop_waiting(attempt)
             took_ms = (self.loop.now() - attempt.started_at) * 1000
-            self.bridge.tell(
+            self.bridge.enqueue(
                 interface.AttemptEnded(
                     session.number, attempt.number, attempt.server.number, Outcome.CANCELLED, True, took_ms
                 )
@@ -209,7 +209,7 @@
 
     def report_viewer_gone(self, session: Session) -> None:
         """Reports the departure before all other events; a session not reported yet is withdrawn instead."""
-        if session.new_session_event and self.bridge.left(session.new_session_event):
+        if session.new_session_event and self.bridge.enqueue_viewer_gone(session.new_session_event):
             self.departing[session.number] = session
             # Runs after all actions have been carried out.
             self.loop.call_soon(self.departing.pop, session.number, None)
@@ -262,7 +262,9 @@
             session.viewer.open_sessions.pop(session.ref, None)
             session.viewer.proven = True
         server_number = attempt.server.number
-        self.bridge.tell(interface.Playing(session.number, attempt.number, server_number, took_ms, up.load))
+        self.bridge.enqueue(
+            interface.Playing(session.number, attempt.number, server_number, took_ms, up.load)
+        )
 
     def send_answer(self, session: Session, line: bytes) -> bool:
         """False if the connection does not take the answer any more."""
@@ -311,7 +313,7 @@
         server_number = connection.server.number
         if note.kind == interface.NoteKind.RUNG:
             session.rung = int(note.value)
-        self.bridge.tell(
+        self.bridge.enqueue(
             interface.Note(session.number, session.attempt.number, server_number, note.kind, note.value)
         )
 
@@ -325,7 +327,7 @@
             attempt.timer.cancel()
         self.counts[f"ended_{outcome.name.lower()}"] += 1
         took_ms = (self.loop.now() - attempt.started_at) * 1000
-        self.bridge.tell(
+        self.bridge.enqueue(
             interface.AttemptEnded(
                 session.number, attempt.number, attempt.server.number, outcome, False, took_ms, load
             )
@@ -351,7 +353,7 @@
         self.remove(session)
         attempt.server.remove_session(session)
         took_ms = (self.loop.now() - attempt.started_at) * 1000
-        self.bridge.tell(
+        self.bridge.enqueue(
             interface.AttemptEnded(
                 session.number, attempt.number, attempt.server.number, outcome, True, took_ms, load
             )
@@ -381,7 +383,7 @@
         if moot or departing or server is None or not server.listed:
             # Nothing is sent: too many attempts, two at once, no server, or no time left.
             self.counts["ended_moot"] += 1
-            self.bridge.tell(
+            self.bridge.enqueue(
                 interface.AttemptEnded(action.id, number, action.server, Outcome.MOOT, False, 0.0)
             )
             return
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -19,16 +19,15 @@
 from lemonhall.config.routing import title_of
 from lemonhall.front.servers.attempt import Attempt
 from lemonhall.front.servers.attempt import State as AttemptState
-from lemonhall.front.servers.relay import Track
+from lemonhall.front.servers.rtp_rewriter import RtpRewriter
 from lemonhall.front.viewers.routes import Asked
 from lemonhall.front.viewers.slot import Slot
 from lemonhall.interface import Outcome
+from lemonhall.ipc import RequestState, SetUpRequested
 from lemonhall.loop import Loop, Timer
 from lemonhall.rtsp import Frames, rtp
 from lemonhall.rtsp.messages import answer, make_response
 from lemonhall.rtsp.parser import frame, split_frames
-from lemonhall.seam import Asked as Said
-from lemonhall.seam import Carry
 from lemonhall.store import Token
 
 
@@ -70,9 +69,9 @@
 class Ask:
     """One session of the module's, and what its attempts tell. `said`: as the decider is told of it."""
 
-    def __init__(self, session: Session, said: Said, most: int) -> None:
-        self.session, self.said, self.number, self.deadline = session, said, said.ask, said.deadline
-        self.carry = Carry(most)
+    def __init__(self, session: Session, said: SetUpRequested, most: int) -> None:
+        self.session, self.said, self.number, self.deadline = session, said, said.request_id, said.deadline
+        self.carry = RequestState(most)
         self.rung = 0
         self.attempt: Attempt | None = None
         self.answered = False
@@ -95,7 +94,7 @@
     """One track as the viewer has it: channels on its connection, and RTP continuity."""
 
     def __init__(self, channels: tuple[int, int], control: str, clock_rate: int) -> None:
-        self.channels, self.control, self.rtp = channels, control, Track(clock_rate)
+        self.channels, self.control, self.rtp = channels, control, RtpRewriter(clock_rate)
 
 
 class Session:
@@ -226,8 +225,8 @@
             self.worker.counts["stray_frames"] += 1
             return
         now = self.worker.loop.now()
-        if track.offsets is None and not track.joining:
-            track.saw(run.data[run.last + 4 :], now)
+        if track.offsets is None and not track.resync:
+            track.observe(run.data[run.last + 4 :], now)
             self.viewer.media(self, run.data)
             return
         copy = memoryview(bytearray(run.data))
--- a/lemonhall/limits/__init__.py
+++ b/lemonhall/limits/__init__.py
@@ -1,7 +1,19 @@
-"""Limits that hold for all fronts together: escrow with leases, paced shares, soft counters. No I/O."""
+"""Limits that all fronts hold together without a coordinator. No I/O.
 
-from lemonhall.limits.escrow import Out
-from lemonhall.limits.machine import Limits, Ruling
-from lemonhall.limits.plan import Hold, Limit, Plan, Unit
+Exact limits use escrow with leases, rate limits on set-ups use shares of the rate, and soft limits use
+gossiped counters.
+"""
 
-__all__ = ["Hold", "Limit", "Limits", "Out", "Plan", "Ruling", "Unit"]
+from lemonhall.limits.escrow import OutgoingMessage
+from lemonhall.limits.machine import AdmissionDecision, FleetLimits
+from lemonhall.limits.settings import Limit, LimitKind, LimitSettings, LimitUnit
+
+__all__ = [
+    "AdmissionDecision",
+    "FleetLimits",
+    "Limit",
+    "LimitKind",
+    "LimitSettings",
+    "LimitUnit",
+    "OutgoingMessage",
+]
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -17,13 +17,13 @@
 from lemonhall.cli.limits import line, of_fleet
 from lemonhall.config.day import read_day
 from lemonhall.day import play_day
-from lemonhall.front.deciding.limits import LimitsDesk
-from lemonhall.limits import Limits, Plan
+from lemonhall.front.decider.limits import LimitsDriver
+from lemonhall.limits import FleetLimits, LimitSettings
 from lemonhall.loop import Loop
 from lemonhall.model.played.world import World
-from tests.front.world import TERMS
-from tests.front.world import World as Front
-from tests.limits.worlds import PERIOD, exact, plan
+from tests.front.harness import TERMS
+from tests.front.harness import FrontHarness as Front
+from tests.limits.fleet import PERIOD, exact_limit, settings_of
 
 Build = Callable[..., Front]
 
@@ -35,13 +35,13 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.other: LimitsDesk | None = None
+        self.other: LimitsDriver | None = None
         self.sent = 0
 
-    def tell_front(self, number: int, message: Any) -> bool:
+    def send_to_front(self, number: int, message: Any) -> bool:
         self.sent += 1
         if self.other:
-            self.other.loop.call_soon(self.other.heard, message)
+            self.other.loop.call_soon(self.other.on_message, message)
         return True
 
 
@@ -53,14 +53,14 @@
         return self.at
 
 
-def desks(made: Plan) -> tuple[Loop, Clock, list[LimitsDesk]]:
+def desks(made: LimitSettings) -> tuple[Loop, Clock, list[LimitsDriver]]:
     clock = Clock()
     loop, found = Loop(lambda: clock.at / 1000), []
     lines = [Line(0), Line(1)]
     for n, carrier in enumerate(lines):
-        machine = Limits(made, n, 2, 0, 1, Random(n), clock.at)
+        machine = FleetLimits(made, n, 2, 0, 1, Random(n), clock.at)
         machine.escrow.members = (0, 1)
-        found.append(LimitsDesk(loop, machine, carrier, clock))
+        found.append(LimitsDriver(loop, machine, carrier, clock))
     lines[0].other, lines[1].other = found[1], found[0]
     for desk in found:
         desk.start()
@@ -75,45 +75,48 @@
 
 
 def test_desks_share_a_limit_and_say_so() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(4)))
     for ask in range(1, 20):
-        one.ask(ask, 0, 0, "/a", 99, "")
+        one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2])["limits"][0] for desk in (one, other)]
     assert [t["used"] for t in told] == [4, 0] and told[1]["lent"] == told[0]["borrowed"] == 2
-    assert one.ask(99, 0, 0, "/a", 99, "").refused == "seats"
+    assert one.reserve(99, 0, 0, "/a", 99, "").refused_by == "seats"
     assert other.forget("0")[0] == 409 and other.forget("x")[0] == 400
     loop.close()
 
 
 def test_a_session_that_moves_keeps_its_room() -> None:
-    loop, clock, (one, other) = desks(plan(exact(2)))
-    assert not one.ask(1, 0, 0, "/a", 99, "").refused and not other.ask(1, 0, 0, "/a", 99, "").refused
+    loop, clock, (one, other) = desks(settings_of(exact_limit(2)))
+    assert (
+        not one.reserve(1, 0, 0, "/a", 99, "").refused_by
+        and not other.reserve(1, 0, 0, "/a", 99, "").refused_by
+    )
     one.park(1, "s")
-    one.over(1)  # its ask is over, the session is not
-    assert other.ask(2, 0, 0, "/a", 99, "").refused
-    assert not one.ask(2, 0, 0, "/a", 99, "s").refused
+    one.release(1)  # its ask is over, the session is not
+    assert other.reserve(2, 0, 0, "/a", 99, "").refused_by
+    assert not one.reserve(2, 0, 0, "/a", 99, "s").refused_by
     one.park(2, "s")
-    one.over(2)
+    one.release(2)
     run(loop, clock, 20)  # it never came
-    assert not one.ask(3, 0, 0, "/a", 99, "").refused
+    assert not one.reserve(3, 0, 0, "/a", 99, "").refused_by
     loop.close()
 
 
 def test_one_that_is_relieved_lets_nothing_in_and_its_successor_what_is_left() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(4)))
     for ask in range(1, 20):
-        one.ask(ask, 0, 0, "/a", 99, "")
+        one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     one.stop()
-    state = one.machine.escrow.state()
-    made = Limits(plan(exact(4)), 0, 2, 0, 9, Random(9), clock.at)
-    made.take_over(clock.at, state)
-    assert one.ask(50, 0, 0, "/a", 99, "").refused == "changing guard"
-    assert made.ask(clock.at, 51, 0, 0, "/a").refused == "seats"  # what stands there counts
-    made.carried_all()
-    assert not made.ask(clock.at, 52, 0, 0, "/a").refused
-    assert other.ask(53, 0, 0, "/a", 99, "").refused
+    state = one.machine.escrow.handover_state()
+    made = FleetLimits(settings_of(exact_limit(4)), 0, 2, 0, 9, Random(9), clock.at)
+    made.restore_state(clock.at, state)
+    assert one.reserve(50, 0, 0, "/a", 99, "").refused_by == "changing guard"
+    assert made.admit(clock.at, 51, 0, 0, "/a").refused_by == "seats"  # what stands there counts
+    made.finish_handover()
+    assert not made.admit(clock.at, 52, 0, 0, "/a").refused_by
+    assert other.reserve(53, 0, 0, "/a", 99, "").refused_by
     loop.close()
 
 
@@ -166,67 +169,67 @@
     assert told["limit_over_most"] == 0 and told["limit_used_share"] < 0.7
 
 
-def test_what_a_limit_refuses_is_refused_at_once_with_a_reason(world: Build) -> None:
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    client, session = w.playing("/browse/a")
-    other, _, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+def test_what_a_limit_refuses_is_refused_at_once_with_a_reason(make_front: Build) -> None:
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    client, session = w.play_session("/browse/a")
+    other, _, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     answer = other.answers[-1]
     assert answer.status == 503 and "limit one" in str(answer.headers.get("X-Reason") or answer.reason)
     assert float(answer.headers.get("Retry-After")) >= 1
-    assert w.set_ups() == 1 and w.daemon.counts["over_limit"] == 1
-    told = json.loads(w.daemon.shown.limits_page()[2])["limits"][0]
+    assert w.set_up_count() == 1 and w.daemon.counts["over_limit"] == 1
+    told = json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]
     assert (told["used"], told["held"], told["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.until(lambda: client.answers_to(done))
-    w.until(lambda: not w.daemon.asks.book.out)
-    w.playing("/browse/b")
-    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.shown.metrics_page()[2]
+    w.run_until(lambda: client.answers_to(done))
+    w.run_until(lambda: not w.daemon.set_up_requests.attempt_table.open_attempts)
+    w.play_session("/browse/b")
+    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
 
 
 def test_a_limit_changes_while_sessions_stand(reloaded: Callable[..., Any]) -> None:
     limit = 'limit "two" class="browse-clip" sessions={}\n'
     w, load = reloaded(TERMS + limit.format(2))
-    w.playing("/browse/a")
-    w.playing("/browse/b")
+    w.play_session("/browse/a")
+    w.play_session("/browse/b")
     assert load(TERMS + limit.format(1))
-    other, _, cseq = w.play("/browse/c")
-    w.until(lambda: other.answers_to(cseq))
+    other, _, cseq = w.send_play("/browse/c")
+    w.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
-    assert json.loads(w.daemon.shown.limits_page()[2])["limits"][0]["used"] == 2  # none is cut
+    assert json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]["used"] == 2  # none is cut
 
 
-def test_a_session_whose_loan_is_over_is_ended_in_order(world: Build) -> None:
-    w = world(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
-    client, _ = w.playing("/browse/a")
-    machine = w.daemon.asks.limits.machine
-    room = next(iter(machine.escrow.rooms.values()))
-    room.parts.own = 0  # as if it had been lent by another
-    machine.escrow.lapsed((room.limit.ident, 0), 1)
-    w.until(lambda: client.byes)
-    w.until(lambda: not w.daemon.asks.open)
-    assert w.daemon.counts["ended_by_limit"] == 1 and room.parts.used == 0
+def test_a_session_whose_loan_is_over_is_ended_in_order(make_front: Build) -> None:
+    w = make_front(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
+    client, _ = w.play_session("/browse/a")
+    machine = w.daemon.set_up_requests.limits.machine
+    local = next(iter(machine.escrow.local_limits.values()))
+    local.share.own = 0  # as if it had been lent by another
+    machine.escrow.record_expired((local.limit.limit_id, 0), 1)
+    w.run_until(lambda: client.byes)
+    w.run_until(lambda: not w.daemon.set_up_requests.open_requests)
+    assert w.daemon.counts["ended_by_limit"] == 1 and local.share.used == 0
 
 
-def test_room_is_held_until_an_attempt_that_is_out_has_ended(world: Build) -> None:
+def test_room_is_held_until_an_attempt_that_is_out_has_ended(make_front: Build) -> None:
     """What its server has not yet heard the end of stands there."""
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.playing("/browse/a")
-    asks = w.daemon.asks
-    (number,) = asks.open
-    ask = asks.open[number]
-    asks.drop(ask)  # the ask is given up, its attempt is still in the book
-    assert asks.limits.machine.sessions
-    other, _, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    w.play_session("/browse/a")
+    requests = w.daemon.set_up_requests
+    (number,) = requests.open_requests
+    ask = requests.open_requests[number]
+    requests.close_request(ask)  # the ask is given up, its attempt is still in the book
+    assert requests.limits.machine.sessions
+    other, _, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
 
 
-def test_the_life_of_a_refused_session_names_the_limit(world: Build, tmp_path: Path) -> None:
-    w = world(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.playing("/browse/a")
-    other, session, cseq = w.play("/browse/b")
-    w.until(lambda: other.answers_to(cseq))
+def test_the_life_of_a_refused_session_names_the_limit(make_front: Build, tmp_path: Path) -> None:
+    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    w.play_session("/browse/a")
+    other, session, cseq = w.send_play("/browse/b")
+    w.run_until(lambda: other.answers_to(cseq))
     path = tmp_path / "kept.lhc"
     path.write_bytes(w.daemon.capture.save())
     done = CliRunner().invoke(group, ["why", str(path), session.partition(";")[0]])
@@ -234,9 +237,9 @@
 
 
 def test_limits_are_shown_of_a_front_and_of_the_fleet() -> None:
-    loop, clock, (one, other) = desks(plan(exact(4)))
+    loop, clock, (one, other) = desks(settings_of(exact_limit(4)))
     for ask in range(1, 12):
-        one.ask(ask, 0, 0, "/a", 99, "")
+        one.reserve(ask, 0, 0, "/a", 99, "")
         run(loop, clock, 0.5)
     told = [json.loads(desk.page()[2]) for desk in (one, other)]
     assert line(told[0]["limits"][0]).startswith("seats            exact  4 of 4 sessions used, 4 held")
--- a/tests/front/test_membership.py
+++ b/tests/front/test_membership.py
@@ -12,15 +12,15 @@
 from lemonhall import decide
 from lemonhall import interface as i
 from lemonhall.config.settings import read_settings
-from lemonhall.front.deciding.membership import Membership, read_keys
+from lemonhall.front.decider.membership import Membership, read_keys
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Loop
-from lemonhall.members import Config
+from lemonhall.members import SwimConfig
 from lemonhall.problem import BadInput
-from tests.front.world import TERMS
+from tests.front.harness import TERMS
 
 KEYS = {1: b"k" * 16}
-FAST = Config(period_ms=40.0, answer_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
+FAST = SwimConfig(period_ms=40.0, ack_timeout_ms=12.0, suspect_periods=3.0, suspect_factor=3.0)
 
 
 class Fronts:
@@ -30,7 +30,7 @@
         self.all: dict[int, Membership] = {}
 
     def add(self, number: int, keys: dict[int, bytes] | None = None, fronts: int = 1) -> Membership:
-        seeds = tuple(m.at for m in self.all.values())[:2]
+        seeds = tuple(m.local_address for m in self.all.values())[:2]
         told = self.told[number] = []
         made = Membership(
             self.loop,
@@ -70,17 +70,17 @@
     for number in range(5):
         fronts.add(number)
     fronts.until(lambda: fronts.see(0, 1, 2, 3, 4))
-    fronts.until(lambda: all(t and t[-1] == i.Fleet(5, n) for n, t in fronts.told.items()))
+    fronts.until(lambda: all(t and t[-1] == i.FleetChanged(5, n) for n, t in fronts.told.items()))
 
 
 def test_a_front_that_goes_is_seen_and_its_share_is_kept_for_a_while(fronts: Fronts) -> None:
     for number in range(4):
         fronts.add(number)
     fronts.until(lambda: fronts.see(0, 1, 2, 3))
-    fronts.until(lambda: fronts.told[0] and fronts.told[0][-1] == i.Fleet(4, 0))
+    fronts.until(lambda: fronts.told[0] and fronts.told[0][-1] == i.FleetChanged(4, 0))
     fronts.all[3].close()
     fronts.until(lambda: fronts.see(0, 1, 2))
-    assert fronts.told[0][-1] == i.Fleet(4, 0)
+    assert fronts.told[0][-1] == i.FleetChanged(4, 0)
 
 
 def test_a_front_that_leaves_says_so(fronts: Fronts) -> None:
@@ -111,10 +111,10 @@
         tenants=(i.Tenant(10.0),),
     )
     front = decide.Front(settings, 1)
-    front.handle(0.0, [i.Fleet(20, 7)])
+    front.handle(0.0, [i.FleetChanged(20, 7)])
     assert (front.settings.fronts, front.settings.index) == (20, 7)
     assert replace(front.settings, fronts=1, index=0) == settings
-    front.handle(1.0, [i.Fleet(0, 0), i.Fleet(4, 9)])
+    front.handle(1.0, [i.FleetChanged(0, 0), i.FleetChanged(4, 9)])
     assert (front.settings.fronts, front.settings.index) == (4, 3)
 
 
@@ -137,8 +137,8 @@
     path.write_text(TERMS + f'front "f0" hall="hall-a" listen="127.0.0.1:0" {{\n    {node}\n}}\n')
     daemon = Daemon(read_settings(path), loop=Loop())
     daemon.open()
-    assert daemon.membership and isinstance(daemon.membership.at[1], int)
-    status, _, body = daemon.shown.members_page()
+    assert daemon.membership and isinstance(daemon.membership.local_address[1], int)
+    status, _, body = daemon.status_pages.members_page()
     assert status == 200 and b'"members": [0]' in body
     daemon.stop()
     daemon.loop.run()
--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -365,11 +365,11 @@
 
 
 def plant_late_report_of_departure(patch: pytest.MonkeyPatch) -> None:
-    def left(bridge: Any, event: interface.NewSession) -> bool:
-        bridge.tell(interface.ViewerGone(event.id))
+    def enqueue_viewer_gone(bridge: Any, event: interface.NewSession) -> bool:
+        bridge.enqueue(interface.ViewerGone(event.id))
         return True
 
-    patch.setattr("lemonhall.front.deciding.bridge.Bridge.left", left)
+    patch.setattr("lemonhall.front.decider.bridge.Bridge.enqueue_viewer_gone", enqueue_viewer_gone)
 
 
 def plant_undelivered_answer(patch: pytest.MonkeyPatch) -> None:
--- a/tests/node/test_process.py
+++ b/tests/node/test_process.py
@@ -85,6 +85,6 @@
         "dns",
     }
     packages = {".".join(name.split(".")[1:3]) for name in own_modules if name.count(".") > 1}
-    assert packages <= {"front.node", "front.deciding", "loop.event_loop", "loop.stream"} | {
+    assert packages <= {"front.node", "front.decider", "loop.event_loop", "loop.stream"} | {
         package for package in packages if package.startswith("node.")
     }
