--- a/lemonhall/front/node/sessions.py
+++ b/lemonhall/front/node/sessions.py
@@ -119,7 +119,7 @@
             first_cell=set_up.first_cell,
             cells=set_up.cells,
             tenant=set_up.tenant,
-            repeated=set_up.retry or set_up.again,
+            repeated=set_up.retry or set_up.repeated,
         )
 
     def take_over(self, viewer: ViewerConnection, set_up: NewSetUp) -> None:
--- a/lemonhall/node/messages.py
+++ b/lemonhall/node/messages.py
@@ -56,7 +56,7 @@
     cells: int
     top_rung: int
     retry: bool
-    again: bool
+    repeated: bool
     playing_at: str  # id of the server at which the session plays already; empty for a set-up
     description: str
     class_name: str
--- a/tests/node/test_messages.py
+++ b/tests/node/test_messages.py
@@ -40,7 +40,7 @@
         0xB4D65521,
         0x7F3A9C21E0B4D655,
     )
-    assert set_up.retry and not set_up.again and not set_up.playing_at
+    assert set_up.retry and not set_up.repeated and not set_up.playing_at
 
 
 def test_a_handed_over_session_needs_no_description() -> None:
