--- a/lemonhall/front/process/subsystems.py
+++ b/lemonhall/front/process/subsystems.py
@@ -1,5 +1,4 @@
-"""The machines that stand beside the module at a front (the return, halls, limits): made, wired to their
-desks, and stopped together."""
+"""State machines next to the decision module of a front (recovery, zones, limits): creation, wiring, stop."""
 
 from __future__ import annotations
 
@@ -30,12 +29,13 @@
 from lemonhall.zones import ZoneFailover, ZoneSettings
 
 log = structlog.get_logger("lemonhall.front")
-HEAR_S = 0.03  # a front that starts waits so long before its call for the list
-PAUSE_MS = 2000.0  # the longest advised while a front comes back, where the settings name none
+# Wait of a starting front before it requests the server list, so that it knows of peers in recovery.
+RECOVERY_WAIT_S = 0.03
+DEFAULT_MAX_PAUSE_MS = 2000.0  # longest pause advised during recovery, where the settings name none
 
 
 class Front(Protocol):
-    """The daemon, as far as these machines need it."""
+    """The part of the daemon that these state machines need."""
 
     settings: FrontSettings
     loop: Loop
@@ -55,62 +55,66 @@
 
 
 class Subsystems:
+    """Creates the state machines of a front, connects them to their drivers, and stops them."""
+
     def __init__(self, front: Front) -> None:
         self.front = front
 
-    def open_return(self, anew: bool) -> None:
-        """The machine of recovery. `anew`: not in the place of a front that lives, so the list is the kept
-        one, and others are asked about the store before anything of its ledger is used."""
-        s, terms = self.front.settings, self.front.settings.terms
+    def open_recovery(self, fresh: bool) -> None:
+        """Starts recovery. A `fresh` front does not replace a running one.
+
+        It uses the stored server list, and asks peers about its store before it uses its ledger.
+        """
+        settings, terms = self.front.settings, self.front.settings.terms
         machine = Recovery(
             self.front.now_ms(),
-            s.index,
-            s.fronts,
+            settings.index,
+            settings.fronts,
             Random(SystemRandom().getrandbits(64)),
-            PhaseTimeouts(period_ms=s.members.period_ms) if s.members else PhaseTimeouts(),
-            terms.max_pause_ms or PAUSE_MS,
+            PhaseTimeouts(period_ms=settings.members.period_ms) if settings.members else PhaseTimeouts(),
+            terms.max_pause_ms or DEFAULT_MAX_PAUSE_MS,
             (lambda: self.front.store_service.checkpoint if self.front.store_service else None),
             sum(t.quota_per_s for t in terms.tenants),
             self.front.membership is not None,
         )
-        desk = self.front.set_up_requests.recovery = RecoveryDriver(
+        driver = self.front.set_up_requests.recovery = RecoveryDriver(
             self.front.loop,
             self.front.now_ms,
             machine,
             self.front.membership,
             self.front.store_service,
             self.front.set_up_requests.release_held_request,
-            self.return_said,
+            self.on_recovery_note,
         )
         if self.front.membership:
             self.front.membership.on_view_changed = self.front.on_membership_view
-        self.front.list_client.on_list_alive = lambda as_of: desk.record_list_alive(
+        self.front.list_client.on_list_alive = lambda as_of: driver.record_list_alive(
             as_of, len(self.front.list_client.server_list.boxes)
         )
         self.front.list_client.extra_delay_s = lambda: machine.list_wait_ms() / 1000
-        machine.page_server.build = self.known
-        desk.on_page_received = self.handed
-        if anew:
+        machine.page_server.build = self.known_servers
+        driver.on_page_received = self.on_state_received
+        if fresh:
             self.front.list_client.load_cache()
             if not self.front.list_client.server_list.boxes:
-                desk.request_list()
-        if not s.list_url:
-            desk.record_list_alive(
+                driver.request_list()
+        if not settings.list_url:
+            driver.record_list_alive(
                 0.0, len(self.front.list_client.server_list.boxes)
-            )  # nothing is waited for
-        elif not (anew and s.members):
+            )  # there is no list to wait for
+        elif not (fresh and settings.members):
             self.front.list_client.start()
-        else:  # by then whoever comes back as well has spoken
-            self.front.loop.call_later(HEAR_S, self.call_list)
-        if anew and s.members:
-            desk.verify_store(s.members.period_ms)
-        desk.start()
+        else:  # by then peers that recover as well have announced it
+            self.front.loop.call_later(RECOVERY_WAIT_S, self.start_list_client)
+        if fresh and settings.members:
+            driver.verify_store(settings.members.period_ms)
+        driver.start()
 
-    def known(self) -> list[Any]:
+    def known_servers(self) -> list[Any]:
         return list_pages(self.front.list_client.server_list, self.front.memory(), self.front.now_ms())
 
-    def handed(self, page: Any) -> None:
-        """What others knew counts as a kept list and a memory: each by its age, the loads as hearsay."""
+    def on_state_received(self, page: Any) -> None:
+        """Uses peers' state like a stored list and memory: parts by their age, loads as second-hand data."""
         if not self.front.list_client.adopt_list(update_from_page(page)):
             return
         memory = memory_from_page(page, self.front.memory(), self.front.now_ms())
@@ -118,84 +122,97 @@
             self.front.bridge.enqueue(memory)
         self.front.counts["handed_servers"] += len(page.entries)
         loads = len(memory.servers) if memory else 0
-        log.info("list handed on by others", servers=len(page.entries), loads=loads)
-        self.return_said(f"others knew of {len(page.entries)} servers")
+        log.info("server list received from peers", servers=len(page.entries), loads=loads)
+        self.on_recovery_note(f"others knew of {len(page.entries)} servers")
 
-    def return_said(self, words: str) -> None:
+    def on_recovery_note(self, text: str) -> None:
         if self.front.capture:
-            self.front.capture.add_note(self.front.now_ms(), "return", words)
+            self.front.capture.add_note(self.front.now_ms(), "return", text)
 
-    def call_list(self) -> None:
-        """Of fronts that are heard to come back together each in its time."""
+    def start_list_client(self) -> None:
+        """Starts the list client; fronts that recover together are spread over time."""
         self.front.loop.call_later(self.front.list_client.extra_delay_s(), self.front.list_client.start)
 
-    def open_halls(self) -> None:
-        """The machine of halls, with what was kept of its parts; without a store it has to ask for them."""
-        kept = self.front.store_service.load_zones() if self.front.store_service else None
-        s, now = self.front.settings, self.front.now_ms()
+    def open_zones(self) -> None:
+        """Starts the zones' state machine with its stored shares; without a store it asks peers for them."""
+        stored = self.front.store_service.load_zones() if self.front.store_service else None
+        settings, now = self.front.settings, self.front.now_ms()
         machine = ZoneFailover(
-            ZoneSettings.of(s.terms),
-            s.index,
-            s.fronts,
-            s.hall,
+            ZoneSettings.of(settings.terms),
+            settings.index,
+            settings.fronts,
+            settings.hall,
             int(self.front.wall() * 1000),
-            Random(s.seed),
+            Random(settings.seed),
             now,
-            state_complete=kept is not None,
-            saved_state=kept or b"",
+            state_complete=stored is not None,
+            saved_state=stored or b"",
         )
-        halls = self.front.set_up_requests.zones = ZonesDriver(
+        driver = self.front.set_up_requests.zones = ZonesDriver(
             self.front.loop,
             self.front.now_ms,
             machine,
-            s.terms.cells,
+            settings.terms.cells,
             self.front.wall,
             self.front.membership,
             self.front.store_service,
-            self.hall_said,
+            self.on_zone_note,
         )
-        halls.on_move_home = self.front.set_up_requests.advise_move_home
+        driver.on_move_home = self.front.set_up_requests.advise_move_home
         if self.front.membership:
-            self.front.membership.on_zones_message = halls.on_message
-            halls.update_members(self.front.membership.machine.view())
-        halls.start()
+            self.front.membership.on_zones_message = driver.on_message
+            driver.update_members(self.front.membership.machine.view())
+        driver.start()
 
-    def hall_said(self, words: str) -> None:
+    def on_zone_note(self, text: str) -> None:
         if self.front.capture:
-            self.front.capture.add_note(self.front.now_ms(), "halls", words)
+            self.front.capture.add_note(self.front.now_ms(), "halls", text)
 
     def limits_plan(self) -> LimitSettings:
-        s = self.front.settings
-        return LimitSettings.of(s.terms, s.members.period_ms if s.members else MAX_PERIOD_MS)
+        settings = self.front.settings
+        return LimitSettings.of(
+            settings.terms, settings.members.period_ms if settings.members else MAX_PERIOD_MS
+        )
 
     def open_limits(self) -> None:
-        """The machine of the fleet's limits: as the process that is relieved had it, or as one that remembers
-        nothing. Where workers outlive a decider, sessions of the life before may stand."""
-        s, now = self.front.settings, clock_ms()
+        """Starts the fleet limits' state machine, with the state of the replaced process or with none.
+
+        Where workers outlive a decider, sessions of an earlier incarnation may still play.
+        """
+        settings, now = self.front.settings, clock_ms()
         random = Random(SystemRandom().getrandbits(64))
-        life, fresh = int(self.front.wall() * 1000), s.workers == 0
-        machine = FleetLimits(self.limits_plan(), s.index, s.fronts, s.hall, life, random, now, fresh)
+        incarnation, fresh = int(self.front.wall() * 1000), settings.workers == 0
+        machine = FleetLimits(
+            self.limits_plan(),
+            settings.index,
+            settings.fronts,
+            settings.hall,
+            incarnation,
+            random,
+            now,
+            fresh,
+        )
         if (
             self.front.inherited
             and self.front.inherited.message
             and (state := self.front.inherited.message.get("limits"))
         ):
             machine.restore_state(now, b64decode(state))
-        desk = self.front.set_up_requests.limits = LimitsDriver(
-            self.front.loop, machine, self.front.membership, record_event=self.limit_said
+        driver = self.front.set_up_requests.limits = LimitsDriver(
+            self.front.loop, machine, self.front.membership, record_event=self.on_limit_note
         )
-        desk.on_session_end = self.front.set_up_requests.end_session
+        driver.on_session_end = self.front.set_up_requests.end_session
         if self.front.membership:
-            self.front.membership.on_limits_message = desk.on_message
-            desk.update_members(self.front.membership.machine.view(), False)
-        desk.start()
+            self.front.membership.on_limits_message = driver.on_message
+            driver.update_members(self.front.membership.machine.view(), False)
+        driver.start()
 
-    def limit_said(self, words: str, ask: int) -> None:
+    def on_limit_note(self, text: str, request_id: int) -> None:
         if self.front.capture:
-            self.front.capture.add_note(self.front.now_ms(), "limits", words, ask)
+            self.front.capture.add_note(self.front.now_ms(), "limits", text, request_id)
 
     def stop(self) -> None:
-        """Nothing more is said or written by this process."""
+        """Stops the state machines: they send and write nothing more."""
         if self.front.set_up_requests.limits:
             self.front.set_up_requests.limits.stop()
         if self.front.set_up_requests.zones:
