--- a/tests/node/test_crossings.py
+++ b/tests/node/test_crossings.py
@@ -335,7 +335,9 @@
     world.run_until(lambda: world.advance(5.0, 0.2) or not world.node.open_set_up_count)
     check(world)
     decider: Any = world.node.bridge.decider
-    held = sum(len(box.sessions) for box in decider.held)  # also at servers that are not listed
+    held = sum(
+        len(server.sessions) for server in decider.servers_in_use
+    )  # also at servers that are not listed
     assert held == len(decider.sessions) == world.node.sessions.established_count
     assert not world.node.sessions.departing
     world.run_until(
--- a/tests/node/test_rare.py
+++ b/tests/node/test_rare.py
@@ -67,7 +67,7 @@
 def no_state_left(world: World) -> bool:
     """Whether neither the decider nor the node holds a session, a place on a server or a seat."""
     decider: Any = world.node.bridge.decider
-    held = [session for box in decider.boxes.values() for session in box.sessions.values()]
+    held = [session for server in decider.tracked_servers.values() for session in server.sessions.values()]
     sessions = world.node.sessions
     busy_servers = [
         server
@@ -82,7 +82,7 @@
     return not (
         decider.sessions
         or held
-        or decider.seats
+        or decider.seats_taken
         or sessions.by_ref
         or sessions.established_count
         or busy_servers
@@ -695,8 +695,8 @@
     _, connection, _ = world.wait_for_set_up(ref)
     connection.send_data({**up(ref), "f": {"load": "queue:3;utilization:0.5"}})
     world.run_until(lambda: world.messages_for(ref, "up"))
-    (box,) = world.node.bridge.decider.boxes.values()  # type: ignore[attr-defined]
-    assert box.link.heard_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
+    (server,) = world.node.bridge.decider.tracked_servers.values()  # type: ignore[attr-defined]
+    assert server.link.reported_at == pytest.approx(world.node.bridge.now_ms(), abs=1.0)
 
 
 # Input that is read before a write
