--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -225,7 +225,7 @@
             for change in changes:
                 self.capture.add_note(self.now_ms(), "settings", change.what)
         if self.set_up_requests.limits:
-            self.set_up_requests.limits.apply_plan(self.subsystems.limits_plan())
+            self.set_up_requests.limits.update_settings(self.subsystems.limits_plan())
         elif settings.terms.fleet_limits:
             self.subsystems.open_limits()
         self.hooks.apply_settings(settings)
@@ -466,7 +466,7 @@
         if not fresh:
             store_service.start()
             return
-        if memory := store_service.load_memory():
+        if memory := store_service.load_learned_state():
             self.bridge.enqueue(memory)
         lost = store_service.forget_lost_sessions()
         if memory or lost:
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -476,4 +476,6 @@
     harness.run_until(lambda: client.answers_to(cseq))
     assert harness.module.events_of(i.AttemptEnded)[0].outcome == i.Outcome.MOOT
     assert harness.daemon.counts["seam_full"] == 1 and len(client.answers_to(cseq)) == 1
-    assert not harness.daemon.set_up_requests.attempt_table.open_attempts or client.answers_to(cseq) == [200]
+    assert not harness.daemon.set_up_requests.attempt_registry.open_attempts or client.answers_to(cseq) == [
+        200
+    ]
