--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -276,7 +276,7 @@
     for session in viewer.sessions.values():
         worker.add_session(session)
         if request := session.set_up_request:
-            worker.requests[request.number] = request
+            worker.requests_by_number[request.number] = request
             worker.announce_request(request)
     for stream in connection_streams(viewer):
         stream.resume_io()
@@ -308,14 +308,14 @@
         stream.suspend_io()
     for session in viewer.sessions.values():
         if session.set_up_request:
-            daemon.worker.requests.pop(session.set_up_request.number, None)
+            daemon.worker.requests_by_number.pop(session.set_up_request.number, None)
 
 
 def thaw_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
     """Resumes a frozen connection that stays with this process."""
     for session in viewer.sessions.values():
         if session.set_up_request and session.state is State.PLAYING:
-            daemon.worker.requests[session.set_up_request.number] = session.set_up_request
+            daemon.worker.requests_by_number[session.set_up_request.number] = session.set_up_request
     for stream in connection_streams(viewer):
         stream.resume_io()
     viewer.idle_timer = daemon.loop.call_later(viewer.limits.idle_ms / 1000, viewer.check_idle)
--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -146,7 +146,7 @@
         if self.source.channel_closed or self.channel is None:
             return
         daemon = self.daemon
-        if not daemon.worker.viewers and not daemon.worker.requests:
+        if not daemon.worker.viewers and not daemon.worker.requests_by_number:
             self.perform_all(self.source.on_nothing_left())
             return
         ready: list[ViewerConnection] = []
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -559,7 +559,7 @@
         if (
             self.workers.worker_count()
             if self.workers
-            else self.worker.requests or self.set_up_requests.open_requests
+            else self.worker.requests_by_number or self.set_up_requests.open_requests
         ):
             self.loop.call_later(0.02, self.finish_stop)
             return
--- a/lemonhall/front/viewers/worker.py
+++ b/lemonhall/front/viewers/worker.py
@@ -98,7 +98,7 @@
         self.store_failing = False
         self.pruned_s = 0
         self.sessions_by_id: dict[str, Session] = {}
-        self.requests: dict[int, SetUpRequest] = {}
+        self.requests_by_number: dict[int, SetUpRequest] = {}
         self.next_request_number = (number << 32) + 1
         self.viewers: set[ViewerConnection] = set()
         self.descriptions = DescriptionCache(
@@ -148,7 +148,7 @@
         self.pruned_s = welcome.pruned_s
         self.last_connection_id += 1
         self.connection_id = self.last_connection_id
-        for request in list(self.requests.values()):
+        for request in list(self.requests_by_number.values()):
             self.announce_request(request)
 
     def on_decider_lost(self) -> None:
@@ -157,7 +157,7 @@
         if not self.connection_id:
             return
         self.decider, self.connection_id = None, 0
-        for request in list(self.requests.values()):
+        for request in list(self.requests_by_number.values()):
             if request.request_state.on_connection_lost() and request.attempt:
                 attempt, request.attempt = request.attempt, None
                 attempt.end(Outcome.MOOT)
@@ -314,7 +314,7 @@
             session.viewer_name,
             str(session.claim or ""),
         )
-        request = session.set_up_request = self.requests[number] = SetUpRequest(
+        request = session.set_up_request = self.requests_by_number[number] = SetUpRequest(
             session, message, terms.max_attempts
         )
         request.deadline_timer = self.loop.call_at(
@@ -325,7 +325,7 @@
     def remove_request(self, request: SetUpRequest) -> None:
         if request.deadline_timer:
             request.deadline_timer.cancel()
-        self.requests.pop(request.number, None)
+        self.requests_by_number.pop(request.number, None)
 
     def close_request(self, request: SetUpRequest) -> bool:
         """Closes a request that does not play, and cancels its attempt.
@@ -360,7 +360,7 @@
     def on_viewer_gone(self, session: Session) -> None:
         """Tears down the session's attempt; its end is reported to the decider when it occurs."""
         request = session.set_up_request
-        if request is None or request.number not in self.requests:
+        if request is None or request.number not in self.requests_by_number:
             return
         attempt = request.attempt
         if request.request_state.close(self.connection_id):
@@ -433,7 +433,7 @@
 
     def on_start_attempt(self, message: StartAttempt) -> None:
         """Starts an attempt, or reports it as `MOOT` if the request cannot have one now."""
-        request = self.requests.get(message.request_id)
+        request = self.requests_by_number.get(message.request_id)
         address = parse_address(message.address) if message.address[:1] != "/" else message.address
         possible = (
             request is not None and address is not None and request.attempt is None and not request.answered
@@ -485,7 +485,7 @@
         )
 
     def on_attempt_recorded(self, message: AttemptRecorded) -> None:
-        request = self.requests.get(message.request_id)
+        request = self.requests_by_number.get(message.request_id)
         if request is None or request.attempt is None or request.attempt.number != message.attempt:
             return
         if message.error:
@@ -494,7 +494,7 @@
             request.attempt.on_claim_written("")
 
     def on_change_rung(self, message: ChangeRung) -> None:
-        request = self.requests.get(message.request_id)
+        request = self.requests_by_number.get(message.request_id)
         if request:
             request.rung = message.rung
             if request.attempt:
@@ -510,7 +510,7 @@
 
     def answer_request(self, number: int, answer: Callable[[Session], object]) -> None:
         """Closes a request with the decider's answer, unless it has been answered."""
-        request = self.requests.get(number)
+        request = self.requests_by_number.get(number)
         if request and not request.answered:
             self.close_request(request)
             answer(request.session)
@@ -518,7 +518,7 @@
     def on_move_session(self, message: MoveSession) -> None:
         """Removes a playing session from its server. It opens a new request shortly; the numbering of the
         viewer's stream continues."""
-        request = self.requests.get(message.request_id)
+        request = self.requests_by_number.get(message.request_id)
         if request is None or request.session.state is not State.PLAYING:
             return
         session, attempt = request.session, request.attempt
@@ -529,13 +529,13 @@
 
     def on_cancel_attempt(self, message: CancelAttempt) -> None:
         """Cancels an attempt, unless it plays."""
-        request = self.requests.get(message.request_id)
+        request = self.requests_by_number.get(message.request_id)
         if request and not request.answered and request.attempt and request.attempt.number == message.attempt:
             request.attempt.end(Outcome.CANCELLED)
 
     def on_end_session(self, message: EndSession) -> None:
         """Ends a playing or moving session in order: BYE to the viewer, TEARDOWN to the server."""
-        request = self.requests.get(message.request_id)
+        request = self.requests_by_number.get(message.request_id)
         if request and request.session.state in (State.PLAYING, State.MOVING):
             request.session.end(message.bye_reason)
             if request.attempt:
@@ -575,12 +575,12 @@
 
     def end_open_sessions(self) -> None:
         """Repeats until no response is due and no attempt is open."""
-        for request in list(self.requests.values()):
+        for request in list(self.requests_by_number.values()):
             if request.session.state in (State.PLAYING, State.MOVING):
                 request.session.end("front stops")
                 if request.attempt:
                     self.loop.call_soon(partial(request.attempt.teardown))
-        if self.requests:
+        if self.requests_by_number:
             self.loop.call_later(0.02, self.end_open_sessions)
             return
         for viewer in list(self.viewers):
--- a/tests/day/rogues/attempts_at_once.py
+++ b/tests/day/rogues/attempts_at_once.py
@@ -20,7 +20,7 @@
 
 def set_up_twice(self: Worker, message: StartAttempt) -> None:
     on_start_attempt(self, message)
-    request = self.requests.get(message.request_id)
+    request = self.requests_by_number.get(message.request_id)
     if request is None or request.attempt is None or request.message.cls == 0:
         return
     attempt = request.attempt
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -86,7 +86,7 @@
         for sock in daemon.listeners:
             self.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
-        for ask in list(daemon.worker.requests.values()):
+        for ask in list(daemon.worker.requests_by_number.values()):
             if ask.attempt:
                 ask.attempt.stream.abort()
         for viewer in list(daemon.worker.viewers):
--- a/tests/front/test_workers.py
+++ b/tests/front/test_workers.py
@@ -454,7 +454,7 @@
     assert client.answers_to(cseq) == [503] and client.answers[-1].headers.get("Retry-After") == "2"
     assert (
         not harness.module.events_of(i.NewSession)
-        and not harness.daemon.worker.requests
+        and not harness.daemon.worker.requests_by_number
         and harness.set_up_count() == 0
     )
     monkeypatch.undo()
