--- a/lemonhall/front/viewers/worker.py
+++ b/lemonhall/front/viewers/worker.py
@@ -73,7 +73,10 @@
 
 
 class Worker:
-    """`number` is not used twice during the lifetime of the front; `server_list` is this process's copy."""
+    """The viewers, sessions and attempts of one process.
+
+    `number` is not used twice during the lifetime of the front; `server_list` is this process's copy.
+    """
 
     def __init__(
         self,
@@ -152,8 +155,10 @@
             self.announce_request(request)
 
     def on_decider_lost(self) -> None:
-        """Drops attempts that have sent nothing; the next decider gets their requests again. Playing
-        sessions continue."""
+        """Drops attempts whose request may not be sent yet; the next decider gets their set-up requests.
+
+        Attempts that may have been sent and playing sessions continue.
+        """
         if not self.connection_id:
             return
         self.decider, self.connection_id = None, 0
@@ -248,7 +253,7 @@
         )
         if was_over != self.over_memory:
             log.warning(
-                "resident memory crossed its limit; above it new sessions are refused",
+                "resident memory crossed its limit; above it new viewers and sessions are refused",
                 over_limit=self.over_memory,
                 resident_bytes=resident_bytes,
                 limit_bytes=limit_bytes,
