--- a/lemonhall/cli/store.py
+++ b/lemonhall/cli/store.py
@@ -11,8 +11,8 @@
 import lmdb
 
 from lemonhall.problem import BadInput
-from lemonhall.store import BadRecord, Standing, Store, Token
-from lemonhall.store.file import KINDS
+from lemonhall.store import RecordError, Standing, Store, Token
+from lemonhall.store.file import MESSAGE_TYPES
 
 
 @click.group()
@@ -33,13 +33,13 @@
     """Read every record; exit 1 if one is damaged or of a newer version."""
     try:
         file = opened(folder)
-        found = file.look()
+        found = file.check()
         file.close()
     except lmdb.Error as error:  # pages themselves are damaged: no record behind them can be named
         click.echo(f"  bad: the file itself: {error}")
         sys.exit(1)
     assert found.about
-    counts = {name: found.counts[name] for name in KINDS}
+    counts = {name: found.counts[name] for name in MESSAGE_TYPES}
     standings = {s.name.lower(): found.standings[s] for s in Standing}
     if as_json:
         shown = {
@@ -48,8 +48,8 @@
             **counts,
             "standings": standings,
             "bytes": found.bytes_used,
-            "bytes_most": found.bytes_most,
-            "bad": found.bad,
+            "bytes_most": found.max_bytes,
+            "bad": found.damaged,
         }
         click.echo(json.dumps(shown))
     else:
@@ -58,10 +58,10 @@
         click.echo(f"{name}, made {made:%Y-%m-%d %H:%M} UTC")
         click.echo("  " + ", ".join(f"{name} {n}" for name, n in counts.items()))
         click.echo("  claims: " + ", ".join(f"{name} {n}" for name, n in standings.items()))
-        click.echo(f"  {found.bytes_used} of {found.bytes_most} bytes")
-        for line in found.bad:
+        click.echo(f"  {found.bytes_used} of {found.max_bytes} bytes")
+        for line in found.damaged:
             click.echo(f"  bad: {line}")
-    sys.exit(1 if found.bad else 0)
+    sys.exit(1 if found.damaged else 0)
 
 
 @store.command()
@@ -75,11 +75,11 @@
         if claim:
             show_claim(file, claim)
             return
-        newest = list(file.each("claims"))[-most:][::-1]
+        newest = list(file.records("claims"))[-most:][::-1]
         for key, record in newest:
             click.echo(line_of(key, record))
-        for _, record in list(file.each("held"))[:most]:
-            if not isinstance(record, BadRecord):
+        for _, record in list(file.records("held"))[:most]:
+            if not isinstance(record, RecordError):
                 since = datetime.fromtimestamp(record.since_ms / 1000, UTC)
                 click.echo(f"plays {record.path} at server {record.server} since {since:%H:%M:%S} UTC")
     finally:
@@ -92,7 +92,7 @@
         raise BadInput("--claim", f"no token of a claim: {text!r}")
     try:
         record = file.get("claims", token.key)
-    except BadRecord as error:
+    except RecordError as error:
         record = error
     if record is None:
         raise BadInput("--claim", "not in this store: never set up by this front, or too long ago")
@@ -101,7 +101,7 @@
 
 def line_of(key: bytes, record: object) -> str:
     token = Token.of_key(key)
-    if isinstance(record, BadRecord):
+    if isinstance(record, RecordError):
         return f"{token}  {record}; it may have run"
     at = datetime.fromtimestamp(record.at_ms / 1000, UTC)  # type: ignore[attr-defined]
     standing = Standing(record.standing)  # type: ignore[attr-defined]
--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -15,10 +15,10 @@
 from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.loop import Loop, Timer
 from lemonhall.members.members_pb2 import ASK_CLAIM, CLAIM, Message
-from lemonhall.store import Answer, Begun, Standing, Token, Verdict
+from lemonhall.store import ClaimAnswer, ClaimDecision, Standing, Token, Verdict
 
 RETRY_S = 0.05  # between repetitions of a query
-Callback = Callable[[Begun], object]
+Callback = Callable[[ClaimDecision], object]
 
 
 class Messenger(Protocol):
@@ -31,9 +31,9 @@
 
 @dataclass
 class PendingQuery:
-    """A claim whose viewer waits for the answer of `begun.front`, until the loop time `deadline`."""
+    """A claim whose viewer waits for the answer of `decision.front`, until the loop time `deadline`."""
 
-    begun: Begun
+    decision: ClaimDecision
     deadline: float
     callback: Callback
     hops: int = 0
@@ -51,15 +51,15 @@
     def begin(self, token: Token, timeout_s: float, callback: Callback) -> None:
         """Calls back at once if this front can decide on the claim by itself, else within the timeout."""
         if earlier := self.queries.get(token):  # the same claim again: the latest request is the viewer's
-            self.finish(token, earlier, Begun(Verdict.UNKNOWN))
+            self.finish(token, earlier, ClaimDecision(Verdict.UNKNOWN))
         if self.store_service is None:
-            callback(Begun(Verdict.UNKNOWN))
+            callback(ClaimDecision(Verdict.UNKNOWN))
             return
-        begun = self.store_service.ledger.begin(token, self.store_service.wall())
-        if begun.verdict is not Verdict.ASK:
-            callback(begun)
+        decision = self.store_service.ledger.decide(token, self.store_service.wall())
+        if decision.verdict is not Verdict.ASK:
+            callback(decision)
             return
-        query = self.queries[token] = PendingQuery(begun, self.loop.now() + timeout_s, callback)
+        query = self.queries[token] = PendingQuery(decision, self.loop.now() + timeout_s, callback)
         self.send_query(token, query)
 
     def send_query(self, token: Token, query: PendingQuery) -> None:
@@ -67,26 +67,26 @@
         if self.queries.get(token) is not query:
             return
         if self.loop.now() >= query.deadline or self.messenger is None or self.store_service is None:
-            self.finish(token, query, Begun(Verdict.UNKNOWN))
+            self.finish(token, query, ClaimDecision(Verdict.UNKNOWN))
             return
         self.counts["asked"] += 1
         message = Message(
             kind=ASK_CLAIM,
             sender=self.messenger.number,
             claim=token.key,
-            turn=query.begun.turn,
+            turn=query.decision.turn,
             own_store=self.store_service.store_id,
-            store=query.begun.store,
+            store=query.decision.store,
         )
-        self.messenger.send_to_front(query.begun.front, message)
+        self.messenger.send_to_front(query.decision.front, message)
         query.timer = self.loop.call_later(RETRY_S, self.send_query, token, query)
 
-    def finish(self, token: Token, query: PendingQuery, begun: Begun) -> None:
+    def finish(self, token: Token, query: PendingQuery, decision: ClaimDecision) -> None:
         self.queries.pop(token, None)
         if query.timer:
             query.timer.cancel()
-        self.counts[begun.verdict.value] += 1
-        query.callback(begun)
+        self.counts[decision.verdict.value] += 1
+        query.callback(decision)
 
     def on_message(self, message: Any) -> None:
         """Handles a decrypted message of another member about a claim."""
@@ -103,12 +103,14 @@
     def on_query(self, token: Token, message: Any) -> None:
         if self.messenger is None:
             return
-        answer: Answer | None = Answer(None)
+        answer: ClaimAnswer | None = ClaimAnswer(None)
         write = None
         if self.store_service:
-            by = (message.sender, message.own_store)
+            requester = (message.sender, message.own_store)
             wall_s = self.store_service.wall()
-            answer, write = self.store_service.ledger.asked(token, by, message.store, message.turn, wall_s)
+            answer, write = self.store_service.ledger.on_query(
+                token, requester, message.store, message.turn, wall_s
+            )
         if answer is None:
             return
         self.counts["answered"] += 1
@@ -133,16 +135,16 @@
 
     def on_answer(self, token: Token, message: Any) -> None:
         query = self.queries.get(token)
-        if query is None or message.sender != query.begun.front or self.store_service is None:
+        if query is None or message.sender != query.decision.front or self.store_service is None:
             return  # outdated or duplicate answer
         standing = Standing(message.standing) if message.standing in set(Standing) else None
-        answer = Answer(standing, message.turn, message.to, message.store)
+        answer = ClaimAnswer(standing, message.turn, message.to, message.store)
         query.hops += 1
-        begun = self.store_service.ledger.answered(token, answer, query.hops)
-        if begun.verdict is Verdict.ASK:
+        decision = self.store_service.ledger.on_answer(token, answer, query.hops)
+        if decision.verdict is Verdict.ASK:
             if query.timer:
                 query.timer.cancel()
-            query.begun = begun
+            query.decision = decision
             self.send_query(token, query)
         else:
-            self.finish(token, query, begun)
+            self.finish(token, query, decision)
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -57,7 +57,7 @@
 from lemonhall.ipc.attempt_registry import OpenAttempt
 from lemonhall.loop import Loop
 from lemonhall.loop.stream import Address
-from lemonhall.store import Begun, Hold, Token, Verdict
+from lemonhall.store import ClaimDecision, Permit, Token, Verdict
 
 log = structlog.get_logger("lemonhall.front")
 CLAIM_QUERY_SHARE = 0.4  # of the time until the deadline, to wait for another front's answer about a claim
@@ -90,7 +90,7 @@
         self.answered = False
         self.received_at = 0.0
         self.advice = interface.NO_ADVICE  # as last reported to the module
-        self.hold: Hold | None = None  # the right to set up a paid claim
+        self.permit: Permit | None = None  # the right to set up a paid claim
         self.new_session: interface.NewSession | None = None  # the event sent to the module
         self.reason = ""  # of a refusal, from a hook or a limit
         self.cls = message.cls  # the class reported to the module, which a hook may have changed
@@ -133,7 +133,7 @@
         self.addresses, self.hooks = addresses, hooks
         self.open_requests: dict[int, SetUpRequest] = {}
         self.attempt_registry = AttemptRegistry()
-        self.holds: dict[tuple[int, int], Hold] = {}  # of open attempts, by request and attempt number
+        self.permits: dict[tuple[int, int], Permit] = {}  # of open attempts, by request and attempt number
         self.failpoint: Callable[[str], object] = lambda name: None
         self.on_set_up_time: Callable[[float], object] = lambda ms: None
         self.recorder: SessionRecorder | None = None
@@ -208,12 +208,12 @@
             partial(self.on_claim_resolved, request),
         )
 
-    def on_claim_resolved(self, request: SetUpRequest, begun: Begun) -> None:
+    def on_claim_resolved(self, request: SetUpRequest, decision: ClaimDecision) -> None:
         """Called when it is known whether the claim may be set up here, or after the timeout."""
         if self.open_requests.get(request.request_id) is not request:
             return
-        request.hold = begun.hold
-        verdict = Verdict.RAN if request.message.maybe_ran else begun.verdict
+        request.permit = decision.permit
+        verdict = Verdict.RAN if request.message.maybe_ran else decision.verdict
         self.counts[f"claim_{verdict.value}"] += verdict is not Verdict.GO
         self.admit(request, verdict)
 
@@ -418,9 +418,9 @@
 
     def settle_claim(self, attempt: OpenAttempt, ran: bool) -> None:
         """Records in the ledger that an attempt of a paid claim has ended, and whether it may have run."""
-        hold = self.holds.pop((attempt.request_id, attempt.number), None)
-        if hold and self.store_service:
-            self.store_service.settle(hold, ran)
+        permit = self.permits.pop((attempt.request_id, attempt.number), None)
+        if permit and self.store_service:
+            self.store_service.settle(permit, ran)
 
     def run_break_hooks(self, request: SetUpRequest, outcome: Outcome, message: AttemptFinished) -> None:
         """Runs the hooks for a failed attempt or stream, before the module receives the failure."""
@@ -478,7 +478,7 @@
                 requested.session_id, requested.claim, requested.path, requested.cls, message.server
             )
             if message.claim_attempts and (claim := Token.parse(requested.claim)):
-                self.holds[message.request_id, 0] = Hold(claim, message.claim_turn, 0)
+                self.permits[message.request_id, 0] = Permit(claim, message.claim_turn, 0)
         self.counts["carried"] += 1
         if self.zones:
             self.zones.adopt_session(message.request_id, request.cls, message.rung, message.server)
@@ -510,8 +510,8 @@
             if self.zones:
                 self.zones.on_session_over(request_id)
             self.release_limits(request_id)
-            if request.hold and self.store_service:
-                self.store_service.ledger.over(request.hold)
+            if request.permit and self.store_service:
+                self.store_service.ledger.release(request.permit)
             if request.answered and self.store_service:
                 self.store_service.remove_session(request.message.session_id)
             if self.recorder:
@@ -555,8 +555,8 @@
             self.close_request(request)
 
     def close_request(self, request: SetUpRequest) -> None:
-        if self.store_service and request.hold:
-            self.store_service.ledger.over(request.hold)
+        if self.store_service and request.permit:
+            self.store_service.ledger.release(request.permit)
         self.attempt_registry.remove_request(request.request_id)
         self.open_requests.pop(request.request_id, None)
         if self.held_verdicts.pop(request.request_id, None) and self.recovery:
@@ -625,12 +625,12 @@
         address = self.addresses(action.server)
         moot = number >= self.settings.terms.max_attempts or left_s <= 0 or request.open_attempt is not None
         moot |= request.answered or address is None
-        moot |= bool(request.message.claim) and request.hold is None  # the claim may not be set up here
+        moot |= bool(request.message.claim) and request.permit is None  # the claim may not be set up here
         moot = moot or bool(self.limits and not self.limits.may_set_up(request.request_id))
         record = None
-        if not moot and request.hold and self.store_service:
+        if not moot and request.permit and self.store_service:
             on_written = partial(self.on_claim_written, request.request_id, number)
-            record = self.store_service.record_attempt(request.hold, action.server, on_written)
+            record = self.store_service.record_attempt(request.permit, action.server, on_written)
             moot = record is None  # meanwhile passed to another front, or held by a later request
         if not moot:
             assert address is not None
@@ -654,13 +654,13 @@
                 request.open_attempt = self.attempt_registry.add_attempt(
                     request.request_id, number, action.server, record is None
                 )
-                if request.hold:
-                    self.holds[request.request_id, number] = request.hold
+                if request.permit:
+                    self.permits[request.request_id, number] = request.permit
                     self.failpoint("given")
                 return
             self.counts["seam_full"] += 1
-            if record and request.hold and self.store_service:
-                self.store_service.settle(request.hold, False)
+            if record and request.permit and self.store_service:
+                self.store_service.settle(request.permit, False)
         # nothing is sent: too many attempts, one still open, no address, past the deadline, or not allowed
         self.counts["ended_moot"] += 1
         self.bridge.enqueue(
--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -333,7 +333,7 @@
         if request is None or request.attempt is None:
             continue
         attempt = request.attempt
-        daemon.set_up_requests.holds.pop((request.number, attempt.number), None)
+        daemon.set_up_requests.permits.pop((request.number, attempt.number), None)
         if request.carry.close(worker.link):
             worker.say(ViewerGone(request.number, True))
             cancelled = (request.number, attempt.number, attempt.server, int(Outcome.CANCELLED), 0.0, 0.0)
--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -116,7 +116,7 @@
         named = [(name, sock) for name, sock in sockets.items() if sock is not None]
         self.token = OwnershipToken()
         fds = [self.token.fd, *(sock.fileno() for _, sock in named)]
-        lock = daemon.store_service.store.lock if daemon.store_service else None
+        lock = daemon.store_service.store.lock_fd if daemon.store_service else None
         fds += [lock] if lock is not None else []
         memory = daemon.memory()
         message = {
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -17,21 +17,21 @@
 from lemonhall.loop import Loop, Timer
 from lemonhall.recovery import StoreCheckpoint
 from lemonhall.store import (
-    BadRecord,
-    Hold,
+    ClaimRecord,
+    ClaimWrite,
     Ledger,
-    Record,
+    Permit,
+    RecordError,
     Standing,
     Store,
+    StoreWriter,
     Token,
-    Write,
-    Writer,
-    unwrap,
-    wrap,
+    decode_record,
+    encode_record,
 )
-from lemonhall.store.file import ANYTHING
+from lemonhall.store.file import ANY_VALUE
 from lemonhall.store.store_pb2 import Claim, Held, Learned, Server
-from lemonhall.store.writer import OTHERWISE
+from lemonhall.store.writer import CONFLICT
 
 log = structlog.get_logger("lemonhall.front")
 SAVE_LEARNED_PERIOD_S = 2.0
@@ -39,10 +39,10 @@
 RETRY_PERIOD_S = 0.5  # of test writes after a failed write, until one succeeds
 # keys of records
 LIST, LEARNED, TEST_WRITE, ZONES, RECOVERY = b"list", b"memory", b"tried", b"halls", b"return"
-DAMAGED = Record(Standing.RAN)  # replaces a claim that cannot be read, so that it is never set up again
+DAMAGED = ClaimRecord(Standing.RAN)  # replaces a claim that cannot be read, so that it is never set up again
 
 
-def to_claim(record: Record) -> Any:
+def to_claim(record: ClaimRecord) -> Any:
     return Claim(
         standing=int(record.standing),
         turn=record.turn,
@@ -54,8 +54,8 @@
     )
 
 
-def to_record(claim: Any) -> Record:
-    return Record(
+def to_record(claim: Any) -> ClaimRecord:
+    return ClaimRecord(
         Standing(claim.standing),
         claim.turn,
         claim.to,
@@ -130,20 +130,20 @@
             settings.size,
             random.getrandbits(32),
             wall() * 1000,
-            lock=lock,
-            aside=True,
+            lock_fd=lock,
+            replace_damaged=True,
         )
         self.front = front
         # by claim: the record that is not on disk yet, and the number of pending writes
-        self.pending: dict[bytes, tuple[Record, int]] = {}
+        self.pending: dict[bytes, tuple[ClaimRecord, int]] = {}
         self.counts = Counter[str]()
         self.open_ledger()
-        if self.store.damaged:
+        if self.store.damage:
             consequence = "a new store is begun; paid claims of the old one count as run"
             log.error(
                 "store damaged",
                 folder=str(settings.folder),
-                reason=self.store.damaged,
+                reason=self.store.damage,
                 consequence=consequence,
             )
             self.counts["set_aside"] += 1
@@ -162,12 +162,12 @@
             self.front, self.store_id, self.lookup, self.pending_has, self.settings.keep_ms / 1000
         )
         self.ledger.pruned_s = int(self.store.about.pruned_s)
-        self.writer = Writer(self.loop, self.store)
+        self.writer = StoreWriter(self.loop, self.store)
 
     @property
     def checkpoint(self) -> StoreCheckpoint:
         """Identifies the last commit of the store. Later checkpoints of the same front compare greater."""
-        return StoreCheckpoint(int(self.store.about.made_ms), self.store.commits)
+        return StoreCheckpoint(int(self.store.about.made_ms), self.store.commit_count)
 
     def reject_store(self, later: StoreCheckpoint | None) -> None:
         """Discards the ledger of a store that is outdated (others know the checkpoint `later`) or not
@@ -185,17 +185,19 @@
             )
             records = (("list", LIST), ("learned", LEARNED), ("learned", RECOVERY))
             kept = [
-                (table, key, value, ANYTHING)
+                (table, key, value, ANY_VALUE)
                 for table, key in records
-                if (value := self.store.raw(table, key)) is not None
+                if (value := self.store.get_bytes(table, key)) is not None
             ]
-            aside = self.store.renew("older", store_id, max(int(self.wall() * 1000), later.created_ms + 1))
+            aside = self.store.replace_file(
+                "older", store_id, max(int(self.wall() * 1000), later.created_ms + 1)
+            )
             self.open_ledger()
             self.store.commit(kept)
             consequence = f"kept as {aside.name}; "
         else:
             reason, consequence = "no other front could confirm that it is the latest one", ""
-            self.store.renumber(store_id)
+            self.store.reset_claims(store_id)
             self.open_ledger()
         consequence += "paid claims of it count as run, shares of limits are requested again"
         log.error(
@@ -209,14 +211,14 @@
 
     # the ledger
 
-    def lookup(self, key: bytes) -> Record | None:
+    def lookup(self, key: bytes) -> ClaimRecord | None:
         """Returns the latest record of a claim, written or pending. An unreadable record counts as run."""
         if pending := self.pending.get(key):
             return pending[0]
         try:
             found = self.store.get("claims", key)
             return None if found is None else to_record(found)
-        except (BadRecord, ValueError) as error:
+        except (RecordError, ValueError) as error:
             self.counts["damaged"] += 1
             log.error("damaged claim record; treating the claim as run", claim=key.hex(), reason=str(error))
             return DAMAGED
@@ -225,9 +227,11 @@
         return key in self.pending
 
     def new_token(self) -> Token:
-        return self.ledger.make(self.wall(), self.random.getrandbits(64))
+        return self.ledger.new_token(self.wall(), self.random.getrandbits(64))
 
-    def write(self, write: Write, then: Callable[[str], object] | None = None, soon: bool = True) -> None:
+    def write(
+        self, write: ClaimWrite, then: Callable[[str], object] | None = None, urgent: bool = True
+    ) -> None:
         """Queues a write. `then` is called with "" once it is on disk, or with the error."""
         key = write.key
         self.pending[key] = (write.record, self.pending.get(key, (write.record, 0))[1] + 1)
@@ -242,15 +246,19 @@
             if then:
                 then(error)
 
-        before = None if write.before is None else wrap(key, to_claim(write.before))
-        self.writer.put(("claims", key, wrap(key, to_claim(write.record)), before), written, soon)
+        expected = None if write.expected is None else encode_record(key, to_claim(write.expected))
+        self.writer.put(
+            ("claims", key, encode_record(key, to_claim(write.record)), expected), written, urgent
+        )
 
-    def record_attempt(self, hold: Hold, server: int, then: Callable[[str], object]) -> Record | None:
+    def record_attempt(
+        self, permit: Permit, server: int, then: Callable[[str], object]
+    ) -> ClaimRecord | None:
         """Records an attempt before it is sent; `then` is called as by `write`.
 
         Returns None, and writes nothing, if the attempt must not be sent.
         """
-        write = self.ledger.attempt(hold, server, self.wall())
+        write = self.ledger.record_attempt(permit, server, self.wall())
         if write is None:
             self.counts["attempts_stopped"] += 1
             return None
@@ -258,24 +266,24 @@
         self.write(write, then)
         return write.record
 
-    def settle(self, hold: Hold, ran: bool) -> None:
+    def settle(self, permit: Permit, ran: bool) -> None:
         """Records the end of an attempt, and whether the session may have run."""
-        if write := self.ledger.settle(hold, ran, self.wall()):
+        if write := self.ledger.settle(permit, ran, self.wall()):
             self.counts["settled_ran" if ran else "settled_free"] += 1
-            self.write(write, soon=False)
+            self.write(write, urgent=False)
 
-    def settle_unsent(self, token: Token, turn: int, made: int) -> None:
+    def settle_unsent(self, token: Token, turn: int, attempts: int) -> None:
         """Records that an attempt of an earlier decider was provably never sent."""
-        if write := self.ledger.unsent(token, turn, made, self.wall()):
+        if write := self.ledger.settle_unsent(token, turn, attempts, self.wall()):
             self.counts["settled_unsent"] += 1
-            self.write(write, soon=False)
+            self.write(write, urgent=False)
 
     def on_written(self, error: str) -> None:
         """Handles the result of a write.
 
         While writes fail, paid sessions are refused and a test write is repeated.
         """
-        if error == OTHERWISE:
+        if error == CONFLICT:
             self.counts["overtaken"] += 1
             return
         if error and not self.failing:
@@ -289,8 +297,8 @@
             self.on_failing_changed(bool(error))
 
     def retry_write(self) -> None:
-        if self.failing and self.writer.woken.fileno() >= 0:
-            self.writer.put(("list", TEST_WRITE, b"", ANYTHING), self.on_written)
+        if self.failing and self.writer.wake_receiver.fileno() >= 0:
+            self.writer.put(("list", TEST_WRITE, b"", ANY_VALUE), self.on_written)
             self.loop.call_later(RETRY_PERIOD_S, self.retry_write)
 
     # playing sessions
@@ -298,55 +306,55 @@
     def save_session(self, session: str, claim: str, path: str, cls: int, server: int) -> None:
         key = session.encode()
         held = Held(claim=claim, path=path, cls=cls, server=server, since_ms=int(self.wall() * 1000))
-        self.writer.put(("held", key, wrap(key, held), ANYTHING), soon=False)
+        self.writer.put(("held", key, encode_record(key, held), ANY_VALUE), urgent=False)
 
     def remove_session(self, session: str) -> None:
-        self.writer.put(("held", session.encode(), None, ANYTHING), soon=False)
+        self.writer.put(("held", session.encode(), None, ANY_VALUE), urgent=False)
 
     def forget_lost_sessions(self) -> int:
         """Removes the sessions that were playing when an earlier process ended, and returns their number."""
-        keys = [key for key, _ in self.store.each("held")]
+        keys = [key for key, _ in self.store.records("held")]
         for key in keys:
-            self.writer.put(("held", key, None, ANYTHING))
+            self.writer.put(("held", key, None, ANY_VALUE))
         return len(keys)
 
     # server list and learned state
 
     def save_list(self, data: bytes) -> None:
-        self.writer.put(("list", LIST, data, ANYTHING), self.on_written)
+        self.writer.put(("list", LIST, data, ANY_VALUE), self.on_written)
 
     def load_list(self) -> bytes | None:
-        return self.store.raw("list", LIST)
+        return self.store.get_bytes("list", LIST)
 
     def save_learned_state(self) -> None:
         if memory := self.memory():
             self.writer.put(
-                ("learned", LEARNED, wrap(LEARNED, to_learned(memory)), ANYTHING), self.on_written
+                ("learned", LEARNED, encode_record(LEARNED, to_learned(memory)), ANY_VALUE), self.on_written
             )
         if (state := self.recovery_state()) is not None:
             self.put_blob(RECOVERY, state, self.on_written)
         self.save_timer = self.loop.call_later(SAVE_LEARNED_PERIOD_S, self.save_learned_state)
 
     def load_learned_state(self) -> interface.LearnedState | None:
-        value = self.store.raw("learned", LEARNED)
+        value = self.store.get_bytes("learned", LEARNED)
         if value is None:
             return None
         try:
-            return to_memory(unwrap(LEARNED, value, Learned))
-        except BadRecord as error:
+            return to_memory(decode_record(LEARNED, value, Learned))
+        except RecordError as error:
             log.warning("damaged record of learned state; starting without it", reason=str(error))
             return None
 
     # state of other subsystems, in their own formats
 
     def put_blob(self, name: bytes, data: bytes, then: Callable[[str], object]) -> None:
-        self.writer.put(("learned", name, xxhash.xxh3_64_digest(data) + data, ANYTHING), then)
+        self.writer.put(("learned", name, xxhash.xxh3_64_digest(data) + data, ANY_VALUE), then)
 
     def load_blob(self, name: bytes, subsystem: str) -> bytes | None:
         """Returns the stored state; `b""` if none was ever stored; None if it, or the store, is damaged."""
-        value = self.store.raw("learned", name)
+        value = self.store.get_bytes("learned", name)
         if value is None:
-            return None if self.store.damaged else b""
+            return None if self.store.damage else b""
         if value[:8] != xxhash.xxh3_64_digest(value[8:]):
             self.counts["damaged"] += 1
             log.error(f"stored state of {subsystem} is damaged")
@@ -393,9 +401,9 @@
         The learned state is saved unless the store was handed over: the successor's is newer by then.
         """
         self.stop_upkeep()
-        if self.writer.woken.fileno() < 0:
+        if self.writer.wake_receiver.fileno() < 0:
             return
         if not handed_over and (memory := self.memory()):
-            self.writer.put(("learned", LEARNED, wrap(LEARNED, to_learned(memory)), ANYTHING))
+            self.writer.put(("learned", LEARNED, encode_record(LEARNED, to_learned(memory)), ANY_VALUE))
         self.writer.close()
         self.store.close()
--- a/lemonhall/store/__init__.py
+++ b/lemonhall/store/__init__.py
@@ -1,24 +1,34 @@
-"""What a front must not lose, on disk: the ledger of paid claims, the last box list, what was learned."""
+"""The state that a front keeps on disk: the ledger of paid claims, the last server list, learned state."""
 
-from lemonhall.store.claims import Answer, Begun, Hold, Ledger, Record, Standing, Token, Verdict, Write
-from lemonhall.store.file import Found, Store
-from lemonhall.store.records import BadRecord, unwrap, wrap
-from lemonhall.store.writer import Writer
+from lemonhall.store.claims import (
+    ClaimAnswer,
+    ClaimDecision,
+    ClaimRecord,
+    ClaimWrite,
+    Ledger,
+    Permit,
+    Standing,
+    Token,
+    Verdict,
+)
+from lemonhall.store.file import CheckReport, Store
+from lemonhall.store.records import RecordError, decode_record, encode_record
+from lemonhall.store.writer import StoreWriter
 
 __all__ = [
-    "Answer",
-    "BadRecord",
-    "Begun",
-    "Found",
-    "Hold",
+    "CheckReport",
+    "ClaimAnswer",
+    "ClaimDecision",
+    "ClaimRecord",
+    "ClaimWrite",
     "Ledger",
-    "Record",
+    "Permit",
+    "RecordError",
     "Standing",
     "Store",
+    "StoreWriter",
     "Token",
     "Verdict",
-    "Write",
-    "Writer",
-    "unwrap",
-    "wrap",
+    "decode_record",
+    "encode_record",
 ]
--- a/lemonhall/store/claims.py
+++ b/lemonhall/store/claims.py
@@ -1,14 +1,17 @@
-"""Who may set up a paid claim, and whether it may have run already. Pure: no I/O, no clock, no chance.
+"""Decides which front may set up a paid claim, and whether it may have run. No I/O, no clock, no randomness.
 
-A claim has a token, made by the front that first takes it and given back by a viewer that comes again. At any
-time at most one front may decide on it: the one that made it, until it passes it on, and so along the chain.
-`turn` counts the passings, so old words about a claim are told from new ones. What a front has written
-counts, not what it remembers, so each step that others rely on is written before it is told or done:
+A claim is identified by a token. The front that first receives the claim creates the token; a viewer that
+returns presents it again. At any time at most one front owns the claim and may decide on it: the front that
+created it, until it transfers the claim to another front, which may transfer it again. `turn` counts the
+transfers and distinguishes outdated messages about a claim from current ones. Only written records count, not
+what a front has in memory, so each step that others rely on is written before it is announced or carried out:
 
-    OUT     before the set-up leaves      after a crash it stays OUT: it may have run, for ever
-    PASSED  before the other front hears  after a crash this front still knows that it is not its own
+    OUT     written before the set-up is sent          after a crash the claim stays OUT for good, since the
+                                                       set-up may have run
+    PASSED  written before the answer is sent          after a crash this front still knows that it does not
+                                                       own the claim
 
-What is written late (an end) errs to the safe side: OUT where FREE would be true.
+The end of an attempt may be written late: until then the record is OUT instead of FREE, which is safe.
 """
 
 from __future__ import annotations
@@ -19,11 +22,11 @@
 from enum import Enum, IntEnum
 
 KEY = struct.Struct(">IIIQ")
-HOPS_MOST = 8
+MAX_HOPS = 8
 
 
 class Standing(IntEnum):
-    """As in proto/store.proto."""
+    """State of a claim, as in proto/store.proto."""
 
     FREE = 1
     OUT = 2
@@ -33,7 +36,11 @@
 
 @dataclass(frozen=True, order=True)
 class Token:
-    """A claim's identity. `issued_s`: Unix time; `store`: the file that the front kept its ledger in then."""
+    """Identity of a claim.
+
+    `issued_s`: Unix time; `store`: number of the store in which the creating front kept its ledger then;
+    `serial`: 64 random bits.
+    """
 
     issued_s: int
     front: int
@@ -42,7 +49,7 @@
 
     @property
     def key(self) -> bytes:
-        """In the order of time, so that the oldest come first."""
+        """Key of the claim's record. Keys sort by time, the oldest first."""
         return KEY.pack(self.issued_s, self.front, self.store, self.serial)
 
     def __str__(self) -> str:
@@ -50,19 +57,19 @@
 
     @staticmethod
     def new(wall_s: float, pruned_s: int, front: int, store: int, serial: int) -> Token:
-        """Of now, but behind what the ledger may have taken away already. `serial`: 64 bits of chance."""
+        """Creates a token of the current time, but later than the claims that may have been pruned."""
         return Token(max(int(wall_s), pruned_s + 1), front, store, serial)
 
     @staticmethod
     def of_key(key: bytes) -> Token:
-        """Raises `struct.error` if it is none."""
+        """Raises `struct.error` if the key is not a token's."""
         return Token(*KEY.unpack(key))
 
     @staticmethod
     def parse(text: str) -> Token | None:
         parts = text.strip().split("-")
-        sizes = (8, 8, 8, 16)
-        if len(parts) != 4 or any(not 1 <= len(p) <= n for p, n in zip(parts, sizes, strict=True)):
+        max_lengths = (8, 8, 8, 16)
+        if len(parts) != 4 or any(not 1 <= len(p) <= n for p, n in zip(parts, max_lengths, strict=True)):
             return None
         try:
             values = [int(p, 16) for p in parts]
@@ -72,7 +79,9 @@
 
 
 @dataclass(frozen=True)
-class Record:
+class ClaimRecord:
+    """A stored claim. `to` and `to_store`: the new owner if PASSED; `server`: of the latest attempt."""
+
     standing: Standing
     turn: int = 0
     to: int = 0
@@ -83,15 +92,15 @@
 
 
 class Verdict(Enum):
-    GO = "go"  # this front may set it up
-    ASK = "ask"  # another front must say first
-    RAN = "ran"  # it may have run: never again
-    UNKNOWN = "unknown"  # nobody can say now
+    GO = "go"  # this front may set up the claim
+    ASK = "ask"  # another front must be queried first
+    RAN = "ran"  # the claim may have run and is never set up again
+    UNKNOWN = "unknown"  # cannot be decided now
 
 
 @dataclass(frozen=True)
-class Hold:
-    """The right to set up a claim; void once another hold of it is given, or it is passed on."""
+class Permit:
+    """The right to set up a claim, until another permit is issued for the claim or it is transferred."""
 
     token: Token
     turn: int
@@ -99,164 +108,185 @@
 
 
 @dataclass(frozen=True)
-class Begun:
+class ClaimDecision:
+    """Whether a claim may be set up here. If the verdict is ASK, `front` is the front to query, `store` the
+    number of its store when it received the claim, and `turn` the claim's turn since then."""
+
     verdict: Verdict
-    hold: Hold | None = None
-    front: int = 0  # ASK: whom
-    store: int = 0  # ASK: the ledger that it had when it was given the claim
-    turn: int = 0  # ASK: in which turn it was
+    permit: Permit | None = None
+    front: int = 0
+    store: int = 0
+    turn: int = 0
 
 
 @dataclass(frozen=True)
-class Write:
-    """`before`: what was known when this was decided. If something else lies there by now (a successor shares
-    the file for a while), it is not written."""
+class ClaimWrite:
+    """A write conditional on `expected`, the record that the decision was based on.
+
+    The write is skipped if the file has another record by then: a successor shares the file for a while.
+    """
 
     key: bytes
-    record: Record
-    before: Record | None = None
+    record: ClaimRecord
+    expected: ClaimRecord | None = None
 
 
 @dataclass(frozen=True)
-class Answer:
-    """To another front. `PASSED`: the claim is `to`'s, since `turn`; RAN: it may have run."""
+class ClaimAnswer:
+    """The answer to another front. PASSED: `to` owns the claim since `turn`; RAN: the claim may have run."""
 
-    standing: Standing | None  # None: not known here
+    standing: Standing | None  # None: the claim is not known here
     turn: int = 0
     to: int = 0
     to_store: int = 0
 
 
 class Ledger:
-    """`lookup(key)` gives what is written, or is about to be; `waits(key)`: it is only about to be. `keep_s`:
-    for how long a claim is remembered; an older token may have run. `wall_s` in the calls is Unix time."""
+    """Decides on claims by their records. `wall_s` in the methods is Unix time.
+
+    `lookup(key)` returns the latest record, written or pending; `is_pending(key)` whether it is pending.
+    `keep_s` is the retention time of claims; a claim with an older token counts as run.
+    """
 
     def __init__(
         self,
         front: int,
         store: int,
-        lookup: Callable[[bytes], Record | None],
-        waits: Callable[[bytes], bool],
+        lookup: Callable[[bytes], ClaimRecord | None],
+        is_pending: Callable[[bytes], bool],
         keep_s: float,
     ) -> None:
         self.front, self.store, self.keep_s = front, store, keep_s
-        self.lookup, self.waits = lookup, waits
-        self.pruned_s = 0  # claims made up to then may have been taken away
-        self.holds: dict[Token, Hold] = {}
-        self.given = 0
+        self.lookup, self.is_pending = lookup, is_pending
+        self.pruned_s = 0  # records of claims issued up to this time may have been pruned
+        self.permits: dict[Token, Permit] = {}
+        self.permits_issued = 0
 
-    def make(self, wall_s: float, serial: int) -> Token:
-        """A claim that is new, also by a clock that has gone back."""
+    def new_token(self, wall_s: float, serial: int) -> Token:
+        """Creates the token of a new claim, valid also if the clock has been set back."""
         return Token.new(wall_s, self.pruned_s, self.front, self.store, serial)
 
-    def too_old(self, token: Token, wall_s: float) -> bool:
+    def is_expired(self, token: Token, wall_s: float) -> bool:
         return wall_s - token.issued_s > self.keep_s or token.issued_s <= self.pruned_s
 
-    def begin(self, token: Token, wall_s: float) -> Begun:
-        """A viewer asks for the claim here."""
+    def decide(self, token: Token, wall_s: float) -> ClaimDecision:
+        """Decides on a claim that a viewer has presented to this front."""
         record = self.lookup(token.key)
-        if self.too_old(token, wall_s):
-            return Begun(Verdict.RAN)
+        if self.is_expired(token, wall_s):
+            return ClaimDecision(Verdict.RAN)
         if record is None:
             if token.front != self.front:
-                return Begun(Verdict.ASK, front=token.front, store=token.store)
-            if token.store != self.store:  # of a ledger that this front has no more
-                return Begun(Verdict.RAN)
-            return self.hold(token, 0)
-        return self.judge(token, record)
+                return ClaimDecision(Verdict.ASK, front=token.front, store=token.store)
+            if token.store != self.store:  # created in a ledger that this front no longer has
+                return ClaimDecision(Verdict.RAN)
+            return self.issue_permit(token, 0)
+        return self.decide_by_record(token, record)
 
-    def judge(self, token: Token, record: Record) -> Begun:
+    def decide_by_record(self, token: Token, record: ClaimRecord) -> ClaimDecision:
         if record.standing is Standing.FREE:
-            return self.hold(token, record.turn)
+            return self.issue_permit(token, record.turn)
         if record.standing is Standing.PASSED:
-            return Begun(Verdict.ASK, front=record.to, store=record.to_store, turn=record.turn)
-        return Begun(Verdict.RAN)
-
-    def hold(self, token: Token, turn: int) -> Begun:
-        self.given += 1
-        hold = self.holds[token] = Hold(token, turn, self.given)
-        return Begun(Verdict.GO, hold)
-
-    def asked(
-        self, token: Token, by: tuple[int, int], store: int, turn: int, wall_s: float
-    ) -> tuple[Answer | None, Write | None]:
-        """Another front (`by`: its number and its ledger's) asks, having heard that the claim is this one's,
-        with the ledger `store`, since `turn` (0: by its token).
-
-        The answer must not leave before the write, if there is one, is on disk. None: nothing can be said
-        yet, what it would rest on is not on disk; they ask again.
+            return ClaimDecision(Verdict.ASK, front=record.to, store=record.to_store, turn=record.turn)
+        return ClaimDecision(Verdict.RAN)
+
+    def issue_permit(self, token: Token, turn: int) -> ClaimDecision:
+        self.permits_issued += 1
+        permit = self.permits[token] = Permit(token, turn, self.permits_issued)
+        return ClaimDecision(Verdict.GO, permit)
+
+    def on_query(
+        self, token: Token, requester: tuple[int, int], store: int, turn: int, wall_s: float
+    ) -> tuple[ClaimAnswer | None, ClaimWrite | None]:
+        """Handles the query of another front that takes this front for the claim's owner.
+
+        `requester` holds the numbers of that front and of its store. `store` is this front's store that it
+        knows as the owner, `turn` the turn since when (0: by the token).
+
+        The answer must not be sent before the write, if there is one, is on disk. Returns no answer (None)
+        while the record that it would be based on is not on disk; the requester repeats its query.
         """
-        if self.waits(token.key):
+        if self.is_pending(token.key):
             return None, None
         record = self.lookup(token.key)
-        if self.too_old(token, wall_s):
-            return Answer(Standing.RAN), None
+        if self.is_expired(token, wall_s):
+            return ClaimAnswer(Standing.RAN), None
         if record is not None and record.turn >= turn:
             if record.standing is Standing.PASSED:
-                return Answer(Standing.PASSED, record.turn, record.to, record.to_store), None
+                return ClaimAnswer(Standing.PASSED, record.turn, record.to, record.to_store), None
             if record.standing is not Standing.FREE:
-                return Answer(Standing.RAN), None
+                return ClaimAnswer(Standing.RAN), None
             turn = record.turn
         elif store != self.store or (turn == 0 and (token.front, token.store) != (self.front, self.store)):
-            return Answer(None), None  # it was given to a ledger that this front has no more, or never
-        self.holds.pop(token, None)
-        passed = Record(Standing.PASSED, turn + 1, *by, wall_s * 1000)
-        return Answer(Standing.PASSED, turn + 1, *by), Write(token.key, passed, record)
-
-    def answered(self, token: Token, answer: Answer, hops: int) -> Begun:
-        """What the front that was asked said; `hops`: how many were asked before."""
-        if answer.standing is not Standing.PASSED:  # it may have run, or nobody knows any more
-            return Begun(Verdict.RAN)
+            return ClaimAnswer(None), None  # owned by a ledger that this front no longer has, or never owned
+        self.permits.pop(token, None)
+        passed = ClaimRecord(Standing.PASSED, turn + 1, *requester, wall_s * 1000)
+        return ClaimAnswer(Standing.PASSED, turn + 1, *requester), ClaimWrite(token.key, passed, record)
+
+    def on_answer(self, token: Token, answer: ClaimAnswer, hops: int) -> ClaimDecision:
+        """Decides by the answer of a queried front; `hops` is the number of fronts queried for the claim."""
+        if answer.standing is not Standing.PASSED:  # the claim may have run, or no front knows it any more
+            return ClaimDecision(Verdict.RAN)
         record = self.lookup(token.key)
-        if record is not None and record.turn >= answer.turn:  # what is written here is newer
-            begun = self.judge(token, record)
+        if record is not None and record.turn >= answer.turn:  # the record here is newer than the answer
+            decision = self.decide_by_record(token, record)
         elif answer.to == self.front:
-            mine = answer.to_store == self.store
-            return self.hold(token, answer.turn) if mine else Begun(Verdict.RAN)
+            is_own_store = answer.to_store == self.store
+            return self.issue_permit(token, answer.turn) if is_own_store else ClaimDecision(Verdict.RAN)
         else:
-            begun = Begun(Verdict.ASK, front=answer.to, store=answer.to_store, turn=answer.turn)
-        return Begun(Verdict.UNKNOWN) if begun.verdict is Verdict.ASK and hops >= HOPS_MOST else begun
+            decision = ClaimDecision(Verdict.ASK, front=answer.to, store=answer.to_store, turn=answer.turn)
+        return (
+            ClaimDecision(Verdict.UNKNOWN)
+            if decision.verdict is Verdict.ASK and hops >= MAX_HOPS
+            else decision
+        )
 
-    def attempt(self, hold: Hold, server: int, wall_s: float) -> Write | None:
-        """What must be on disk before the set-up may leave; None: it may not leave at all."""
-        if self.holds.get(hold.token) != hold:
+    def record_attempt(self, permit: Permit, server: int, wall_s: float) -> ClaimWrite | None:
+        """Returns the write that must be on disk before the set-up is sent.
+
+        Returns None if the set-up must not be sent.
+        """
+        if self.permits.get(permit.token) != permit:
             return None
-        record = self.lookup(hold.token.key)
-        made = 0
+        record = self.lookup(permit.token.key)
+        attempts = 0
         if record is not None:
-            if record.turn > hold.turn or (record.turn == hold.turn and record.standing is not Standing.FREE):
+            if record.turn > permit.turn or (
+                record.turn == permit.turn and record.standing is not Standing.FREE
+            ):
                 return None
-            made = record.attempts
-        return Write(
-            hold.token.key,
-            Record(Standing.OUT, hold.turn, 0, 0, wall_s * 1000, made + 1, server),
+            attempts = record.attempts
+        return ClaimWrite(
+            permit.token.key,
+            ClaimRecord(Standing.OUT, permit.turn, 0, 0, wall_s * 1000, attempts + 1, server),
             record,
         )
 
-    def settle(self, hold: Hold, ran: bool, wall_s: float) -> Write | None:
-        """What is known of an attempt's end. It may be written late."""
-        record = self.lookup(hold.token.key)
-        if record is None or record.standing is not Standing.OUT or record.turn != hold.turn:
+    def settle(self, permit: Permit, ran: bool, wall_s: float) -> ClaimWrite | None:
+        """Returns the write that records the end of an attempt. It may be written late."""
+        record = self.lookup(permit.token.key)
+        if record is None or record.standing is not Standing.OUT or record.turn != permit.turn:
             return None
         if ran:
-            self.over(hold)
+            self.release(permit)
         standing = Standing.RAN if ran else Standing.FREE
-        return Write(hold.token.key, replace(record, standing=standing, at_ms=wall_s * 1000), record)
+        return ClaimWrite(permit.token.key, replace(record, standing=standing, at_ms=wall_s * 1000), record)
 
-    def unsent(self, token: Token, turn: int, made: int, wall_s: float) -> Write | None:
-        """The attempt that was written as the `made`th in its turn provably never left, says who had it.
+    def settle_unsent(self, token: Token, turn: int, attempts: int, wall_s: float) -> ClaimWrite | None:
+        """Frees a claim whose attempt was provably never sent, as reported by the process that had it.
 
-        A word about an earlier attempt than the one that is written says nothing of that one."""
+        `attempts` is the attempt's number within its turn. A report on an earlier attempt than the recorded
+        one proves nothing about the recorded one, so it returns None.
+        """
         record = self.lookup(token.key)
         if (
             record is None
             or record.standing is not Standing.OUT
-            or (record.turn, record.attempts) != (turn, made)
+            or (record.turn, record.attempts) != (turn, attempts)
         ):
             return None
-        return Write(token.key, replace(record, standing=Standing.FREE, at_ms=wall_s * 1000), record)
+        return ClaimWrite(token.key, replace(record, standing=Standing.FREE, at_ms=wall_s * 1000), record)
 
-    def over(self, hold: Hold) -> None:
-        """Nothing more is asked under this hold."""
-        if self.holds.get(hold.token) == hold:
-            del self.holds[hold.token]
+    def release(self, permit: Permit) -> None:
+        """Ends a permit under which no more attempts are made."""
+        if self.permits.get(permit.token) == permit:
+            del self.permits[permit.token]
--- a/lemonhall/store/records.py
+++ b/lemonhall/store/records.py
@@ -1,8 +1,8 @@
-"""Values as they lie in the file: an envelope with version and checksum round a protobuf message. Pure.
+"""Encoding of stored values: an envelope with version and checksum around a protobuf message. No I/O.
 
-    "LH"  version (1)  xxh3_64 of key and body (8)  body
+    "LH"  version (1 byte)  xxh3_64 of key and body (8 bytes)  body
 
-The key is under the checksum, so a value that was moved to another key is damaged as well.
+The checksum covers the key, so a value that was moved to another key counts as damaged too.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 
 MAGIC = b"LH"
 VERSION = 1
-HEAD = len(MAGIC) + 1 + 8
-M = TypeVar("M", bound=Any)
+HEADER_BYTES = len(MAGIC) + 1 + 8
+MessageT = TypeVar("MessageT", bound=Any)
 
 
-class BadRecord(Exception):
-    """A value that cannot be used, and why. `newer`: a later version of lemonhall wrote it."""
+class RecordError(Exception):
+    """A stored value that cannot be used. `newer`: it was written by a later version of lemonhall."""
 
-    def __init__(self, why: str, newer: bool = False) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, newer: bool = False) -> None:
+        super().__init__(reason)
         self.newer = newer
 
 
-def wrap(key: bytes, message: Any) -> bytes:
+def encode_record(key: bytes, message: Any) -> bytes:
     body: bytes = message.SerializeToString()
     return b"".join([MAGIC, bytes([VERSION]), xxhash.xxh3_64_digest(key + body), body])
 
 
-def unwrap(key: bytes, value: bytes, kind: type[M]) -> M:
-    """The message of a value. Raises `BadRecord`."""
-    if len(value) < HEAD or value[:2] != MAGIC:
-        raise BadRecord("no record of lemonhall")
+def decode_record(key: bytes, value: bytes, message_type: type[MessageT]) -> MessageT:
+    """Returns the message in a value. Raises `RecordError`."""
+    if len(value) < HEADER_BYTES or value[:2] != MAGIC:
+        raise RecordError("no record of lemonhall")
     if value[2] > VERSION:
-        raise BadRecord(f"of version {value[2]}; this one reads up to {VERSION}", newer=True)
-    body = value[HEAD:]
-    if value[3:HEAD] != xxhash.xxh3_64_digest(key + body):
-        raise BadRecord("the checksum does not fit: damaged")
+        raise RecordError(f"of version {value[2]}; this one reads up to {VERSION}", newer=True)
+    body = value[HEADER_BYTES:]
+    if value[3:HEADER_BYTES] != xxhash.xxh3_64_digest(key + body):
+        raise RecordError("the checksum does not fit: damaged")
     try:
-        message: M = kind.FromString(body)
+        message: MessageT = message_type.FromString(body)
         return message
     except DecodeError as error:
-        raise BadRecord(f"cannot be read: {error}") from error
+        raise RecordError(f"cannot be read: {error}") from error
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -279,7 +279,7 @@
     assert store_service
     site.fronts[0].list_client.save_cache()
     store_service.save_learned_state()
-    site.until(lambda: not store_service.writer.queue and list(store_service.store.each("held")))
+    site.until(lambda: not store_service.writer.queue and list(store_service.store.records("held")))
     learned = site.fronts[0].memory()
     assert learned
     site.kill(0)
@@ -294,7 +294,7 @@
     restarted_store = again.store_service
     assert restarted_store
     # the sessions of the killed process are forgotten
-    site.until(lambda: not list(restarted_store.store.each("held")))
+    site.until(lambda: not list(restarted_store.store.records("held")))
 
 
 def test_invalid_token_is_rejected(site: Site) -> None:
--- a/tests/front/test_recovery.py
+++ b/tests/front/test_recovery.py
@@ -38,7 +38,7 @@
 def copy_of_store(site: Site) -> Path:
     store_service = site.fronts[0].store_service
     assert store_service
-    site.until(lambda: not (store_service.writer.fresh or store_service.writer.queue))
+    site.until(lambda: not (store_service.writer.unflushed or store_service.writer.queue))
     return Path(shutil.copy2(site.folder / "f0.store" / "data.mdb", site.folder / "older.mdb"))
 
 
--- a/tests/ipc/test_state_machines.py
+++ b/tests/ipc/test_state_machines.py
@@ -16,7 +16,7 @@
 import pytest
 
 from lemonhall.ipc import Announcement, AttemptRegistry, Execution, NextStep, RequestStage, RequestState
-from lemonhall.store import Hold, Ledger, Record, Standing, Token, Verdict, Write
+from lemonhall.store import ClaimRecord, ClaimWrite, Ledger, Permit, Standing, Token, Verdict
 
 TOKEN = Token(1000, 0, 9, 1)
 MAX_ATTEMPTS = 2
@@ -47,7 +47,7 @@
     def __init__(self, crashes: int, disconnects: int, returning: bool, overlap: bool = False) -> None:
         """`returning`: a viewer returns with the same claim after the first answer, or (`overlap`) before."""
         self.crashes, self.disconnects, self.overlap = crashes, disconnects, overlap
-        self.disk: dict[bytes, Record] = {}
+        self.disk: dict[bytes, ClaimRecord] = {}
         self.ran: list[int] = []  # requests of the set-ups that the server carried out
         self.connections = [0, 0]  # of each worker to the decider; 0: none
         self.next_connection = 1
@@ -63,9 +63,9 @@
 
     def start_decider(self) -> None:
         self.registry = AttemptRegistry()
-        self.pending: list[tuple[bytes, Record, Record | None, Any]] = []
+        self.pending: list[tuple[bytes, ClaimRecord, ClaimRecord | None, Any]] = []
         self.ledger = Ledger(0, 9, self.lookup, self.is_pending, 1e9)
-        self.holds: dict[tuple[int, int], Hold] = {}
+        self.permits: dict[tuple[int, int], Permit] = {}
         self.open: dict[int, dict[str, Any]] = {}
 
     def __deepcopy__(self, memo: dict[int, Any]) -> SystemModel:
@@ -74,33 +74,36 @@
             if name != "ledger":
                 setattr(copy, name, deepcopy(value, memo))
         copy.ledger = Ledger(0, 9, copy.lookup, copy.is_pending, 1e9)
-        copy.ledger.holds, copy.ledger.given = dict(self.ledger.holds), self.ledger.given
+        copy.ledger.permits, copy.ledger.permits_issued = (
+            dict(self.ledger.permits),
+            self.ledger.permits_issued,
+        )
         return copy
 
-    def lookup(self, key: bytes) -> Record | None:
+    def lookup(self, key: bytes) -> ClaimRecord | None:
         return next((r for k, r, _, _ in reversed(self.pending) if k == key), self.disk.get(key))
 
     def is_pending(self, key: bytes) -> bool:
         return any(k == key for k, _, _, _ in self.pending)
 
     def write(self, write: Any, on_written: Any) -> None:
-        self.pending.append((write.key, write.record, write.before, on_written))
+        self.pending.append((write.key, write.record, write.expected, on_written))
 
     def settle(self, key: tuple[int, int], ran: bool) -> None:
-        hold = self.holds.pop(key, None)
-        if hold and (write := self.ledger.settle(hold, ran, 1.0)):
+        permit = self.permits.pop(key, None)
+        if permit and (write := self.ledger.settle(permit, ran, 1.0)):
             self.write(write, None)
 
     def set_up_requested(self, worker: int, message: dict[str, Any]) -> None:
         if not self.registry.add_request(self.connections[worker], message["request"]):
             return
-        if message["unsent"][1] and (write := self.ledger.unsent(TOKEN, *message["unsent"], 1.0)):
+        if message["unsent"][1] and (write := self.ledger.settle_unsent(TOKEN, *message["unsent"], 1.0)):
             self.write(write, None)
-        begun = self.ledger.begin(TOKEN, 1.0)
-        go = begun.verdict is Verdict.GO and not message["ran"]
+        decision = self.ledger.decide(TOKEN, 1.0)
+        go = decision.verdict is Verdict.GO and not message["ran"]
         self.open[message["request"]] = {
             "worker": worker,
-            "hold": begun.hold if go else None,
+            "permit": decision.permit if go else None,
             "attempts": 0,
             "attempt": None,
         }
@@ -113,21 +116,21 @@
             self.answer_request(request)
             return
         number, entry["attempts"] = entry["attempts"], entry["attempts"] + 1
-        write = self.ledger.attempt(entry["hold"], 7, 1.0)
+        write = self.ledger.record_attempt(entry["permit"], 7, 1.0)
         if write is None:
             self.answer_request(request)
             return
         self.write(write, ("clear", request, number, self.connections[entry["worker"]]))
         entry["attempt"] = self.registry.add_attempt(request, number, 7, False)
-        self.holds[request, number] = entry["hold"]
+        self.permits[request, number] = entry["permit"]
         order = {"kind": "start", "request": request, "number": number, "turn": write.record.turn}
         self.orders[entry["worker"]].append({**order, "claim_attempts": write.record.attempts})
 
     def answer_request(self, request: int) -> None:
         entry = self.open.pop(request)
         self.registry.remove_request(request)
-        if entry["hold"]:
-            self.ledger.over(entry["hold"])
+        if entry["permit"]:
+            self.ledger.release(entry["permit"])
         self.orders[entry["worker"]].append({"kind": "answer", "request": request})
 
     def attempt_finished(self, worker: int, message: dict[str, Any]) -> None:
@@ -144,7 +147,7 @@
         if message["closed"]:
             self.open.pop(message["request"])
             self.registry.remove_request(message["request"])
-            self.ledger.over(entry["hold"])
+            self.ledger.release(entry["permit"])
         elif message["ran"]:
             self.answer_request(message["request"])
         else:
@@ -153,11 +156,11 @@
     def ongoing_session(self, worker: int, message: dict[str, Any]) -> None:
         if self.registry.add_request(self.connections[worker], message["request"]):
             attempt = self.registry.add_attempt(message["request"], 0, 7, True)
-            hold = Hold(TOKEN, message["turn"], 0)
-            self.holds[message["request"], 0] = hold
+            permit = Permit(TOKEN, message["turn"], 0)
+            self.permits[message["request"], 0] = permit
             self.open[message["request"]] = {
                 "worker": worker,
-                "hold": hold,
+                "permit": permit,
                 "attempts": 1,
                 "attempt": attempt,
             }
@@ -167,7 +170,7 @@
         for attempt, execution in ends:
             self.settle((attempt.request_id, attempt.number), execution is Execution.MAY_HAVE_RUN)
         for request in requests:
-            self.ledger.over(self.open.pop(request)["hold"] or Hold(TOKEN, 0, 0))
+            self.ledger.release(self.open.pop(request)["permit"] or Permit(TOKEN, 0, 0))
 
     # a worker, as in `front.viewers.worker`
 
@@ -323,8 +326,8 @@
             if message["request"] in self.open and self.open[message["request"]]["attempt"] is None:
                 entry = self.open.pop(message["request"])
                 self.registry.remove_request(message["request"])
-                if entry["hold"]:
-                    self.ledger.over(entry["hold"])
+                if entry["permit"]:
+                    self.ledger.release(entry["permit"])
         else:
             getattr(self, message["kind"])(worker, message)
 
@@ -426,11 +429,11 @@
             self.arrivals,
         )
         opened = sorted(
-            (k, v["worker"], v["hold"], v["attempts"], v["attempt"]) for k, v in self.open.items()
+            (k, v["worker"], v["permit"], v["attempts"], v["attempt"]) for k, v in self.open.items()
         )
         pending = [(k, r, b, t) for k, r, b, t in self.pending]
         return repr(
-            (requests, registry, rest, opened, pending, self.ledger.holds, sorted(self.holds.items()))
+            (requests, registry, rest, opened, pending, self.ledger.permits, sorted(self.permits.items()))
         )
 
 
@@ -505,7 +508,7 @@
 
 def free_any_attempt(self: Ledger, token: Token, turn: int, attempts: int, wall_s: float) -> Any:
     record = self.lookup(token.key)
-    return Write(token.key, replace(record, standing=Standing.FREE), record) if record else None
+    return ClaimWrite(token.key, replace(record, standing=Standing.FREE), record) if record else None
 
 
 def send_without_ledger(
@@ -564,7 +567,7 @@
     ),
     "a report about an earlier attempt frees a later one": (
         Ledger,
-        "unsent",
+        "settle_unsent",
         free_any_attempt,
         "connect 0, arrive 0, report 0, persist, order 0, crash, connect 0, report 0, persist, disconnect 0, "
         f"{SECOND_SENT}, {FIRST_SENT_AGAIN}",
