--- a/lemonhall/cli/store.py
+++ b/lemonhall/cli/store.py
@@ -33,7 +33,7 @@
     """Read every record; exit 1 if one is damaged or of a newer version."""
     try:
         file = opened(folder)
-        found = file.check()
+        found = file.check_records()
         file.close()
     except lmdb.Error as error:  # pages themselves are damaged: no record behind them can be named
         click.echo(f"  bad: the file itself: {error}")
--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -108,7 +108,7 @@
         if self.store_service:
             requester = (message.sender, message.own_store)
             wall_s = self.store_service.wall()
-            answer, write = self.store_service.ledger.on_query(
+            answer, write = self.store_service.ledger.answer_query(
                 token, requester, message.store, message.turn, wall_s
             )
         if answer is None:
@@ -140,7 +140,7 @@
         standing = Standing(message.standing) if message.standing in set(Standing) else None
         answer = ClaimAnswer(standing, message.turn, message.to, message.store)
         query.hops += 1
-        decision = self.store_service.ledger.on_answer(token, answer, query.hops)
+        decision = self.store_service.ledger.apply_answer(token, answer, query.hops)
         if decision.verdict is Verdict.ASK:
             if query.timer:
                 query.timer.cancel()
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -511,7 +511,7 @@
                 self.zones.on_session_over(request_id)
             self.release_limits(request_id)
             if request.permit and self.store_service:
-                self.store_service.ledger.release(request.permit)
+                self.store_service.ledger.end_permit(request.permit)
             if request.answered and self.store_service:
                 self.store_service.remove_session(request.message.session_id)
             if self.recorder:
@@ -556,7 +556,7 @@
 
     def close_request(self, request: SetUpRequest) -> None:
         if self.store_service and request.permit:
-            self.store_service.ledger.release(request.permit)
+            self.store_service.ledger.end_permit(request.permit)
         self.attempt_registry.remove_request(request.request_id)
         self.open_requests.pop(request.request_id, None)
         if self.held_verdicts.pop(request.request_id, None) and self.recovery:
--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -167,7 +167,7 @@
     @property
     def checkpoint(self) -> StoreCheckpoint:
         """Identifies the last commit of the store. Later checkpoints of the same front compare greater."""
-        return StoreCheckpoint(int(self.store.about.made_ms), self.store.commit_count)
+        return StoreCheckpoint(int(self.store.about.made_ms), self.store.last_commit)
 
     def reject_store(self, later: StoreCheckpoint | None) -> None:
         """Discards the ledger of a store that is outdated (others know the checkpoint `later`) or not
@@ -227,7 +227,7 @@
         return key in self.pending
 
     def new_token(self) -> Token:
-        return self.ledger.new_token(self.wall(), self.random.getrandbits(64))
+        return self.ledger.issue_token(self.wall(), self.random.getrandbits(64))
 
     def write(
         self, write: ClaimWrite, then: Callable[[str], object] | None = None, urgent: bool = True
@@ -258,7 +258,7 @@
 
         Returns None, and writes nothing, if the attempt must not be sent.
         """
-        write = self.ledger.record_attempt(permit, server, self.wall())
+        write = self.ledger.begin_attempt(permit, server, self.wall())
         if write is None:
             self.counts["attempts_stopped"] += 1
             return None
@@ -274,7 +274,7 @@
 
     def settle_unsent(self, token: Token, turn: int, attempts: int) -> None:
         """Records that an attempt of an earlier decider was provably never sent."""
-        if write := self.ledger.settle_unsent(token, turn, attempts, self.wall()):
+        if write := self.ledger.free_unsent(token, turn, attempts, self.wall()):
             self.counts["settled_unsent"] += 1
             self.write(write, urgent=False)
 
--- a/lemonhall/store/claims.py
+++ b/lemonhall/store/claims.py
@@ -162,7 +162,7 @@
         self.permits: dict[Token, Permit] = {}
         self.permits_issued = 0
 
-    def new_token(self, wall_s: float, serial: int) -> Token:
+    def issue_token(self, wall_s: float, serial: int) -> Token:
         """Creates the token of a new claim, valid also if the clock has been set back."""
         return Token.new(wall_s, self.pruned_s, self.front, self.store, serial)
 
@@ -194,10 +194,10 @@
         permit = self.permits[token] = Permit(token, turn, self.permits_issued)
         return ClaimDecision(Verdict.GO, permit)
 
-    def on_query(
+    def answer_query(
         self, token: Token, requester: tuple[int, int], store: int, turn: int, wall_s: float
     ) -> tuple[ClaimAnswer | None, ClaimWrite | None]:
-        """Handles the query of another front that takes this front for the claim's owner.
+        """Answers the query of another front that takes this front for the claim's owner.
 
         `requester` holds the numbers of that front and of its store. `store` is this front's store that it
         knows as the owner, `turn` the turn since when (0: by the token).
@@ -222,7 +222,7 @@
         passed = ClaimRecord(Standing.PASSED, turn + 1, *requester, wall_s * 1000)
         return ClaimAnswer(Standing.PASSED, turn + 1, *requester), ClaimWrite(token.key, passed, record)
 
-    def on_answer(self, token: Token, answer: ClaimAnswer, hops: int) -> ClaimDecision:
+    def apply_answer(self, token: Token, answer: ClaimAnswer, hops: int) -> ClaimDecision:
         """Decides by the answer of a queried front; `hops` is the number of fronts queried for the claim."""
         if answer.standing is not Standing.PASSED:  # the claim may have run, or no front knows it any more
             return ClaimDecision(Verdict.RAN)
@@ -240,7 +240,7 @@
             else decision
         )
 
-    def record_attempt(self, permit: Permit, server: int, wall_s: float) -> ClaimWrite | None:
+    def begin_attempt(self, permit: Permit, server: int, wall_s: float) -> ClaimWrite | None:
         """Returns the write that must be on disk before the set-up is sent.
 
         Returns None if the set-up must not be sent.
@@ -267,11 +267,11 @@
         if record is None or record.standing is not Standing.OUT or record.turn != permit.turn:
             return None
         if ran:
-            self.release(permit)
+            self.end_permit(permit)
         standing = Standing.RAN if ran else Standing.FREE
         return ClaimWrite(permit.token.key, replace(record, standing=standing, at_ms=wall_s * 1000), record)
 
-    def settle_unsent(self, token: Token, turn: int, attempts: int, wall_s: float) -> ClaimWrite | None:
+    def free_unsent(self, token: Token, turn: int, attempts: int, wall_s: float) -> ClaimWrite | None:
         """Frees a claim whose attempt was provably never sent, as reported by the process that had it.
 
         `attempts` is the attempt's number within its turn. A report on an earlier attempt than the recorded
@@ -286,7 +286,7 @@
             return None
         return ClaimWrite(token.key, replace(record, standing=Standing.FREE, at_ms=wall_s * 1000), record)
 
-    def release(self, permit: Permit) -> None:
+    def end_permit(self, permit: Permit) -> None:
         """Ends a permit under which no more attempts are made."""
         if self.permits.get(permit.token) == permit:
             del self.permits[permit.token]
--- a/lemonhall/store/file.py
+++ b/lemonhall/store/file.py
@@ -118,7 +118,8 @@
             raise BadInput(str(self.folder), f"the store is front {about.front}'s, not front {front}'s")
         self.about = about
         with self.env.begin(db=self.about_table) as txn:
-            self.commit_count = int.from_bytes(txn.get(COMMIT_COUNT_KEY) or b"", "big")  # as on disk
+            # number of the last commit on disk
+            self.last_commit = int.from_bytes(txn.get(COMMIT_COUNT_KEY) or b"", "big")
         self.tables = {name: self.env.open_db(name.encode(), create=create) for name in MESSAGE_TYPES}
 
     def read_about(self) -> About | None:
@@ -203,10 +204,8 @@
         applied: list[bool] = []
         try:
             with self.env.begin(write=True) as txn:
-                commit_count = (
-                    int.from_bytes(txn.get(COMMIT_COUNT_KEY, db=self.about_table) or b"", "big") + 1
-                )
-                txn.put(COMMIT_COUNT_KEY, commit_count.to_bytes(8, "big"), db=self.about_table)
+                number = int.from_bytes(txn.get(COMMIT_COUNT_KEY, db=self.about_table) or b"", "big") + 1
+                txn.put(COMMIT_COUNT_KEY, number.to_bytes(8, "big"), db=self.about_table)
                 for table, key, value, expected in changes:
                     db = self.tables[table]
                     applied.append(expected == ANY_VALUE or txn.get(key, db=db) == expected)
@@ -218,7 +217,7 @@
                         txn.put(key, value, db=db)
         except lmdb.Error as error:
             raise OSError(errno.ENOSPC, f"transaction not written: {error}") from error
-        self.commit_count = commit_count
+        self.last_commit = number
         return applied
 
     def prune(self, before_key: bytes, pruned_s: int, max_records: int = 10_000) -> int:
@@ -241,7 +240,7 @@
 
     # maintenance
 
-    def check(self) -> CheckReport:
+    def check_records(self) -> CheckReport:
         """Reads every record."""
         report = CheckReport(about=self.about, max_bytes=self.env.info()["map_size"])
         stat = self.env.stat()
--- a/tests/ipc/test_state_machines.py
+++ b/tests/ipc/test_state_machines.py
@@ -97,7 +97,7 @@
     def set_up_requested(self, worker: int, message: dict[str, Any]) -> None:
         if not self.registry.add_request(self.connections[worker], message["request"]):
             return
-        if message["unsent"][1] and (write := self.ledger.settle_unsent(TOKEN, *message["unsent"], 1.0)):
+        if message["unsent"][1] and (write := self.ledger.free_unsent(TOKEN, *message["unsent"], 1.0)):
             self.write(write, None)
         decision = self.ledger.decide(TOKEN, 1.0)
         go = decision.verdict is Verdict.GO and not message["ran"]
@@ -116,7 +116,7 @@
             self.answer_request(request)
             return
         number, entry["attempts"] = entry["attempts"], entry["attempts"] + 1
-        write = self.ledger.record_attempt(entry["permit"], 7, 1.0)
+        write = self.ledger.begin_attempt(entry["permit"], 7, 1.0)
         if write is None:
             self.answer_request(request)
             return
@@ -130,7 +130,7 @@
         entry = self.open.pop(request)
         self.registry.remove_request(request)
         if entry["permit"]:
-            self.ledger.release(entry["permit"])
+            self.ledger.end_permit(entry["permit"])
         self.orders[entry["worker"]].append({"kind": "answer", "request": request})
 
     def attempt_finished(self, worker: int, message: dict[str, Any]) -> None:
@@ -147,7 +147,7 @@
         if message["closed"]:
             self.open.pop(message["request"])
             self.registry.remove_request(message["request"])
-            self.ledger.release(entry["permit"])
+            self.ledger.end_permit(entry["permit"])
         elif message["ran"]:
             self.answer_request(message["request"])
         else:
@@ -170,7 +170,7 @@
         for attempt, execution in ends:
             self.settle((attempt.request_id, attempt.number), execution is Execution.MAY_HAVE_RUN)
         for request in requests:
-            self.ledger.release(self.open.pop(request)["permit"] or Permit(TOKEN, 0, 0))
+            self.ledger.end_permit(self.open.pop(request)["permit"] or Permit(TOKEN, 0, 0))
 
     # a worker, as in `front.viewers.worker`
 
@@ -327,7 +327,7 @@
                 entry = self.open.pop(message["request"])
                 self.registry.remove_request(message["request"])
                 if entry["permit"]:
-                    self.ledger.release(entry["permit"])
+                    self.ledger.end_permit(entry["permit"])
         else:
             getattr(self, message["kind"])(worker, message)
 
@@ -567,7 +567,7 @@
     ),
     "a report about an earlier attempt frees a later one": (
         Ledger,
-        "settle_unsent",
+        "free_unsent",
         free_any_attempt,
         "connect 0, arrive 0, report 0, persist, order 0, crash, connect 0, report 0, persist, disconnect 0, "
         f"{SECOND_SENT}, {FIRST_SENT_AGAIN}",
--- a/tests/store/test_claims.py
+++ b/tests/store/test_claims.py
@@ -190,7 +190,7 @@
         front = world.fronts[number]
         assert front.permit
         permit, front.permit = front.permit, None
-        write = self.ledger(front).record_attempt(permit, 9, 200.0)
+        write = self.ledger(front).begin_attempt(permit, 9, 200.0)
         if write:
             if self.no_wait == "attempt":
                 self.send_set_up(world, front)
@@ -244,7 +244,7 @@
         ledger = self.ledger(front)
         if message[0] == "query":
             _, _, sender, store, turn = message
-            answer, write = ledger.on_query(TOKEN, (sender, 70 + sender), store, turn, 200.0)
+            answer, write = ledger.answer_query(TOKEN, (sender, 70 + sender), store, turn, 200.0)
             if answer is None:
                 return
             reply = ("answer", sender, message[1], answer)
@@ -256,8 +256,9 @@
             _, _, sender, answer = message
             if front.query and front.query.front == sender:
                 front.hops += 1
-                decision = ledger.on_answer(TOKEN, answer, front.hops + SKIPPED_HOPS)
-                self.on_decision(world, front, decision, ledger)
+                self.on_decision(
+                    world, front, ledger.apply_answer(TOKEN, answer, front.hops + SKIPPED_HOPS), ledger
+                )
 
 
 def make_world(fronts: int, **more: Any) -> World:
@@ -284,7 +285,7 @@
 class KeepsPermits(Ledger):
     """A permit stays valid after the claim's transfer and after later permits."""
 
-    def record_attempt(self, permit: Permit, server: int, wall_s: float) -> ClaimWrite | None:
+    def begin_attempt(self, permit: Permit, server: int, wall_s: float) -> ClaimWrite | None:
         return ClaimWrite(permit.token.key, ClaimRecord(Standing.OUT, permit.turn))
 
 
@@ -319,10 +320,10 @@
 class IgnoresTurns(Ledger):
     """Takes outdated messages about a claim for current ones."""
 
-    def on_query(
+    def answer_query(
         self, token: Token, requester: tuple[int, int], store: int, turn: int, wall_s: float
     ) -> tuple[ClaimAnswer | None, ClaimWrite | None]:
-        answer, write = super().on_query(token, requester, store, 99, wall_s)
+        answer, write = super().answer_query(token, requester, store, 99, wall_s)
         return answer, write
 
 
@@ -385,8 +386,8 @@
     assert make_ledger({}, store=71).decide(TOKEN, 200.0).verdict is Verdict.RAN
     assert make_ledger({}).decide(TOKEN, 100 + KEEP_S + 1).verdict is Verdict.RAN
     assert make_ledger({}).decide(TOKEN, 200.0).verdict is Verdict.GO
-    assert make_ledger({}, store=71).on_query(TOKEN, (1, 71), 70, 0, 200.0) == (ClaimAnswer(None), None)
-    assert make_ledger({}).on_query(TOKEN, (1, 71), 70, 0, 100 + KEEP_S + 1) == (
+    assert make_ledger({}, store=71).answer_query(TOKEN, (1, 71), 70, 0, 200.0) == (ClaimAnswer(None), None)
+    assert make_ledger({}).answer_query(TOKEN, (1, 71), 70, 0, 100 + KEEP_S + 1) == (
         ClaimAnswer(Standing.RAN),
         None,
     )
@@ -398,22 +399,22 @@
     ledger = make_ledger({})
     ledger.pruned_s = 150
     assert ledger.decide(TOKEN, 120.0).verdict is Verdict.RAN
-    assert ledger.on_query(TOKEN, (1, 71), 70, 0, 120.0) == (ClaimAnswer(Standing.RAN), None)
-    assert ledger.decide(ledger.new_token(120.0, 9), 121.0).verdict is Verdict.GO
+    assert ledger.answer_query(TOKEN, (1, 71), 70, 0, 120.0) == (ClaimAnswer(Standing.RAN), None)
+    assert ledger.decide(ledger.issue_token(120.0, 9), 121.0).verdict is Verdict.GO
 
 
 def test_a_claim_transferred_to_a_lost_ledger_is_not_transferred_again() -> None:
     """Front 1 owned the claim in its old ledger, where it may have run; its new ledger has no record."""
     new_ledger = make_ledger({}, front=1, store=99)
-    assert new_ledger.on_query(TOKEN, (2, 72), 71, 1, 200.0) == (ClaimAnswer(None), None)
+    assert new_ledger.answer_query(TOKEN, (2, 72), 71, 1, 200.0) == (ClaimAnswer(None), None)
     to_old_ledger = ClaimAnswer(Standing.PASSED, 1, 1, 71)
-    assert new_ledger.on_answer(TOKEN, to_old_ledger, 1).verdict is Verdict.RAN
+    assert new_ledger.apply_answer(TOKEN, to_old_ledger, 1).verdict is Verdict.RAN
 
 
 def test_a_chain_of_transfers_is_followed_for_a_limited_number_of_hops() -> None:
     answer = ClaimAnswer(Standing.PASSED, 5, 2, 72)
-    assert make_ledger({}).on_answer(TOKEN, answer, 8).verdict is Verdict.UNKNOWN
-    assert make_ledger({}).on_answer(TOKEN, answer, 7) == ClaimDecision(
+    assert make_ledger({}).apply_answer(TOKEN, answer, 8).verdict is Verdict.UNKNOWN
+    assert make_ledger({}).apply_answer(TOKEN, answer, 7) == ClaimDecision(
         Verdict.ASK, front=2, store=72, turn=5
     )
 
--- a/tests/store/test_file.py
+++ b/tests/store/test_file.py
@@ -80,7 +80,7 @@
     put(store, b"l", make_claim())
     with pytest.raises(RecordError, match=reason):
         store.get("claims", b"k")
-    report = store.check()
+    report = store.check_records()
     assert report.counts["claims"] == 2 and report.standings[Standing.OUT] == 1
     assert len(report.damaged) == 1 and reason in report.damaged[0] and b"k".hex() in report.damaged[0]
 
@@ -112,11 +112,11 @@
     store.commit([("claims", k, encode_record(k, make_claim()), ANY_VALUE) for k in keys])
     assert store.prune((1500).to_bytes(4, "big"), 7, max_records=1000) == 1000
     assert store.prune((1500).to_bytes(4, "big"), 7) == 500
-    assert store.check().counts["claims"] == 500
+    assert store.check_records().counts["claims"] == 500
     size_before, size_after = store.compact()
     assert size_after < size_before
     reopened = Store(tmp_path / "s", front=3)
-    assert reopened.check().counts["claims"] == 500 and not reopened.check().damaged
+    assert reopened.check_records().counts["claims"] == 500 and not reopened.check_records().damaged
     assert reopened.about.pruned_s == 7
     reopened.close()
 
@@ -203,7 +203,7 @@
 from lemonhall.store import Store, encode_record
 from lemonhall.store.store_pb2 import Claim
 store = Store(Path(sys.argv[1]), front=3)
-n = store.check().counts["claims"]
+n = store.check_records().counts["claims"]
 while True:
     key = n.to_bytes(4, "big")
     store.commit([("claims", key, encode_record(key, Claim(standing=2, at_ms=n)), None)])
@@ -224,7 +224,7 @@
         last_reported = int((child.stdout.read().split() or [b"%d" % last_reported])[-1])
         child.wait()
         store = Store(tmp_path / "s", front=3)
-        report = store.check()
+        report = store.check_records()
         store.close()
         assert not report.damaged and report.counts["claims"] in (last_reported + 1, last_reported + 2)
 
--- a/tests/store/test_integrity.py
+++ b/tests/store/test_integrity.py
@@ -29,7 +29,7 @@
         )
     assert all(store.commit(changes))
     store.close()
-    return store.commit_count
+    return store.last_commit
 
 
 def test_an_undamaged_store_is_left_unchanged(tmp_path: Path) -> None:
@@ -48,7 +48,7 @@
     damaged_file = (tmp_path / "data.mdb").read_bytes()
     store = Store(tmp_path, 3, MAX_BYTES, store_id=12, replace_damaged=True)
     # The newest root page may be damaged and an older one intact; peers detect that by the commit count.
-    is_older = store.commit_count < written
+    is_older = store.last_commit < written
     found = [value for _, value in store.records("held")]  # with a `RecordError` for each damaged record
     assert store.commit([("held", b"new", encode_record(b"new", Held(claim="c")), None)]) == [True]
     assert store.get("held", b"new").claim == "c"
