--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -106,9 +106,11 @@
         answer: Answer | None = Answer(None)
         write = None
         if self.store_service:
-            by = (message.sender, message.own_store)
+            requester = (message.sender, message.own_store)
             wall_s = self.store_service.wall()
-            answer, write = self.store_service.ledger.asked(token, by, message.store, message.turn, wall_s)
+            answer, write = self.store_service.ledger.asked(
+                token, requester, message.store, message.turn, wall_s
+            )
         if answer is None:
             return
         self.counts["answered"] += 1
@@ -126,10 +128,10 @@
         else:
             self.reply(message.sender, reply, "")
 
-    def reply(self, to: int, message: Any, error: str) -> None:
+    def reply(self, recipient: int, message: Any, error: str) -> None:
         """Sends an answer whose content is on disk. After a write error none is sent; the query repeats."""
         if self.messenger and not error:
-            self.messenger.send_to_front(to, message)
+            self.messenger.send_to_front(recipient, message)
 
     def on_answer(self, token: Token, message: Any) -> None:
         query = self.queries.get(token)
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -30,15 +30,15 @@
 
 
 def test_replay_of_a_capture_repeats_the_decisions(make_front: Build) -> None:
-    w = make_front()
-    client, session = w.play_session("/browse/a")
-    w.play_session("/claims/a")
+    harness = make_front()
+    client, session = harness.play_session("/browse/a")
+    harness.play_session("/claims/a")
     client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.run_until(lambda: w.module.events_of(interface.AttemptEnded))
-    assert w.daemon.capture
-    replayed = steps_of(w.daemon.capture.save())
+    harness.run_until(lambda: harness.module.events_of(interface.AttemptEnded))
+    assert harness.daemon.capture
+    replayed = steps_of(harness.daemon.capture.save())
     steps = [s for s in replayed if isinstance(s, Step)]
-    assert len(steps) == w.daemon.bridge.calls and all(s.same for s in steps)
+    assert len(steps) == harness.daemon.bridge.calls and all(s.same for s in steps)
     notes = [s.record.word for s in replayed if isinstance(s, Told) and s.record.WhichOneof("what") == "word"]
     assert any(session in note.text and note.session == 1 for note in notes)
 
@@ -49,14 +49,18 @@
 
 
 def test_commands_show_replay_and_explain_a_capture(make_front: Build, tmp_path: Path) -> None:
-    w = make_front()
-    _, session = w.play_session("/browse/a")
-    assert w.daemon.capture
+    harness = make_front()
+    _, session = harness.play_session("/browse/a")
+    assert harness.daemon.capture
     path = tmp_path / "one.lhc"
-    path.write_bytes(w.daemon.capture.save())
+    path.write_bytes(harness.daemon.capture.save())
     shown = run("capture", "show", path, "--json", "--calls")
     summary = json.loads(shown.stdout.strip().splitlines()[-1])
-    assert shown.returncode == 0 and summary["call"] == w.daemon.bridge.calls and "set up at" in shown.stdout
+    assert (
+        shown.returncode == 0
+        and summary["call"] == harness.daemon.bridge.calls
+        and "set up at" in shown.stdout
+    )
     again = run("replay", path)
     assert again.returncode == 0 and "the same decisions" in again.stdout
     for name in (session, "1"):
@@ -161,36 +165,36 @@
 ) -> None:
     key = tmp_path / "key"
     key.write_bytes(b"k" * 32)
-    w = make_front()
+    harness = make_front()
     new_session = interface.NewSession(1, 0, 4711, 7, 400.0, 2, 0, 1)
     encoded = []
     for path in (str(key), ""):
-        writer = CaptureWriter(CaptureSettings(key=path), capture_header(w.settings))
+        writer = CaptureWriter(CaptureSettings(key=path), capture_header(harness.settings))
         writer.add_call(0, 1.0, [new_session], [])
         records = read_capture(writer.save()).records
         encoded.append(next(r.call.events for r in records if r.WhichOneof("what") == "call"))
         writer.close()
     assert (4711).to_bytes(8, "little") not in encoded[0] and (4711).to_bytes(8, "little") in encoded[1]
     with pytest.raises(BadInput, match="key cannot be read"):
-        CaptureWriter(CaptureSettings(key=str(tmp_path / "none")), capture_header(w.settings))
+        CaptureWriter(CaptureSettings(key=str(tmp_path / "none")), capture_header(harness.settings))
 
 
 def test_capture_page_returns_the_ring(make_front: Build, tmp_path: Path) -> None:
-    w = make_front()
-    w.play_session("/browse/a")
+    harness = make_front()
+    harness.play_session("/browse/a")
     from lemonhall.front.process import status_server
     from lemonhall.loop import listen
 
-    pages = {"/capture": w.daemon.status_pages.capture_page}
-    at = listen(w.loop, ("127.0.0.1", 0), status_server.serve(w.loop, pages)).getsockname()
+    pages = {"/capture": harness.daemon.status_pages.capture_page}
+    address = listen(harness.loop, ("127.0.0.1", 0), status_server.serve(harness.loop, pages)).getsockname()
     received: list[bytes] = []
 
     def fetch() -> None:
-        with urllib.request.urlopen(f"http://127.0.0.1:{at[1]}/capture", timeout=5) as answer:
+        with urllib.request.urlopen(f"http://127.0.0.1:{address[1]}/capture", timeout=5) as answer:
             received.append(answer.read())
 
     thread = Thread(target=fetch)
     thread.start()
-    w.run_until(lambda: received)
+    harness.run_until(lambda: received)
     thread.join()
     assert [s.same for s in steps_of(received[0]) if isinstance(s, Step)]
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -36,36 +36,36 @@
         self.faults: list[Exception] = []
         self.ports = [free_udp() for _ in range(fronts)]
         (folder / "keys").write_text("1 " + "ab" * 16 + "\n")
-        self.boxes = [ScriptedServer(self.loop, n + 1) for n in range(2)]
+        self.boxes = [ScriptedServer(self.loop, index + 1) for index in range(2)]
         self.fronts: dict[int, Daemon] = {}
         self.at: dict[int, tuple[str, int]] = {}
         self.clients: list[Client] = []
         self.releases: list[threading.Event] = []
-        for n in range(fronts):
-            self.start(n)
-        self.until(lambda: all(self.sees_all(n) for n in self.fronts))
+        for index in range(fronts):
+            self.start(index)
+        self.until(lambda: all(self.sees_all(index) for index in self.fronts))
 
-    def sees_all(self, n: int) -> bool:
-        membership = self.fronts[n].membership
+    def sees_all(self, index: int) -> bool:
+        membership = self.fronts[index].membership
         assert membership
         return len(membership.machine.view().members) == len(self.fronts)
 
-    def start(self, n: int) -> Daemon:
-        seeds = "\n".join(f'seed "127.0.0.1:{p}"' for m, p in enumerate(self.ports) if m != n)
-        path = self.folder / f"f{n}.kdl"
+    def start(self, index: int) -> Daemon:
+        seeds = "\n".join(f'seed "127.0.0.1:{p}"' for m, p in enumerate(self.ports) if m != index)
+        path = self.folder / f"f{index}.kdl"
         path.write_text(
-            TERMS
-            + f"""front "f{n}" hall="hall-a" index={n} fronts={self.count} seed={n} listen="127.0.0.1:0" {{
-    store "f{n}.store" size=(MB)4
-    members listen="127.0.0.1:{self.ports[n]}" keys="keys" period=(ms)100 {{
+            TERMS + f'front "f{index}" hall="hall-a" index={index} fronts={self.count} seed={index} '
+            f"""listen="127.0.0.1:0" {{
+    store "f{index}.store" size=(MB)4
+    members listen="127.0.0.1:{self.ports[index]}" keys="keys" period=(ms)100 {{
 {seeds}
     }}
 }}
 """
         )
-        daemon = self.fronts[n] = Daemon(read_settings(path), loop=self.loop)
+        daemon = self.fronts[index] = Daemon(read_settings(path), loop=self.loop)
         self.loop.on_error = self.faults.append
-        self.at[n] = daemon.open()
+        self.at[index] = daemon.open()
         boxes = [
             Box(id=b.server_id, address=f"127.0.0.1:{b.port}", weight=1.0, state=State.READY)
             for b in self.boxes
@@ -75,9 +75,9 @@
         daemon.bridge.enqueue(event)
         return daemon
 
-    def kill(self, n: int) -> None:
+    def kill(self, index: int) -> None:
         """Ends a front as SIGKILL does: its sockets are closed, and nothing more is written."""
-        daemon = self.fronts.pop(n)
+        daemon = self.fronts.pop(index)
         store_service = daemon.store_service
         assert store_service and daemon.membership
         store_service.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
@@ -102,12 +102,12 @@
         assert condition(), f"not within {within_s} s"
         assert not self.faults, self.faults
 
-    def play(self, n: int, path: str = PAID, claim: str = "") -> tuple[Client, str, int]:
+    def play(self, index: int, path: str = PAID, claim: str = "") -> tuple[Client, str, int]:
         """Sends SETUP and PLAY to front `n`.
 
         Returns the viewer's connection, the token of its claim and the CSeq of PLAY.
         """
-        client = Client(self.loop, self.at[n])
+        client = Client(self.loop, self.at[index])
         self.clients.append(client)
         claim_header = [("X-Claim", claim)] if claim else []
         transport = ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1")
@@ -123,16 +123,16 @@
         self.until(lambda: client.answers_to(cseq))
         return client.answers[-1]
 
-    def standing(self, n: int, claim: str) -> Standing | None:
+    def standing(self, index: int, claim: str) -> Standing | None:
         token = Token.parse(claim)
-        store_service = self.fronts[n].store_service
+        store_service = self.fronts[index].store_service
         assert token and store_service
         record = store_service.lookup(token.key)
         return record.standing if record else None
 
-    def block(self, n: int) -> Callable[[], None]:
+    def block(self, index: int) -> Callable[[], None]:
         """Blocks the disk writes of a front until the returned function is called."""
-        store_service = self.fronts[n].store_service
+        store_service = self.fronts[index].store_service
         assert store_service
         commit_to_disk, release = store_service.store.commit, threading.Event()
         self.releases.append(release)
@@ -158,8 +158,8 @@
         for client in self.clients:
             if client.stream.open:
                 client.stream.abort()
-        for n in list(self.fronts):
-            self.kill(n)
+        for index in list(self.fronts):
+            self.kill(index)
         for box in self.boxes:
             for conn in box.connections:
                 if conn.stream.open:
--- a/tests/front/test_limits.py
+++ b/tests/front/test_limits.py
@@ -60,8 +60,8 @@
     clock = Clock()
     loop, drivers = Loop(lambda: clock.at / 1000), []
     links = [DirectLink(0), DirectLink(1)]
-    for n, link in enumerate(links):
-        machine = FleetLimits(limits_plan, n, 2, 0, 1, Random(n), clock.at)
+    for number, link in enumerate(links):
+        machine = FleetLimits(limits_plan, number, 2, 0, 1, Random(number), clock.at)
         machine.escrow.members = (0, 1)
         drivers.append(LimitsDriver(loop, machine, link, clock))
     links[0].other, links[1].other = drivers[1], drivers[0]
@@ -177,68 +177,69 @@
 
 
 def test_refusal_by_a_limit_carries_its_reason(make_front: Build) -> None:
-    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    client, session = w.play_session("/browse/a")
-    other, _, cseq = w.send_play("/browse/b")
-    w.run_until(lambda: other.answers_to(cseq))
+    harness = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    client, session = harness.play_session("/browse/a")
+    other, _, cseq = harness.send_play("/browse/b")
+    harness.run_until(lambda: other.answers_to(cseq))
     answer = other.answers[-1]
     assert answer.status == 503 and "limit one" in str(answer.headers.get("X-Reason") or answer.reason)
     assert float(answer.headers.get("Retry-After")) >= 1
-    assert w.set_up_count() == 1 and w.daemon.counts["over_limit"] == 1
-    report = json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]
+    assert harness.set_up_count() == 1 and harness.daemon.counts["over_limit"] == 1
+    report = json.loads(harness.daemon.status_pages.limits_page()[2])["limits"][0]
     assert (report["used"], report["held"], report["refused"]) == (1, 1, 1)
     done = client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.run_until(lambda: client.answers_to(done))
-    w.run_until(lambda: not w.daemon.set_up_requests.attempt_registry.open_attempts)
-    w.play_session("/browse/b")
-    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in w.daemon.status_pages.metrics_page()[2]
+    harness.run_until(lambda: client.answers_to(done))
+    harness.run_until(lambda: not harness.daemon.set_up_requests.attempt_registry.open_attempts)
+    harness.play_session("/browse/b")
+    assert b'lemonhall_limit_refused_total{limit="one"} 1.0' in harness.daemon.status_pages.metrics_page()[2]
 
 
 def test_lowered_limit_keeps_existing_sessions(reloaded: Callable[..., Any]) -> None:
     limit = 'limit "two" class="browse-clip" sessions={}\n'
-    w, load = reloaded(TERMS + limit.format(2))
-    w.play_session("/browse/a")
-    w.play_session("/browse/b")
+    harness, load = reloaded(TERMS + limit.format(2))
+    harness.play_session("/browse/a")
+    harness.play_session("/browse/b")
     assert load(TERMS + limit.format(1))
-    other, _, cseq = w.send_play("/browse/c")
-    w.run_until(lambda: other.answers_to(cseq))
+    other, _, cseq = harness.send_play("/browse/c")
+    harness.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
-    assert json.loads(w.daemon.status_pages.limits_page()[2])["limits"][0]["used"] == 2  # no session is ended
+    # no session is ended
+    assert json.loads(harness.daemon.status_pages.limits_page()[2])["limits"][0]["used"] == 2
 
 
 def test_session_on_an_expired_loan_is_ended_with_a_bye(make_front: Build) -> None:
-    w = make_front(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
-    client, _ = w.play_session("/browse/a")
-    machine = w.daemon.set_up_requests.limits.machine
+    harness = make_front(terms=TERMS + 'limit "some" class="browse-clip" sessions=3\n')
+    client, _ = harness.play_session("/browse/a")
+    machine = harness.daemon.set_up_requests.limits.machine
     local = next(iter(machine.escrow.local_limits.values()))
     local.share.own = 0  # as if the room had been lent by another front
     machine.escrow.record_expired((local.limit.limit_id, 0), 1)
-    w.run_until(lambda: client.byes)
-    w.run_until(lambda: not w.daemon.set_up_requests.open_requests)
-    assert w.daemon.counts["ended_by_limit"] == 1 and local.share.used == 0
+    harness.run_until(lambda: client.byes)
+    harness.run_until(lambda: not harness.daemon.set_up_requests.open_requests)
+    assert harness.daemon.counts["ended_by_limit"] == 1 and local.share.used == 0
 
 
 def test_reservation_is_held_until_the_attempt_has_ended(make_front: Build) -> None:
     """The session may still exist at the server until the attempt has ended."""
-    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.play_session("/browse/a")
-    requests = w.daemon.set_up_requests
+    harness = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    harness.play_session("/browse/a")
+    requests = harness.daemon.set_up_requests
     (request_id,) = requests.open_requests
     request = requests.open_requests[request_id]
     requests.close_request(request)  # the request is closed while its attempt has not ended
     assert requests.limits.machine.sessions
-    other, _, cseq = w.send_play("/browse/b")
-    w.run_until(lambda: other.answers_to(cseq))
+    other, _, cseq = harness.send_play("/browse/b")
+    harness.run_until(lambda: other.answers_to(cseq))
     assert other.answers_to(cseq) == [503]
 
 
 def test_why_command_names_the_limit_of_a_refused_session(make_front: Build, tmp_path: Path) -> None:
-    w = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
-    w.play_session("/browse/a")
-    other, session, cseq = w.send_play("/browse/b")
-    w.run_until(lambda: other.answers_to(cseq))
+    harness = make_front(terms=TERMS + 'limit "one" class="browse-clip" sessions=1\n')
+    harness.play_session("/browse/a")
+    other, session, cseq = harness.send_play("/browse/b")
+    harness.run_until(lambda: other.answers_to(cseq))
     path = tmp_path / "kept.lhc"
-    path.write_bytes(w.daemon.capture.save())
+    path.write_bytes(harness.daemon.capture.save())
     done = CliRunner().invoke(group, ["why", str(path), session.partition(";")[0]])
     assert done.exit_code == 0 and "limit one: no room" in done.output, done.output
 
--- a/tests/front/test_reload.py
+++ b/tests/front/test_reload.py
@@ -13,29 +13,29 @@
 
 
 def test_routes_change_without_interrupting_sessions(reloaded: Build) -> None:
-    w, load = reloaded(TERMS)
-    client, session = w.play_session("/browse/a")
+    harness, load = reloaded(TERMS)
+    client, session = harness.play_session("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/other/" class="browse-clip"'))
     before = len(client.media)
-    w.playing_server().connections[-1].media()
-    w.run_until(lambda: len(client.media) > before)
-    fresh = w.connect_client()
+    harness.playing_server().connections[-1].media()
+    harness.run_until(lambda: len(client.media) > before)
+    fresh = harness.connect_client()
     cseq = fresh.send("SETUP", "/browse/b/trackID=0", ("Transport", "RTP/AVP/TCP;unicast;interleaved=0-1"))
-    w.run_until(lambda: fresh.answers_to(cseq))
+    harness.run_until(lambda: fresh.answers_to(cseq))
     assert fresh.answers_to(cseq) == [404]
-    w.play_session("/other/b")
+    harness.play_session("/other/b")
     cseq = client.send("TEARDOWN", "/browse/a", ("Session", session))
-    w.run_until(lambda: client.answers_to(cseq))
+    harness.run_until(lambda: client.answers_to(cseq))
     assert client.answers_to(cseq) == [200]
 
 
 def test_class_of_a_route_changes_for_new_sessions_only(reloaded: Build) -> None:
-    w, load = reloaded(TERMS)
-    w.play_session("/browse/a")
+    harness, load = reloaded(TERMS)
+    harness.play_session("/browse/a")
     assert load(TERMS.replace('"/browse/" class="browse-clip"', '"/browse/" class="claim-view"'))
-    w.play_session("/browse/b")
-    assert [e.cls for e in w.module.events_of(interface.NewSession)] == [1, 0]
-    assert [s.asked.cls for s in w.daemon.worker.by_id.values()] == [1, 0]
+    harness.play_session("/browse/b")
+    assert [e.cls for e in harness.module.events_of(interface.NewSession)] == [1, 0]
+    assert [s.asked.cls for s in harness.daemon.worker.by_id.values()] == [1, 0]
 
 
 @pytest.mark.parametrize(
@@ -48,16 +48,16 @@
     ids=["wrong", "a class", "a kind"],
 )
 def test_invalid_or_fixed_settings_are_rejected_as_a_whole(reloaded: Build, old: str, new: str) -> None:
-    w, load = reloaded(TERMS)
-    before = w.daemon.settings
+    harness, load = reloaded(TERMS)
+    before = harness.daemon.settings
     assert not load(TERMS.replace(old, new).replace("/browse/", "/other/"))
-    assert w.daemon.settings is before and w.daemon.counts["settings_refused"] == 1
-    w.play_session("/browse/a")
+    assert harness.daemon.settings is before and harness.daemon.counts["settings_refused"] == 1
+    harness.play_session("/browse/a")
 
 
 def test_reload_without_changes_is_accepted(reloaded: Build) -> None:
-    w, load = reloaded(TERMS)
-    w.play_session("/browse/a")
+    harness, load = reloaded(TERMS)
+    harness.play_session("/browse/a")
     assert load(TERMS)
-    assert w.daemon.counts["settings_loaded"] == 1
-    w.play_session("/browse/b")
+    assert harness.daemon.counts["settings_loaded"] == 1
+    harness.play_session("/browse/b")
--- a/tests/front/test_zones.py
+++ b/tests/front/test_zones.py
@@ -66,12 +66,12 @@
 def test_zone_is_held_out_across_a_restart_and_released(make: Make, fields: str) -> None:
     site = make(fields=fields)
     front = site.start_front()
-    at, status = site.serving_address(front), status_of(site, 0)
-    assert site.start_session(at, "/browse/a")[1] == 200
+    address, status = site.serving_address(front), status_of(site, 0)
+    assert site.start_session(address, "/browse/a")[1] == 200
     assert state(run_halls(site, "show", status)[2], "hall-a")["state"] == "up"
     report = run_halls(site, "hold", status, "hall-a")[2]
     assert state(report, "hall-a")["state"] == "dark" and state(report, "hall-a")["held_out"]
-    assert site.start_session(at, "/browse/b")[1] in (
+    assert site.start_session(address, "/browse/b")[1] in (
         453,
         503,
     )  # hall-b has no server, so the session is refused
@@ -79,17 +79,17 @@
     front.send_signal(signal.SIGTERM)
     assert site.exit_status(front) == 0
     again = site.start_front()
-    at = site.serving_address(again)
+    address = site.serving_address(again)
     status = status_of(site, 1)
     code, output, report = run_halls(site, "show", status)
     assert code == 1 and state(report, "hall-a")["held_out"] and "held out" in output
-    assert site.start_session(at, "/browse/c")[1] in (453, 503)
+    assert site.start_session(address, "/browse/c")[1] in (453, 503)
     run_halls(site, "release", status, "hall-a")
     polls = 0
     while state(run_halls(site, "show", status)[2], "hall-a")["state"] != "up":
         polls += 1
         assert polls < 200
-    assert site.start_session(at, "/browse/d")[1] == 200
+    assert site.start_session(address, "/browse/d")[1] == 200
 
 
 def test_unknown_zone_and_front_without_zones_are_reported(make: Make) -> None:
@@ -111,13 +111,13 @@
 def test_handover_keeps_zones_held_out(make: Make, fields: str) -> None:
     site = make(fields=fields)
     old = site.start_front()
-    at = site.serving_address(old)
-    assert site.start_session(at, "/browse/a")[1] == 200
+    address = site.serving_address(old)
+    assert site.start_session(address, "/browse/a")[1] == 200
     run_halls(site, "hold", status_of(site, 0), "hall-a")
     new = site.start_front("--replace")
-    at = site.serving_address(new)
+    address = site.serving_address(new)
     report = run_halls(site, "show", status_of(site, 1))[2]
     assert state(report, "hall-a")["held_out"]
-    assert site.start_session(at, "/browse/b")[1] in (453, 503)
+    assert site.start_session(address, "/browse/b")[1] in (453, 503)
     assert len(site.open_clients()) == 1
     site.assert_no_gap(site.open_clients())
