--- a/lemonhall/front/decider/membership.py
+++ b/lemonhall/front/decider/membership.py
@@ -202,7 +202,7 @@
         if view.version != self.view_version:
             self.view_version = view.version
             log.info(
-                "members", there=len(view.members), cut_off=view.cut_off, twin=self.machine.duplicate_number
+                "members", there=len(view.members), cut_off=view.isolated, twin=self.machine.duplicate_number
             )
             self.on_view_changed(view)
         if announced := self.front_count.update(view, self.now_ms()):
@@ -249,11 +249,11 @@
         status = {
             "number": self.number,
             "members": view.members,
-            "cut_off": view.cut_off,
+            "cut_off": view.isolated,
             "twin": self.machine.duplicate_number,
             "told": {"fronts": self.front_count.reported[0], "rank": self.front_count.reported[1]},
             "incarnation": self.machine.incarnation,
-            "health": self.machine.health,
+            "health": self.machine.health_score,
             "states": {member.number: member.state.name.lower() for member in self.machine.members.values()},
             "counts": self.machine.counts,
             "refused": self.rejected_datagrams,
--- a/lemonhall/limits/reserve.py
+++ b/lemonhall/limits/reserve.py
@@ -1,7 +1,7 @@
 """Units of a limit kept for premium sessions by Method II of the paper.
 
 The limit is treated as a server with slots, the loads are those of the sessions that asked for units, and the
-reserve of the premium sessions is the one with the best pay-off (`lemonhall.decide.best_split`).
+reserve of the premium sessions is the one with the best pay-off (`lemonhall.decide.best_reserves`).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 
 from lemonhall import interface as i
-from lemonhall.decide import best_split
+from lemonhall.decide import best_reserves
 
 UPDATE_PERIOD_MS = 5000.0
 WINDOW_MS = 60_000.0  # of the decayed request counts
@@ -68,7 +68,7 @@
         ]
         premium_worth = sum(worths[1:]) / len(worths[1:])
         self.quota = int(
-            best_split(slots, load[1], load[0], premium_worth, worths[0])[0] * units_per_session * group
+            best_reserves(slots, load[1], load[0], premium_worth, worths[0])[0] * units_per_session * group
         )
 
     def units_kept_free(self, premium: bool) -> int:
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -73,8 +73,8 @@
     module.write_text(
         "from lemonhall import decide\n"
         "class Front(decide.Front):\n"
-        "    def send(self, s, box, rung, part):\n"
-        "        super().send(s, box, s.plan.floor, part)\n"
+        "    def send_set_up(self, s, box, rung, part):\n"
+        "        super().send_set_up(s, box, s.demand.floor, part)\n"
     )
     other = run("replay", path, "--module", module)
     assert other.returncode == 1 and "session 1: " in other.stdout and "rungs" in other.stdout
--- a/tests/front/test_claims.py
+++ b/tests/front/test_claims.py
@@ -82,7 +82,7 @@
         assert store_service and daemon.membership
         store_service.store.commit = lambda changes: (_ for _ in ()).throw(OSError("killed"))  # type: ignore
         daemon.membership.close()
-        daemon.decider_queue.heard = lambda message: None
+        daemon.decider_queue.on_message = lambda message: None
         for sock in daemon.listeners:
             self.loop.watch_socket(sock, 0, lambda _: None)
             sock.close()
