--- a/lemonhall/front/decider/claim_resolver.py
+++ b/lemonhall/front/decider/claim_resolver.py
@@ -128,10 +128,10 @@
         else:
             self.reply(message.sender, reply, "")
 
-    def reply(self, to: int, message: Any, error: str) -> None:
+    def reply(self, recipient: int, message: Any, error: str) -> None:
         """Sends an answer whose content is on disk. After a write error none is sent; the query repeats."""
         if self.messenger and not error:
-            self.messenger.send_to_front(to, message)
+            self.messenger.send_to_front(recipient, message)
 
     def on_answer(self, token: Token, message: Any) -> None:
         query = self.queries.get(token)
