--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -264,9 +264,9 @@
             self.counts["settled_ran" if ran else "settled_free"] += 1
             self.write(write, soon=False)
 
-    def settle_unsent(self, token: Token, turn: int, made: int) -> None:
+    def settle_unsent(self, token: Token, turn: int, attempt_number: int) -> None:
         """Records that an attempt of an earlier decider was provably never sent."""
-        if write := self.ledger.unsent(token, turn, made, self.wall()):
+        if write := self.ledger.unsent(token, turn, attempt_number, self.wall()):
             self.counts["settled_unsent"] += 1
             self.write(write, soon=False)
 
