--- a/lemonhall/cli/standin.py
+++ b/lemonhall/cli/standin.py
@@ -8,7 +8,7 @@
 import click
 
 from lemonhall.config.day import read_day
-from lemonhall.links.process import Links
+from lemonhall.links.process import NetworkEmulator
 from lemonhall.loop import Loop
 from lemonhall.standins.box import run_rack
 from lemonhall.standins.boxlist import ListService
@@ -32,7 +32,7 @@
     elif kind == "viewers":
         command = Crowd(loop, written, day, seed).command
     elif kind == "links":
-        command = Links(loop, written, day, seed).command
+        command = NetworkEmulator(loop, written, day, seed).command
     else:
         spread = 1 + 0.25 * (2 * Random(f"{seed}/rack/{rack}").random() - 1)
         specs = [b for b in day.boxes if b.cell == rack]
--- a/lemonhall/day/runner.py
+++ b/lemonhall/day/runner.py
@@ -28,7 +28,7 @@
 from lemonhall.day import state
 from lemonhall.day.children import Child
 from lemonhall.interface import ServerState
-from lemonhall.links.process import link_to
+from lemonhall.links.process import link_to_json
 from lemonhall.loop import Loop
 from lemonhall.standins.tap import Tap
 
@@ -421,7 +421,7 @@
         assert fault.link
         self.holding += 1
         links, number = self.children["links"], self.holding
-        links.tell(do="hold", number=number, link=link_to(fault.link))
+        links.tell(do="hold", number=number, link=link_to_json(fault.link))
         self.loop.call_later(after_s, partial(links.tell, do="lift", number=number))
 
     def on_cut(self, fault: FaultSpec, _: str, after_s: float) -> None:
@@ -431,7 +431,7 @@
 
     def on_reset(self, fault: FaultSpec, _: str, after_s: float) -> None:
         assert fault.link
-        self.children["links"].tell(do="reset", link=link_to(fault.link))
+        self.children["links"].tell(do="reset", link=link_to_json(fault.link))
 
     # fronts as processes
 
--- a/lemonhall/links/__init__.py
+++ b/lemonhall/links/__init__.py
@@ -1,4 +1,5 @@
-"""The network between processes, as a process of its own: relays on loopback that do what a day says.
+"""Emulates the network between the processes of a day: relays on loopback that impair what passes them.
 
-`pipe`, `network` are pure: seed, time and bytes in, bytes and times out. `relay`, `process` are the sockets.
+`pipe` and `network` are pure: seed, time and bytes in, bytes and times out. `relay` holds the sockets, and
+`process` executes the commands of the process that runs the relays.
 """
--- a/lemonhall/links/network.py
+++ b/lemonhall/links/network.py
@@ -1,34 +1,37 @@
-"""Which processes there are, what stands between them now, and what a name of several means. Pure."""
+"""The processes of a day, the links in effect between them, and the names that select processes. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
 from lemonhall.config.day import Day, LinkSpec, Shape
-from lemonhall.links.pipe import CLEAN, together
+from lemonhall.links.pipe import UNIMPAIRED, combine_shapes
 
 LIST, VIEWERS = "list", "viewers"
 
 
 @dataclass(frozen=True)
-class Ends:
-    """Fronts and boxes by name, with their halls; beside them the box list and the viewers."""
+class Endpoints:
+    """The zone of each front and media server by name; the server list and the viewers have none."""
 
     fronts: dict[str, str]
-    boxes: dict[str, str]
+    servers: dict[str, str]
 
     @classmethod
-    def of(cls, day: Day) -> Ends:
-        halls = day.terms.halls
-        return cls({f.name: halls[f.hall] for f in day.fronts}, {b.name: halls[b.hall] for b in day.boxes})
-
-    def named(self, name: str) -> frozenset[str]:
-        """A process, a hall's fronts and boxes, or all of a kind. Raises `KeyError` for no name of any."""
-        groups = {"fronts": self.fronts, "boxes": self.boxes, LIST: [LIST], VIEWERS: [VIEWERS]}
+    def from_day(cls, day: Day) -> Endpoints:
+        zones = day.terms.halls
+        return cls({f.name: zones[f.hall] for f in day.fronts}, {b.name: zones[b.hall] for b in day.boxes})
+
+    def resolve(self, name: str) -> frozenset[str]:
+        """Returns the processes that `name` selects: one process, all fronts and servers of a zone, or all
+        processes of a kind. Raises `KeyError` for an unknown name."""
+        groups = {"fronts": self.fronts, "boxes": self.servers, LIST: [LIST], VIEWERS: [VIEWERS]}
         if name in groups:
             return frozenset(groups[name])
-        every = {**self.fronts, **self.boxes}
-        found = frozenset({name} & every.keys()) or frozenset(n for n, hall in every.items() if hall == name)
+        zone_of = {**self.fronts, **self.servers}
+        found = frozenset({name} & zone_of.keys()) or frozenset(
+            p for p, zone in zone_of.items() if zone == name
+        )
         if not found:
             raise KeyError(name)
         return found
@@ -36,28 +39,32 @@
 
 @dataclass
 class Network:
-    """What stands now, by its number: the day's links first, then faults as they come and go."""
+    """The links in effect by number: those of the day from the start, those of faults while they last."""
 
-    ends: Ends
-    holding: dict[int, tuple[frozenset[str], frozenset[str], LinkSpec]] = field(default_factory=dict)
+    endpoints: Endpoints
+    active_links: dict[int, tuple[frozenset[str], frozenset[str], LinkSpec]] = field(default_factory=dict)
 
-    def hold(self, number: int, link: LinkSpec) -> None:
-        self.holding[number] = self.ends.named(link.ends[0]), self.ends.named(link.ends[1]), link
+    def add_link(self, number: int, link: LinkSpec) -> None:
+        self.active_links[number] = (
+            self.endpoints.resolve(link.ends[0]),
+            self.endpoints.resolve(link.ends[1]),
+            link,
+        )
 
-    def lift(self, number: int) -> None:
-        self.holding.pop(number, None)
+    def remove_link(self, number: int) -> None:
+        self.active_links.pop(number, None)
 
-    def between(self, link: LinkSpec, one: str, other: str) -> bool:
-        """Whether a link's ends are these two, in either order."""
-        first, second = self.ends.named(link.ends[0]), self.ends.named(link.ends[1])
-        return (one in first and other in second) or (other in first and one in second)
+    def connects(self, link: LinkSpec, process: str, peer: str) -> bool:
+        """Returns whether the two processes are at the two ends of a link, in either order."""
+        first, second = self.endpoints.resolve(link.ends[0]), self.endpoints.resolve(link.ends[1])
+        return (process in first and peer in second) or (peer in first and process in second)
 
-    def shape(self, source: str, target: str) -> Shape:
-        """Of what goes from `source` to `target`."""
+    def effective_shape(self, source: str, destination: str) -> Shape:
+        """Returns the combined shape of all links that apply to traffic from `source` to `destination`."""
         found = [
             link.shape
-            for first, second, link in self.holding.values()
-            if (source in first and target in second)
-            or (not link.one_way and target in first and source in second)
+            for first, second, link in self.active_links.values()
+            if (source in first and destination in second)
+            or (not link.one_way and destination in first and source in second)
         ]
-        return together(found) if found else CLEAN
+        return combine_shapes(found) if found else UNIMPAIRED
--- a/tests/links/test_relay.py
+++ b/tests/links/test_relay.py
@@ -1,4 +1,4 @@
-"""Relays on real sockets: as if they were not there, then cut, silent, reset, healed."""
+"""Relays on real sockets: unimpaired links, cuts, silence, resets, and recovery from each."""
 
 from __future__ import annotations
 
@@ -12,76 +12,77 @@
 import pytest
 
 from lemonhall.config.day import Shape
-from lemonhall.links.pipe import CLEAN
-from lemonhall.links.relay import PLUGS, Door, Wire
+from lemonhall.links.pipe import UNIMPAIRED
+from lemonhall.links.relay import BACKLOG_FILLERS, DatagramRelay, StreamRelay
 from lemonhall.loop import Loop, listen
 
 CUT = Shape(cut=True)
 
 
 class Site:
-    """A server and a door to it, on one loop."""
+    """A server and a relay to it, on one event loop."""
 
     def __init__(self) -> None:
         self.loop = Loop()
-        self.taken: list[socket.socket] = []
-        self.noted: list[tuple[str, dict[str, Any]]] = []
-        self.server = listen(self.loop, ("127.0.0.1", 0), lambda sock, _: self.taken.append(sock))
-        self.door = Door(self.loop, "who", "there", Random(1), self.note, True)
-        self.door.aim(self.server.getsockname())
-        self.opened: list[socket.socket] = []
+        self.accepted: list[socket.socket] = []
+        self.events: list[tuple[str, dict[str, Any]]] = []
+        self.server = listen(self.loop, ("127.0.0.1", 0), lambda sock, _: self.accepted.append(sock))
+        self.relay = StreamRelay(self.loop, "client", "server", Random(1), self.record_event, True)
+        self.relay.set_target(self.server.getsockname())
+        self.client_sockets: list[socket.socket] = []
 
-    def note(self, what: str, **fields: Any) -> None:
-        self.noted.append((what, fields))
+    def record_event(self, event: str, **fields: Any) -> None:
+        self.events.append((event, fields))
 
-    def until(self, true: Callable[[], object], within_s: float = 10.0) -> None:
-        limit = time.monotonic() + within_s
-        found: list[object] = []
+    def run_until(self, condition: Callable[[], object], timeout_s: float = 10.0) -> None:
+        deadline = time.monotonic() + timeout_s
+        result: list[object] = []
 
-        def done() -> bool:
-            found[:] = [true()]
-            self.loop.call_later(0.002, lambda: None)  # a look each 2 ms, whatever comes
-            return bool(found[0]) or time.monotonic() > limit
+        def is_done() -> bool:
+            result[:] = [condition()]
+            self.loop.call_later(0.002, lambda: None)  # checks the condition every 2 ms even without events
+            return bool(result[0]) or time.monotonic() > deadline
 
-        self.loop.run(until=done)
-        assert found[0]
+        self.loop.run(until=is_done)
+        assert result[0]
 
-    def client(self) -> socket.socket:
+    def start_client(self) -> socket.socket:
         sock = socket.socket()
         sock.setblocking(False)
-        sock.connect_ex(self.door.at)
-        self.opened.append(sock)
+        sock.connect_ex(self.relay.address)
+        self.client_sockets.append(sock)
         return sock
 
-    def pair(self) -> tuple[socket.socket, socket.socket]:
-        count = len(self.taken)
-        near = self.client()
-        self.until(lambda: len(self.taken) > count)
-        self.taken[-1].setblocking(False)
-        return near, self.taken[-1]
+    def connect(self) -> tuple[socket.socket, socket.socket]:
+        """Returns the client's socket and the one that the server accepted."""
+        count = len(self.accepted)
+        client = self.start_client()
+        self.run_until(lambda: len(self.accepted) > count)
+        self.accepted[-1].setblocking(False)
+        return client, self.accepted[-1]
 
     def close(self) -> None:
-        self.door.reset()
-        self.door.aim(None)
-        self.door.sock.close()
-        for sock in [*self.opened, *self.taken, self.server]:
+        self.relay.reset()
+        self.relay.set_target(None)
+        self.relay.sock.close()
+        for sock in [*self.client_sockets, *self.accepted, self.server]:
             sock.close()
         self.loop.close()
 
 
-def got(sock: socket.socket, into: bytearray) -> bytes | None:
-    """All that has come; None at the end, or after a reset."""
+def receive_into(sock: socket.socket, received: bytearray) -> bytes | None:
+    """Appends what has arrived and returns all of it; None after the end of the stream or a reset."""
     try:
         data = sock.recv(1 << 16)
     except BlockingIOError:
-        return bytes(into)
+        return bytes(received)
     except ConnectionResetError:
         return None
-    into += data
-    return bytes(into) if data else None
+    received += data
+    return bytes(received) if data else None
 
 
-def up(sock: socket.socket) -> bool:
+def is_connected(sock: socket.socket) -> bool:
     try:
         sock.getpeername()
     except OSError:
@@ -91,142 +92,143 @@
 
 @pytest.fixture
 def site() -> Iterator[Site]:
-    made = Site()
-    yield made
-    made.close()
-
-
-def test_a_clean_link_is_as_if_it_were_not_there(site: Site) -> None:
-    near, far = site.pair()
-    here, there = bytearray(), bytearray()
-    near.send(b"asked")
-    site.until(lambda: got(far, there) == b"asked")
-    far.send(b"answered")
-    site.until(lambda: got(near, here) == b"answered")
-    near.close()
-    site.until(lambda: got(far, there) is None)
-
-
-def test_a_cut_holds_what_was_sent_and_takes_no_connection_until_it_heals(site: Site) -> None:
-    near, far = site.pair()
-    there = bytearray()
-    site.door.reshape(CUT, CLEAN)
-    near.send(b"late")
-    near.close()
-    late = site.client()
+    created = Site()
+    yield created
+    created.close()
+
+
+def test_an_unimpaired_link_passes_data_and_the_end_of_the_connection(site: Site) -> None:
+    client, server = site.connect()
+    at_client, at_server = bytearray(), bytearray()
+    client.send(b"request")
+    site.run_until(lambda: receive_into(server, at_server) == b"request")
+    server.send(b"response")
+    site.run_until(lambda: receive_into(client, at_client) == b"response")
+    client.close()
+    site.run_until(lambda: receive_into(server, at_server) is None)
+
+
+def test_a_cut_holds_sent_data_and_accepts_no_connection_until_it_ends(site: Site) -> None:
+    client, server = site.connect()
+    at_server = bytearray()
+    site.relay.set_shapes(CUT, UNIMPAIRED)
+    client.send(b"late")
+    client.close()
+    late_client = site.start_client()
     with pytest.raises(AssertionError):
-        site.until(lambda: up(late) or got(far, there), 0.3)
-    site.door.reshape(CLEAN, CLEAN)
-    site.until(lambda: got(far, there) == b"late" or there)
-    site.until(lambda: up(late))  # the kernel asks again after a second
-    site.until(lambda: len(site.taken) == 2)
-    assert len(site.taken) == 2 and not site.door.plugs  # none of the plugs was passed on
-    assert len(site.door.plug_ports) < PLUGS
+        site.run_until(lambda: is_connected(late_client) or receive_into(server, at_server), 0.3)
+    site.relay.set_shapes(UNIMPAIRED, UNIMPAIRED)
+    site.run_until(lambda: receive_into(server, at_server) == b"late" or at_server)
+    site.run_until(lambda: is_connected(late_client))  # the kernel retransmits the SYN after a second
+    site.run_until(lambda: len(site.accepted) == 2)
+    # None of the connections that fill the listener's queue was relayed.
+    assert len(site.accepted) == 2 and not site.relay.fillers
+    assert len(site.relay.filler_ports) < BACKLOG_FILLERS
 
 
-def test_without_its_plugs_a_listener_would_take_connections_during_a_cut(
+def test_without_fillers_the_kernel_would_accept_connections_during_a_cut(
     site: Site, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Door, "plug", lambda door: None)
-    site.door.reshape(CUT, CUT)
-    late = site.client()
-    site.until(lambda: up(late))
-
-
-def test_a_silent_link_takes_connections_and_passes_nothing(site: Site) -> None:
-    site.door.reshape(Shape(silent=True), Shape(silent=True))
-    near = site.client()
-    site.until(lambda: up(near) and site.taken)
-    near.send(b"held")
-    there = bytearray()
-    site.taken[0].setblocking(False)
+    monkeypatch.setattr(StreamRelay, "update_fillers", lambda relay: None)
+    site.relay.set_shapes(CUT, CUT)
+    late_client = site.start_client()
+    site.run_until(lambda: is_connected(late_client))
+
+
+def test_a_silent_link_accepts_connections_and_passes_nothing(site: Site) -> None:
+    site.relay.set_shapes(Shape(silent=True), Shape(silent=True))
+    client = site.start_client()
+    site.run_until(lambda: is_connected(client) and site.accepted)
+    client.send(b"held")
+    at_server = bytearray()
+    site.accepted[0].setblocking(False)
     with pytest.raises(AssertionError):
-        site.until(lambda: got(site.taken[0], there), 0.2)
-    site.door.reshape(CLEAN, CLEAN)
-    site.until(lambda: got(site.taken[0], there) == b"held")
+        site.run_until(lambda: receive_into(site.accepted[0], at_server), 0.2)
+    site.relay.set_shapes(UNIMPAIRED, UNIMPAIRED)
+    site.run_until(lambda: receive_into(site.accepted[0], at_server) == b"held")
 
 
 def test_a_reset_ends_both_sides(site: Site) -> None:
-    near, far = site.pair()
-    site.door.reset()
-    site.until(lambda: got(near, bytearray()) is None)
-    site.until(lambda: got(far, bytearray()) is None)
-    assert not site.door.pairs
+    client, server = site.connect()
+    site.relay.reset()
+    site.run_until(lambda: receive_into(client, bytearray()) is None)
+    site.run_until(lambda: receive_into(server, bytearray()) is None)
+    assert not site.relay.connections
 
 
-def test_nobody_there_is_a_refusal_and_a_successor_is_found_at_the_same_address(site: Site) -> None:
-    at = site.server.getsockname()
-    site.door.aim(None)
+def test_a_relay_without_target_refuses_and_accepts_again_at_the_same_address(site: Site) -> None:
+    address = site.server.getsockname()
+    site.relay.set_target(None)
     sock = socket.socket()
-    site.opened.append(sock)
-    assert sock.connect_ex(site.door.at) != 0
-    site.door.aim(at)
-    site.pair()
+    site.client_sockets.append(sock)
+    assert sock.connect_ex(site.relay.address) != 0
+    site.relay.set_target(address)
+    site.connect()
 
 
-def test_a_slow_reader_holds_its_source_back(site: Site) -> None:
-    near, far = site.pair()
-    sent = 0
-    site.door.reshape(Shape(silent=True), CLEAN)
+def test_a_slow_reader_pauses_its_source(site: Site) -> None:
+    client, server = site.connect()
+    sent_bytes = 0
+    site.relay.set_shapes(Shape(silent=True), UNIMPAIRED)
 
-    def push() -> bool:
-        nonlocal sent
+    def send_until_paused() -> bool:
+        nonlocal sent_bytes
         with contextlib.suppress(BlockingIOError):
-            sent += near.send(b"x" * 65536)
-        return next(iter(site.door.pairs)).near.stream.reading_paused
-
-    site.until(push)
-    assert next(iter(site.door.pairs)).near.pipe.held < 1 << 20
-    site.door.reshape(CLEAN, CLEAN)
-    there = bytearray()
-    site.until(lambda: got(far, there) and len(there) == sent)
-
-
-def test_what_was_passed_on_is_noted_by_the_port_that_the_target_sees(site: Site) -> None:
-    near, far = site.pair()
-    port = far.getpeername()[1]
-    far.send(b"12345678")
-    here = bytearray()
-    site.until(lambda: got(near, here) == b"12345678")
-    site.door.reshape(Shape(delay_ms=30), CLEAN)
-    near.send(b"abc")
-    site.until(lambda: got(far, bytearray()))
-    near.close()
-    site.until(lambda: any(what == "left" for what, _ in site.noted))
-    told = {what: fields["bytes"] for what, fields in site.noted if fields["port"] == port}
-    assert told == {"through": 0, "told": 8, "came": 3, "left": 3}
-
-
-def test_datagrams_reach_a_front_from_where_it_sends_to() -> None:
+            sent_bytes += client.send(b"x" * 65536)
+        return next(iter(site.relay.connections)).client_side.stream.reading_paused
+
+    site.run_until(send_until_paused)
+    assert next(iter(site.relay.connections)).client_side.pipe.queued_bytes < 1 << 20
+    site.relay.set_shapes(UNIMPAIRED, UNIMPAIRED)
+    at_server = bytearray()
+    site.run_until(lambda: receive_into(server, at_server) and len(at_server) == sent_bytes)
+
+
+def test_events_carry_the_port_that_the_target_sees_and_the_bytes_relayed(site: Site) -> None:
+    client, server = site.connect()
+    port = server.getpeername()[1]
+    server.send(b"12345678")
+    at_client = bytearray()
+    site.run_until(lambda: receive_into(client, at_client) == b"12345678")
+    site.relay.set_shapes(Shape(delay_ms=30), UNIMPAIRED)
+    client.send(b"abc")
+    site.run_until(lambda: receive_into(server, bytearray()))
+    client.close()
+    site.run_until(lambda: any(event == "left" for event, _ in site.events))
+    byte_counts = {event: fields["bytes"] for event, fields in site.events if fields["port"] == port}
+    assert byte_counts == {"through": 0, "told": 8, "came": 3, "left": 3}
+
+
+def test_a_datagram_arrives_from_the_address_that_its_receiver_sends_to() -> None:
     loop = Loop()
-    ends = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
-    for end in ends:
-        end.bind(("127.0.0.1", 0))
-        end.setblocking(False)
-    one, other, strange = ends
-    wires = [
-        Wire(loop, "0", "1", one.getsockname(), Random(1)),
-        Wire(loop, "1", "0", other.getsockname(), Random(2)),
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+        sock.setblocking(False)
+    sender, receiver, stranger = sockets
+    relays = [
+        DatagramRelay(loop, "0", "1", sender.getsockname(), Random(1)),
+        DatagramRelay(loop, "1", "0", receiver.getsockname(), Random(2)),
     ]
-    wires[0].back, wires[1].back = wires[1], wires[0]
-    strange.sendto(b"nobody", wires[0].at)
-    one.sendto(b"hello", wires[0].at)
-    limit = time.monotonic() + 5
-    found: list[Any] = []
+    relays[0].reverse, relays[1].reverse = relays[1], relays[0]
+    stranger.sendto(b"from an unknown source", relays[0].address)
+    sender.sendto(b"hello", relays[0].address)
+    deadline = time.monotonic() + 5
+    received: list[Any] = []
 
-    def came() -> bool:
+    def has_arrived() -> bool:
         try:
-            found.append(other.recvfrom(99))
+            received.append(receiver.recvfrom(99))
         except BlockingIOError:
-            return time.monotonic() > limit
+            return time.monotonic() > deadline
         return True
 
     loop.call_later(5, loop.stop)
-    loop.run(until=came)
-    assert found == [(b"hello", wires[1].at)]
-    wires[0].reshape(CUT)
-    one.sendto(b"lost", wires[0].at)
-    loop.run(until=lambda: wires[0].pipe.lost == 1)
-    for sock in (*ends, *(w.sock for w in wires)):
+    loop.run(until=has_arrived)
+    assert received == [(b"hello", relays[1].address)]
+    relays[0].set_shape(CUT)
+    sender.sendto(b"lost", relays[0].address)
+    loop.run(until=lambda: relays[0].pipe.lost_count == 1)
+    for sock in (*sockets, *(relay.sock for relay in relays)):
         sock.close()
     loop.close()
