--- a/lemonhall/links/relay.py
+++ b/lemonhall/links/relay.py
@@ -34,11 +34,11 @@
 
     def schedule(self, due_ms: float | None) -> None:
         """Replaces the pending call by one at `due_ms`, or by none."""
-        self.cancel()
+        self.unschedule()
         if due_ms is not None:
             self.timer = self.loop.call_at(due_ms / 1000, self.callback)
 
-    def cancel(self) -> None:
+    def unschedule(self) -> None:
         if self.timer:
             self.timer.cancel()
             self.timer = None
@@ -206,7 +206,7 @@
 
     def release(self) -> None:
         for side in (self.client_side, self.target_side):
-            side.timer.cancel()
+            side.timer.unschedule()
         self.relay.connections.discard(self)
 
 
