--- a/benchmarks/capture.py
+++ b/benchmarks/capture.py
@@ -15,7 +15,7 @@
 sys.path.insert(0, str(ROOT))
 
 from benchmarks import front as bench  # noqa: E402
-from lemonhall.capture import Replay, Step, read_capture  # noqa: E402
+from lemonhall.capture import Replay, ReplayedCall, read_capture  # noqa: E402
 
 OFF = "capture on=#false"
 
@@ -48,7 +48,7 @@
     data = b"".join(p.read_bytes() for p in sorted(where.glob("*.lhc")))
     made = read_capture(data)
     began = time.perf_counter()
-    steps = [s for s in Replay().run(made.records) if isinstance(s, Step)]
+    steps = [s for s in Replay().run(made.records) if isinstance(s, ReplayedCall)]
     took = time.perf_counter() - began
     events = sum(len(s.events) for s in steps)
     actions = sum(len(s.decided) for s in steps)
@@ -66,7 +66,9 @@
     files = sorted((ROOT / "tests" / "captures").glob("*.lhc"))
     began, span = time.perf_counter(), 0.0
     for path in files:
-        steps = [s for s in Replay().run(read_capture(path.read_bytes()).records) if isinstance(s, Step)]
+        steps = [
+            s for s in Replay().run(read_capture(path.read_bytes()).records) if isinstance(s, ReplayedCall)
+        ]
         span += (steps[-1].now - steps[0].now) / 1000
     took = time.perf_counter() - began
     size = sum(p.stat().st_size for p in files)
--- a/lemonhall/capture/__init__.py
+++ b/lemonhall/capture/__init__.py
@@ -1,20 +1,20 @@
-"""What a front's module was told and what it decided, kept so that it can be asked again, and replayed."""
+"""Captures: calls of a front's decision module, recorded with its decisions for inspection and replay."""
 
-from lemonhall.capture.file import Capture, Trouble, read_capture
-from lemonhall.capture.replay import CannotReplay, Replay, Step, Told, differences
-from lemonhall.capture.ring import Ring
-from lemonhall.capture.story import story, timeline
+from lemonhall.capture.blocks import Capture, UnreadableRange, read_capture
+from lemonhall.capture.replay import OtherRecord, Replay, ReplayedCall, ReplayError, differing_sessions
+from lemonhall.capture.report import describe_session, render_timeline
+from lemonhall.capture.ring import CaptureRing
 
 __all__ = [
-    "CannotReplay",
     "Capture",
+    "CaptureRing",
+    "OtherRecord",
     "Replay",
-    "Ring",
-    "Step",
-    "Told",
-    "Trouble",
-    "differences",
+    "ReplayError",
+    "ReplayedCall",
+    "UnreadableRange",
+    "describe_session",
+    "differing_sessions",
     "read_capture",
-    "story",
-    "timeline",
+    "render_timeline",
 ]
--- a/lemonhall/capture/snapshot.py
+++ b/lemonhall/capture/snapshot.py
@@ -1,6 +1,7 @@
-"""The module as bytes and back: nothing but its own classes and plain containers can come out of them. Pure.
+"""Serializes the decision module with its state, and restores it from a snapshot. This module does no I/O.
 
-A capture may come from anywhere, and pickle would call whatever it names; so each name is looked at first.
+A capture may come from an untrusted source, and unpickling calls any function that the data names.
+Therefore only classes of the module and its interface, and the standard containers below, are accepted.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 from lemonhall import decide, interface
 
-PLAIN = {
+ALLOWED_TYPES = {
     ("collections", "deque"): deque,
     ("collections", "Counter"): Counter,
     ("collections", "OrderedDict"): OrderedDict,
@@ -149,19 +150,19 @@
 }
 
 
-class BadSnapshot(ValueError):
-    """Bytes that are no snapshot of the module, or of another version of it."""
+class SnapshotError(ValueError):
+    """Bytes that are not a snapshot of the module, or a snapshot of an incompatible version."""
 
 
 def bound(owner: Any, name: str) -> Any:
-    """One of the module's own handlers of events."""
+    """Returns an event handler of the module. Snapshots refer to this function by name."""
     if not isinstance(owner, decide.Front) or not name.startswith("on_"):
-        raise BadSnapshot(f"no handler of the module: {name}")
+        raise SnapshotError(f"no handler of the module: {name}")
     return getattr(owner, RENAMED_HANDLERS.get(name, name))
 
 
 def rename_attributes(root: Any) -> None:
-    """Gives the attributes of all objects reachable from `root` their present names."""
+    """Renames the attributes of all objects reachable from `root` from earlier to present names."""
     seen, pending = set[int](), [root]
     while pending:
         value = pending.pop()
@@ -181,17 +182,21 @@
             pending += attributes.values()
 
 
-class Writer(pickle.Pickler):
-    def reducer_override(self, obj: Any) -> Any:
-        if isinstance(obj, types.MethodType):
-            return bound, (obj.__self__, obj.__func__.__name__)
+class SnapshotPickler(pickle.Pickler):
+    """Stores a bound handler as its owner and its name."""
+
+    def reducer_override(self, value: Any) -> Any:
+        if isinstance(value, types.MethodType):
+            return bound, (value.__self__, value.__func__.__name__)
         return NotImplemented
 
 
-class Reader(pickle.Unpickler):
+class SnapshotUnpickler(pickle.Unpickler):
+    """Accepts only the names that a snapshot may hold, and translates earlier ones."""
+
     def find_class(self, module: str, name: str) -> Any:
-        if (module, name) in PLAIN:
-            return PLAIN[module, name]
+        if (module, name) in ALLOWED_TYPES:
+            return ALLOWED_TYPES[module, name]
         if (module, name) == (__name__, "bound"):
             return bound
         name = RENAMED_CLASSES.get((module, name), name)
@@ -199,25 +204,25 @@
             found = getattr(decide if module == decide.__name__ else interface, name, None)
             if isinstance(found, type) and (found.__module__ == module or issubclass(found, Enum)):
                 return found
-        raise BadSnapshot(f"{module}.{name} has no place in a snapshot")
+        raise SnapshotError(f"{module}.{name} has no place in a snapshot")
 
 
-def freeze(module: Any) -> bytes:
-    """Raises `pickle.PicklingError` or `AttributeError` for a module that cannot be written."""
+def serialize_module(module: Any) -> bytes:
+    """Raises `pickle.PicklingError` or `AttributeError` for a module that cannot be serialized."""
     out = io.BytesIO()
-    Writer(out, protocol=4).dump(module)
+    SnapshotPickler(out, protocol=4).dump(module)
     return out.getvalue()
 
 
-def thaw(data: bytes) -> Any:
-    """Raises `BadSnapshot`."""
+def restore_module(data: bytes) -> Any:
+    """Raises `SnapshotError`."""
     try:
-        made = Reader(io.BytesIO(data)).load()
-        rename_attributes(made)
-    except BadSnapshot:
+        module = SnapshotUnpickler(io.BytesIO(data)).load()
+        rename_attributes(module)
+    except SnapshotError:
         raise
-    except Exception as error:  # whatever damaged bytes make pickle raise
-        raise BadSnapshot(f"cannot be read: {error!r}") from error
-    if not isinstance(made, decide.Front):
-        raise BadSnapshot("holds no module")
-    return made
+    except Exception as error:  # damaged bytes can make pickle raise any exception
+        raise SnapshotError(f"cannot be read: {error!r}") from error
+    if not isinstance(module, decide.Front):
+        raise SnapshotError("holds no module")
+    return module
--- a/lemonhall/cli/capture.py
+++ b/lemonhall/cli/capture.py
@@ -11,17 +11,25 @@
 import click
 
 from lemonhall import decide
-from lemonhall.capture import CannotReplay, Capture, Replay, Step, Told, differences, read_capture
-from lemonhall.capture.ring import rewritten
-from lemonhall.capture.story import (
-    Front,
-    action_words,
-    event_words,
-    ident_of,
+from lemonhall.capture import (
+    Capture,
+    OtherRecord,
+    Replay,
+    ReplayedCall,
+    ReplayError,
+    differing_sessions,
+    read_capture,
+)
+from lemonhall.capture.report import (
+    FrontCapture,
+    describe_action,
+    describe_event,
+    describe_session,
     printed_name,
-    story,
-    timelines,
+    render_timelines,
+    session_id_of,
 )
+from lemonhall.capture.ring import rewrite_capture
 from lemonhall.config.settings import read_settings
 from lemonhall.front.persistence.capture_writer import write_atomically
 from lemonhall.front.process.daemon import load_module
@@ -36,19 +44,19 @@
     except OSError as error:
         raise BadInput(str(path), error.strerror or "cannot be read") from error
     made = read_capture(data)
-    for trouble in made.troubles:
-        click.echo(f"{path}: byte {trouble.at}: {trouble.why}", err=True)
+    for trouble in made.unreadable:
+        click.echo(f"{path}: byte {trouble.offset}: {trouble.reason}", err=True)
     if not made.records:
         raise BadInput(str(path), "holds nothing of a capture that can be read")
     return made
 
 
-def run(path: Path, replay: Replay, made: Capture) -> list[Step | Told]:
-    steps: list[Step | Told] = []
+def run(path: Path, replay: Replay, made: Capture) -> list[ReplayedCall | OtherRecord]:
+    steps: list[ReplayedCall | OtherRecord] = []
     try:
         for step in replay.run(made.records):
             steps.append(step)
-    except CannotReplay as error:
+    except ReplayError as error:
         if not steps:
             raise BadInput(str(path), str(error)) from error
         click.echo(f"{path}: {error}", err=True)
@@ -84,7 +92,7 @@
     kinds = [r.WhichOneof("what") for r in made.records]
     count = {kind: kinds.count(kind) for kind in ("header", "call", "gap", "snapshot", "word")}
     sessions = {s for b in made.blocks for s in b.sessions}
-    seconds = (made.blocks[-1].last - made.blocks[0].first) / 1000 if made.blocks else 0.0
+    seconds = (made.blocks[-1].last_ms - made.blocks[0].first_ms) / 1000 if made.blocks else 0.0
     head = next((r.header for r in made.records if r.WhichOneof("what") == "header"), None)
     if head:
         click.echo(
@@ -100,19 +108,23 @@
             click.echo(f"recorded anew: {record.word.text}")
     if calls:
         for step in run(file, Replay(), made):
-            if isinstance(step, Step):
+            if isinstance(step, ReplayedCall):
                 click.echo(f"call {step.number} at {step.now:.3f}")
                 for event in step.events:
-                    click.echo(f"  {ident_of(event) or ''} {event_words(event) or printed_name(event)}")
+                    click.echo(
+                        f"  {session_id_of(event) or ''} {describe_event(event) or printed_name(event)}"
+                    )
                 for action in step.recorded:
-                    click.echo(f"  > {ident_of(action) or ''} {action_words(action) or printed_name(action)}")
+                    click.echo(
+                        f"  > {session_id_of(action) or ''} {describe_action(action) or printed_name(action)}"
+                    )
     if as_json:
         click.echo(
             json.dumps(
-                {**count, "sessions": len(sessions), "seconds": seconds, "troubles": len(made.troubles)}
+                {**count, "sessions": len(sessions), "seconds": seconds, "troubles": len(made.unreadable)}
             )
         )
-    sys.exit(1 if made.troubles or count["gap"] else 0)
+    sys.exit(1 if made.unreadable or count["gap"] else 0)
 
 
 @capture.command()
@@ -123,9 +135,9 @@
     """Decide FILE's calls anew and keep these decisions in it, with the reason."""
     made = opened(file)
     make = load_module(module) if module else decide.Front
-    steps = [s for s in run(file, Replay(make), made) if isinstance(s, Step)]
+    steps = [s for s in run(file, Replay(make), made) if isinstance(s, ReplayedCall)]
     changed = sum(not s.same for s in steps)
-    write_atomically(file, rewritten(made.records, [(s.number, s.decided) for s in steps], reason))
+    write_atomically(file, rewrite_capture(made.records, [(s.number, s.decided) for s in steps], reason))
     click.echo(f"{file}: {changed} of {len(steps)} calls decided otherwise")
 
 
@@ -140,9 +152,9 @@
         steps = run(file, replay, opened(file))
         assert replay.header
         offset = replay.header.wall_ms - replay.header.at_ms
-        fronts.append(Front(f"{replay.header.front}, {file.name}", steps, offset))
+        fronts.append(FrontCapture(f"{replay.header.front}, {file.name}", steps, offset))
     write_atomically(
-        out, timelines(fronts, "Captures" if len(files) > 1 else f"Capture {files[0].name}").encode()
+        out, render_timelines(fronts, "Captures" if len(files) > 1 else f"Capture {files[0].name}").encode()
     )
 
 
@@ -157,9 +169,9 @@
     """
     make = load_module(module) if module else decide.Front
     other = read_settings(settings).to_module() if settings else None
-    steps = [s for s in run(file, Replay(make, other), opened(file)) if isinstance(s, Step)]
+    steps = [s for s in run(file, Replay(make, other), opened(file)) if isinstance(s, ReplayedCall)]
     if module or settings:
-        found = differences(steps)
+        found = differing_sessions(steps)
         for ident, words in found:
             click.echo(f"session {ident}: {words}")
         click.echo(f"{len(found)} sessions differ in {len(steps)} calls")
@@ -193,9 +205,9 @@
         number = next((w.session for w in words if w.who == "viewer" and session in w.text.split()), 0)
     lines: list[str] = []
     if number:
-        steps = run(file, Replay(why=True), made)
-        first = next((s.now for s in steps if isinstance(s, Step)), 0.0)
-        lines = story(steps, number, first)
+        steps = run(file, Replay(with_reasons=True), made)
+        first = next((s.now for s in steps if isinstance(s, ReplayedCall)), 0.0)
+        lines = describe_session(steps, number, first)
     if not lines:
         raise BadInput(str(file), f"does not speak of session {session}")
     for line in lines:
--- a/lemonhall/front/decider/set_up_requests.py
+++ b/lemonhall/front/decider/set_up_requests.py
@@ -18,7 +18,7 @@
 import structlog
 
 from lemonhall import interface
-from lemonhall.capture.story import advice_words
+from lemonhall.capture.report import describe_advice
 from lemonhall.config.settings import FrontSettings
 from lemonhall.front.decider.bridge import Bridge
 from lemonhall.front.decider.claim_resolver import ClaimResolver
@@ -261,7 +261,7 @@
         ruling = self.hooks.run("arrival", request, message.moved)
         request.advice, request.reason, request.cls = ruling.advice, ruling.reason, ruling.cls
         if capture and (ruling.advice != interface.NO_ADVICE or ruling.cls != message.cls):
-            words = advice_words(ruling.advice)
+            words = describe_advice(ruling.advice)
             if ruling.cls != message.cls:
                 words += f", counts as {self.settings.terms.class_names[ruling.cls]}"
             capture.add_note(self.bridge.now_ms(), "hook", f"arrival: {words}", request.request_id)
--- a/lemonhall/front/persistence/capture_writer.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -19,11 +19,11 @@
 import structlog
 
 from lemonhall import decide, interface
+from lemonhall.capture.blocks import Block
 from lemonhall.capture.capture_pb2 import Header
-from lemonhall.capture.file import Block
-from lemonhall.capture.ring import Ring, Told
-from lemonhall.capture.shapes import pack
-from lemonhall.capture.snapshot import freeze
+from lemonhall.capture.codec import pack
+from lemonhall.capture.ring import CaptureRing, RecordedCall
+from lemonhall.capture.snapshot import serialize_module
 from lemonhall.config.settings import CaptureSettings, FrontSettings
 from lemonhall.problem import BadInput
 
@@ -116,7 +116,7 @@
         except OSError as error:
             raise BadInput(settings.folder, f"cannot create the capture folder: {error.strerror}") from error
         hash_viewer = viewer_hasher(settings.key)
-        self.ring = Ring(header, settings.keep_ms, settings.memory, hash_viewer, self.on_block)
+        self.ring = CaptureRing(header, settings.keep_ms, settings.memory, hash_viewer, self.on_block)
         self.lock = threading.Lock()
         self.stopping = threading.Event()
         self.dropped: list[float] = []  # number of calls dropped, and the times of the first and the last
@@ -141,7 +141,7 @@
             if not self.can_snapshot:
                 return
             try:
-                snapshot = freeze(module)
+                snapshot = serialize_module(module)
             except Exception as error:  # the state of an operator's own module may not be serializable
                 self.can_snapshot = False
                 log.warning("cannot serialize the module; capturing without snapshots", reason=str(error))
@@ -166,7 +166,7 @@
             step = (wall - self.last_clocks[0]) - (now - self.last_clocks[1])
             self.add_note(now, "clock", f"stepped by {step / 1000:.1f} s")
         self.last_clocks = (wall, now)
-        self.queue.append(("call", Told(number, now, wall, events, actions)))
+        self.queue.append(("call", RecordedCall(number, now, wall, events, actions)))
 
     def add_note(self, now: float, who: str, text: str, session: int = 0) -> None:
         if len(self.queue) < QUEUE_MAX_RECORDS:
@@ -176,7 +176,7 @@
         """Returns the ring as the bytes of a capture file, including the latest call."""
         self.drain()
         with self.lock:
-            return self.ring.saved()
+            return self.ring.to_bytes()
 
     def close(self) -> None:
         self.stopping.set()
@@ -198,13 +198,13 @@
             for _ in range(len(self.queue)):
                 kind, record = self.queue.popleft()
                 if kind == "call":
-                    self.ring.call(record)
+                    self.ring.add_call(record)
                 elif kind == "begin":
-                    self.ring.begin(*record)
+                    self.ring.begin_segment(*record)
                 elif kind == "gap":
-                    self.ring.gap(*record)
+                    self.ring.add_gap(*record)
                 else:
-                    self.ring.word(*record)
+                    self.ring.add_note(*record)
 
     def on_block(self, block: Block, starts_segment: bool) -> None:
         if self.folder is None:
@@ -220,7 +220,7 @@
                     failures=self.failures,
                 )
             reason = f"the disk did not take it: {error.strerror or error}"
-            self.ring.gap(block.calls, block.first, block.last, reason)
+            self.ring.add_gap(block.calls, block.first_ms, block.last_ms, reason)
 
 
 def write_atomically(path: Path, data: bytes) -> None:
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -1,4 +1,4 @@
-"""Captures: exact, read after any damage, replayed to the same decisions in any process."""
+"""Captures: encoding, reading of damaged files, and replay to the same decisions in any process."""
 
 from __future__ import annotations
 
@@ -14,148 +14,163 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lemonhall import decide
-from lemonhall import interface as i
-from lemonhall.capture import CannotReplay, Replay, Ring, Step, differences, read_capture, story, timeline
+from lemonhall import decide, interface
+from lemonhall.capture import (
+    CaptureRing,
+    Replay,
+    ReplayedCall,
+    ReplayError,
+    describe_session,
+    differing_sessions,
+    read_capture,
+    render_timeline,
+)
 from lemonhall.capture.capture_pb2 import Header
-from lemonhall.capture.ring import Told
-from lemonhall.capture.shapes import CLASSES, BadShape, pack, shape_of, unpack
+from lemonhall.capture.codec import NUMBER_BY_CLASS, CodecError, field_codecs, pack, unpack
+from lemonhall.capture.report import FrontCapture, render_timelines
+from lemonhall.capture.ring import RecordedCall
 from lemonhall.capture.snapshot import (
     RENAMED_ATTRIBUTES,
     RENAMED_CLASSES,
     RENAMED_HANDLERS,
-    BadSnapshot,
-    freeze,
-    thaw,
+    SnapshotError,
+    restore_module,
+    serialize_module,
 )
-from lemonhall.capture.story import Front, timelines
 from tests.conftest import make_servers, make_settings
 from tests.test_front import World
 
 INTS = st.integers(-(1 << 63), (1 << 63) - 1)
 FLOATS = st.floats(allow_nan=False)
 SHARED = {"settings": make_settings()}
-PLAIN = [c for c in CLASSES if c is not i.Settings]
-for cls in (i.SessionClass, i.Tenant):
-    PLAIN.remove(cls)
+GENERATED_CLASSES = [c for c in NUMBER_BY_CLASS if c is not interface.Settings]
+for cls in (interface.SessionClass, interface.Tenant):
+    GENERATED_CLASSES.remove(cls)
 st.register_type_strategy(int, INTS)
 st.register_type_strategy(float, FLOATS)
 
 
-def unsigned(value: Any) -> Any:
-    """Titles and viewers are of 64 bits without a sign."""
-    names = [f for f in ("title", "viewer") if hasattr(value, f)]
-    made = replace(value, **{n: abs(getattr(value, n)) for n in names}) if names else value
-    return replace(made, session=unsigned(made.session)) if isinstance(made, i.HandedOver) else made
+def with_unsigned_ids(value: Any) -> Any:
+    """Makes titles and viewer ids, which are unsigned 64-bit integers, non-negative."""
+    names = [name for name in ("title", "viewer") if hasattr(value, name)]
+    changed = replace(value, **{name: abs(getattr(value, name)) for name in names}) if names else value
+    return (
+        replace(changed, session=with_unsigned_ids(changed.session))
+        if isinstance(changed, interface.HandedOver)
+        else changed
+    )
 
 
 @settings(max_examples=200, deadline=None)
-@given(st.lists(st.one_of([st.from_type(c) for c in PLAIN]).map(unsigned), max_size=6))
-def test_whatever_is_written_is_read_as_it_was(values: list[Any]) -> None:
+@given(st.lists(st.one_of([st.from_type(c) for c in GENERATED_CLASSES]).map(with_unsigned_ids), max_size=6))
+def test_decoded_objects_equal_the_encoded_ones(values: list[Any]) -> None:
     assert unpack(pack(values)) == values
 
 
-def test_settings_and_all_64_bits_and_every_real_number() -> None:
-    told = i.NewSession(1, 0, (1 << 64) - 1, (1 << 64) - 2, 5.0, 2, 0, 4)
-    odd = i.Note(1, 0, 3, 1, math.inf)
-    assert unpack(pack([SHARED["settings"], told, odd])) == [SHARED["settings"], told, odd]
-    assert math.isnan(unpack(pack([replace(odd, value=math.nan)]))[0].value)
+def test_settings_unsigned_ids_infinity_and_nan_are_preserved() -> None:
+    new_session = interface.NewSession(1, 0, (1 << 64) - 1, (1 << 64) - 2, 5.0, 2, 0, 4)
+    note = interface.Note(1, 0, 3, 1, math.inf)
+    assert unpack(pack([SHARED["settings"], new_session, note])) == [SHARED["settings"], new_session, note]
+    assert math.isnan(unpack(pack([replace(note, value=math.nan)]))[0].value)
 
 
-def test_every_event_and_action_of_the_interface_has_a_shape() -> None:
+def test_every_event_and_action_of_the_interface_has_an_encoding() -> None:
     from typing import get_args
 
-    for cls in (*get_args(i.Event), *get_args(i.Action), i.Settings):
-        assert cls in CLASSES and shape_of(cls) is not None
+    for cls in (*get_args(interface.Event), *get_args(interface.Action), interface.Settings):
+        assert cls in NUMBER_BY_CLASS and field_codecs(cls) is not None
 
 
 @settings(max_examples=100, deadline=None)
 @given(st.binary(max_size=60))
-def test_strange_bytes_are_refused_and_nothing_else_happens(data: bytes) -> None:
+def test_random_bytes_raise_no_other_error(data: bytes) -> None:
     try:
         unpack(data)
-    except BadShape:
+    except CodecError:
         return
 
 
-def header(module_settings: i.Settings, seed: int = 5) -> Header:
+def header(module_settings: interface.Settings, seed: int = 5) -> Header:
     return Header(format=1, program="test", front="f", settings=pack([module_settings]), seed=seed)
 
 
-class Recorded:
-    """The random legal days of the module's own tests, with a ring round the module."""
+class RecordedRun:
+    """A random run of the module's own tests (`tests/test_front.py`), recorded by a ring.
+
+    `snapshots` is the number of calls between snapshots, 0 for none.
+    """
 
     def __init__(self, seed: int, steps: int, snapshots: int = 0, keep: float = 1e12) -> None:
         world = self.world = World(seed, make_settings(report_fields=("x0", "x1")))
         front = world.front
-        self.ring = Ring(header(front.settings, seed), keep, 1 << 30)
+        self.ring = CaptureRing(header(front.settings, seed), keep, 1 << 30)
         self.count = 0
-        honest = front.handle
+        original_handle = front.handle
 
-        def handle(now: float, events: list[i.Event]) -> list[i.Action]:
+        def handle(now: float, events: list[interface.Event]) -> list[interface.Action]:
             if self.count == 0:
-                self.ring.begin(0, b"", now, now)
+                self.ring.begin_segment(0, b"", now, now)
             elif snapshots and self.count % snapshots == 0:
-                del front.handle  # as it is without this test's own wrapping
-                self.ring.begin(self.count, freeze(front), now, now)
+                del front.handle  # the snapshot must not hold this wrapper
+                self.ring.begin_segment(self.count, serialize_module(front), now, now)
                 front.handle = handle  # type: ignore[method-assign]
-            actions = honest(now, events)
-            self.ring.call(Told(self.count, now, now, list(events), list(actions)))
+            actions = original_handle(now, events)
+            self.ring.add_call(RecordedCall(self.count, now, now, list(events), list(actions)))
             self.count += 1
             return actions
 
         front.handle = handle  # type: ignore[method-assign]
         world.run(steps)
-        self.data = self.ring.saved()
+        self.data = self.ring.to_bytes()
 
 
-def replayed(data: bytes, **how: Any) -> list[Step]:
-    return [s for s in Replay(**how).run(read_capture(data).records) if isinstance(s, Step)]
+def replay_calls(data: bytes, **options: Any) -> list[ReplayedCall]:
+    return [s for s in Replay(**options).run(read_capture(data).records) if isinstance(s, ReplayedCall)]
 
 
 @pytest.fixture(scope="module")
-def day() -> Recorded:
-    return Recorded(3, 800)
+def recorded_run() -> RecordedRun:
+    return RecordedRun(3, 800)
 
 
-def test_a_day_is_replayed_to_the_same_decisions(day: Recorded) -> None:
-    steps = replayed(day.data)
-    assert len(steps) == day.count and all(s.same for s in steps)
+def test_replay_repeats_the_decisions(recorded_run: RecordedRun) -> None:
+    steps = replay_calls(recorded_run.data)
+    assert len(steps) == recorded_run.count and all(s.same for s in steps)
     assert sum(len(s.decided) for s in steps) > 500
 
 
-def test_a_changed_decision_is_seen_at_its_call(day: Recorded) -> None:
-    class Other(decide.Front):
+def test_changed_decision_is_reported_at_its_call(recorded_run: RecordedRun) -> None:
+    class ReversedPicks(decide.Front):
         def pick_servers(self, session: decide.Session) -> list[decide.MediaServer]:
             return super().pick_servers(session)[::-1]
 
-    steps = replayed(day.data, make=Other)
-    wrong = [s for s in steps if not s.same]
-    assert wrong and any(isinstance(a, i.SetUp) for a in wrong[0].recorded)
+    steps = replay_calls(recorded_run.data, create_module=ReversedPicks)
+    differing = [s for s in steps if not s.same]
+    assert differing and any(isinstance(a, interface.SetUp) for a in differing[0].recorded)
 
 
-def test_reasons_are_given_and_change_nothing(day: Recorded) -> None:
-    steps = replayed(day.data, why=True)
+def test_reasons_are_collected_without_changing_decisions(recorded_run: RecordedRun) -> None:
+    steps = replay_calls(recorded_run.data, with_reasons=True)
     assert all(s.same for s in steps)
-    given_up = {r.code for s in steps for r in s.reasons}
+    codes = {r.code for s in steps for r in s.reasons}
     assert {
-        i.ReasonCode.CANDIDATE,
-        i.ReasonCode.POOL,
-        i.ReasonCode.GIVEN_UP,
-        i.ReasonCode.NO_SEAT,
-    } <= given_up
+        interface.ReasonCode.CANDIDATE,
+        interface.ReasonCode.POOL,
+        interface.ReasonCode.GIVEN_UP,
+        interface.ReasonCode.NO_SEAT,
+    } <= codes
 
 
-def test_from_the_middle_by_a_snapshot_and_when_the_start_is_gone() -> None:
-    recorded = Recorded(4, 600, snapshots=150, keep=20_000.0)
-    steps = replayed(recorded.data)
+def test_replay_starts_at_a_snapshot_when_the_start_was_dropped() -> None:
+    recorded = RecordedRun(4, 600, snapshots=150, keep=20_000.0)
+    steps = replay_calls(recorded.data)
     assert 0 < len(steps) < recorded.count and steps[0].number > 0
     assert steps[-1].number == recorded.count - 1
     assert all(s.same for s in steps)
 
 
 def attribute_names(front: decide.Front) -> dict[type, set[str]]:
-    """Names of the attributes of every object of the module and the interface that is reachable."""
+    """Returns the attribute names of all reachable objects of the module and the interface, by class."""
     found: dict[type, set[str]] = {}
     seen, pending = set[int](), list[Any]([front])
     while pending:
@@ -175,8 +190,8 @@
     return found
 
 
-def test_a_capture_written_before_names_were_changed_is_replayed(day: Recorded) -> None:
-    """A snapshot is a pickle that holds names; it must stay readable when the code's names change.
+def test_capture_written_before_names_were_changed_is_replayed(recorded_run: RecordedRun) -> None:
+    """A snapshot is a pickle that holds names of the code and must stay readable when these are changed.
 
     The capture was written by the version before the first change of names: a header, a snapshot of a front
     with sessions, retries, quotas and an ejected server, and the calls that followed.
@@ -184,14 +199,16 @@
     records = read_capture((Path(__file__).parent / "before_renames.lhc").read_bytes()).records
     (snapshot,) = [r.snapshot for r in records if r.WhichOneof("what") == "snapshot"]
     assert b"Advised" in snapshot.module and b"may_tell_peers" in snapshot.module
-    steps = [s for s in Replay().run(records) if isinstance(s, Step)]
+    steps = [s for s in Replay().run(records) if isinstance(s, ReplayedCall)]
     assert len(steps) > 30 and steps[0].number == snapshot.number and all(s.same for s in steps)
     assert sum(len(s.decided) for s in steps) > 30
-    again = freeze(thaw(snapshot.module))
-    assert b"Advised" not in again and b"may_tell_peers" not in again
+    rewritten = serialize_module(restore_module(snapshot.module))
+    assert b"Advised" not in rewritten and b"may_tell_peers" not in rewritten
     replay = Replay()
-    assert all(s.same for s in replay.run(read_capture(day.data).records) if isinstance(s, Step))
-    present, loaded = attribute_names(replay.module), attribute_names(thaw(snapshot.module))
+    assert all(
+        s.same for s in replay.run(read_capture(recorded_run.data).records) if isinstance(s, ReplayedCall)
+    )
+    present, loaded = attribute_names(replay.module), attribute_names(restore_module(snapshot.module))
     for cls, renamed in RENAMED_ATTRIBUTES.items():
         assert not present.get(cls, set()) & set(renamed), "an earlier name has a new meaning"
     for cls in loaded:
@@ -202,12 +219,12 @@
         decide.Link,
         decide.DemandCurve,
         decide.Session,
-        i.Settings,
+        interface.Settings,
     } <= set(loaded)
 
 
 def test_no_earlier_name_of_a_snapshot_has_a_new_meaning() -> None:
-    front = thaw(freeze(decide.Front(make_settings(), 1)))
+    front = restore_module(serialize_module(decide.Front(make_settings(), 1)))
     for (module, earlier), present in RENAMED_CLASSES.items():
         assert not hasattr(sys.modules[module], earlier) and hasattr(sys.modules[module], present)
     for earlier, present in RENAMED_HANDLERS.items():
@@ -218,121 +235,134 @@
             assert {f.name for f in fields(cls)} >= set(renamed.values())
 
 
-def test_a_snapshot_of_anything_else_is_refused() -> None:
+def test_snapshot_of_anything_else_is_refused() -> None:
     import os
     import pickle
 
-    class Bad:
+    class CallsFunction:
         def __reduce__(self) -> Any:
             return os.getcwd, ()
 
-    cut = freeze(decide.Front(make_settings(), 1))[:-9]
-    for data in (pickle.dumps(Bad()), pickle.dumps([1]), b"junk", cut):
-        with pytest.raises(BadSnapshot):
-            thaw(data)
+    truncated = serialize_module(decide.Front(make_settings(), 1))[:-9]
+    for data in (pickle.dumps(CallsFunction()), pickle.dumps([1]), b"junk", truncated):
+        with pytest.raises(SnapshotError):
+            restore_module(data)
 
 
-def test_a_capture_cut_anywhere_is_read_as_far_as_it_goes(day: Recorded) -> None:
-    whole = len(read_capture(day.data).records)
-    size = len(day.data)
+def test_truncated_capture_is_read_up_to_the_last_intact_block(recorded_run: RecordedRun) -> None:
+    whole = len(read_capture(recorded_run.data).records)
+    size = len(recorded_run.data)
     for cut in range(1, size, max(1, size // 60)):
-        made = read_capture(day.data[:cut])
-        assert len(made.records) < whole
-        assert made.troubles or not made.blocks or sum(len(b.data) for b in made.blocks) == cut
+        capture = read_capture(recorded_run.data[:cut])
+        assert len(capture.records) < whole
+        assert capture.unreadable or not capture.blocks or sum(len(b.data) for b in capture.blocks) == cut
 
 
-def test_a_flipped_bit_costs_its_block_and_is_named(day: Recorded) -> None:
-    whole = read_capture(day.data)
-    assert len(whole.blocks) > 5 and not whole.troubles
-    for at in range(40, len(day.data), len(day.data) // 50):
-        data = bytearray(day.data)
+def test_flipped_bit_loses_one_block_and_is_reported(recorded_run: RecordedRun) -> None:
+    whole = read_capture(recorded_run.data)
+    assert len(whole.blocks) > 5 and not whole.unreadable
+    for at in range(40, len(recorded_run.data), len(recorded_run.data) // 50):
+        data = bytearray(recorded_run.data)
         data[at] ^= 0x10
-        made = read_capture(bytes(data))
-        assert made.troubles and len(made.blocks) == len(whole.blocks) - 1
-    data = bytearray(day.data)
+        capture = read_capture(bytes(data))
+        assert capture.unreadable and len(capture.blocks) == len(whole.blocks) - 1
+    data = bytearray(recorded_run.data)
     data[len(whole.blocks[0].data) + len(whole.blocks[1].data) + 60] ^= 1
-    with pytest.raises(CannotReplay, match="are missing"):
-        replayed(bytes(data))
+    with pytest.raises(ReplayError, match="are missing"):
+        replay_calls(bytes(data))
 
 
-def test_a_newer_version_is_named(day: Recorded) -> None:
-    data = bytearray(day.data)
+def test_newer_version_is_reported(recorded_run: RecordedRun) -> None:
+    data = bytearray(recorded_run.data)
     data[4] = 9
-    assert "version 9; known is up to 1" in read_capture(bytes(data)).troubles[0].why
+    assert "version 9; known is up to 1" in read_capture(bytes(data)).unreadable[0].reason
 
 
-def test_a_gap_is_told_and_replay_goes_on_from_the_next_snapshot() -> None:
-    recorded = Recorded(5, 300)
+def test_replay_continues_after_a_gap_at_the_next_snapshot() -> None:
+    recorded = RecordedRun(5, 300)
     ring = recorded.ring
     front = recorded.world.front
     del front.handle
-    ring.gap(7, 1.0, 2.0, "too much waited")
-    ring.begin(recorded.count + 7, freeze(front), front.now, 0.0)
-    actions = front.handle(front.now + 500.0, [i.TimerDue(0)])
-    ring.call(Told(recorded.count + 7, front.now, 0.0, [i.TimerDue(0)], actions))
-    made = list(Replay().run(read_capture(ring.saved()).records))
-    steps = [s for s in made if isinstance(s, Step)]
+    ring.add_gap(7, 1.0, 2.0, "too much waited")
+    ring.begin_segment(recorded.count + 7, serialize_module(front), front.now, 0.0)
+    actions = front.handle(front.now + 500.0, [interface.TimerDue(0)])
+    ring.add_call(RecordedCall(recorded.count + 7, front.now, 0.0, [interface.TimerDue(0)], actions))
+    entries = list(Replay().run(read_capture(ring.to_bytes()).records))
+    steps = [s for s in entries if isinstance(s, ReplayedCall)]
     assert len(steps) == recorded.count + 1 and all(s.same for s in steps)
-    assert any(not isinstance(s, Step) and s.record.gap.calls == 7 for s in made)
+    assert any(not isinstance(s, ReplayedCall) and s.record.gap.calls == 7 for s in entries)
 
 
-def test_other_settings_are_told_by_session(day: Recorded) -> None:
-    harsh = replace(day.world.settings, max_attempts=1)
-    steps = replayed(day.data, settings=harsh)
-    found = differences(steps)
-    assert found and all("then" in words and "now" in words for _, words in found)
+def test_differences_under_other_settings_are_listed_by_session(recorded_run: RecordedRun) -> None:
+    one_attempt = replace(recorded_run.world.settings, max_attempts=1)
+    steps = replay_calls(recorded_run.data, settings=one_attempt)
+    found = differing_sessions(steps)
+    assert found and all("then" in text and "now" in text for _, text in found)
 
 
-def test_a_session_has_its_story_and_the_day_its_picture(day: Recorded) -> None:
-    steps = list(Replay(why=True).run(read_capture(day.data).records))
-    played = next(e.id for s in steps if isinstance(s, Step) for e in s.events if isinstance(e, i.Playing))
-    lines = story(steps, played, 0.0)
+def test_session_is_described_and_the_run_drawn(recorded_run: RecordedRun) -> None:
+    steps = list(Replay(with_reasons=True).run(read_capture(recorded_run.data).records))
+    played = next(
+        e.id
+        for s in steps
+        if isinstance(s, ReplayedCall)
+        for e in s.events
+        if isinstance(e, interface.Playing)
+    )
+    lines = describe_session(steps, played, 0.0)
     text = "\n".join(lines)
     assert "asked for" in text and "because server" in text and "> set up at server" in text
     assert "plays at server" in text
-    page = timeline(steps, "a <day>")
+    page = render_timeline(steps, "a <day>")
     assert "a &lt;day&gt;" in page and page.count("<rect") > 20 and "http" not in page
 
 
-def test_captures_of_fronts_whose_clocks_differ_lie_on_one_line_of_time(day: Recorded) -> None:
-    """Ten fronts with the same day, each with a clock of its own that its header tells."""
-    steps = list(Replay().run(read_capture(day.data).records))
-    fronts = [Front(f"front {n}", steps, offset=1e12 + 50.0 * n) for n in range(10)]
-    page = timelines(fronts, "incident")
+def test_fronts_whose_clocks_differ_share_one_time_axis(recorded_run: RecordedRun) -> None:
+    """Ten fronts with the same run; the clock offset of each is 50 ms more than that of the one before."""
+    steps = list(Replay().run(read_capture(recorded_run.data).records))
+    fronts = [FrontCapture(f"front {n}", steps, clock_offset_ms=1e12 + 50.0 * n) for n in range(10)]
+    page = render_timelines(fronts, "incident")
     assert page.count("<svg") == 10 and "front 9" in page
     lefts = [float(p.split('x="')[1].split('"')[0]) for p in page.split("<rect")[1:]]
     each = len(lefts) // 10
-    assert all(lefts[n * each] < lefts[(n + 1) * each] for n in range(9))  # each a little later
+    assert all(lefts[n * each] < lefts[(n + 1) * each] for n in range(9))
 
 
-def test_viewers_are_hidden_and_replay_is_the_same() -> None:
-    told = i.NewSession(1, 0, 4711, 7, 4000.0, 2, 0, 12)
+def test_capture_with_hashed_viewers_replays_to_the_same_decisions() -> None:
+    new_session = interface.NewSession(1, 0, 4711, 7, 4000.0, 2, 0, 12)
     front = decide.Front(make_settings(), 1)
-    ring = Ring(header(make_settings(), 1), 1e12, 1 << 30, hide=lambda viewer: viewer ^ 0xABCDEF)
-    ring.begin(0, b"", 10.0, 0.0)
-    events: list[i.Event] = [i.ServerList(i.ListKind.FULL, 1, make_servers(3)), told]
-    ring.call(Told(0, 10.0, 0.0, events, front.handle(10.0, events)))
-    steps = replayed(ring.saved())
+    ring = CaptureRing(
+        header(make_settings(), 1), 1e12, 1 << 30, hash_viewer=lambda viewer: viewer ^ 0xABCDEF
+    )
+    ring.begin_segment(0, b"", 10.0, 0.0)
+    events: list[interface.Event] = [
+        interface.ServerList(interface.ListKind.FULL, 1, make_servers(3)),
+        new_session,
+    ]
+    ring.add_call(RecordedCall(0, 10.0, 0.0, events, front.handle(10.0, events)))
+    steps = replay_calls(ring.to_bytes())
     assert steps[0].same and steps[0].events[1].viewer == 4711 ^ 0xABCDEF
 
 
-REPLAY = """
+REPLAY_SCRIPT = """
 import sys
-from lemonhall.capture import Replay, Step, read_capture
+from lemonhall.capture import Replay, ReplayedCall, read_capture
 steps = list(Replay().run(read_capture(open(sys.argv[1], "rb").read()).records))
-print(len(steps), all(s.same for s in steps if isinstance(s, Step)))
+print(len(steps), all(s.same for s in steps if isinstance(s, ReplayedCall)))
 """
 
 
 @pytest.mark.parametrize("seed,locale", [("0", "C"), ("77", "C.UTF-8"), ("random", "POSIX")])
-def test_other_processes_decide_the_same(day: Recorded, tmp_path: Path, seed: str, locale: str) -> None:
-    path = tmp_path / "day.lhc"
-    path.write_bytes(day.data)
+def test_other_processes_make_the_same_decisions(
+    recorded_run: RecordedRun, tmp_path: Path, seed: str, locale: str
+) -> None:
+    path = tmp_path / "run.lhc"
+    path.write_bytes(recorded_run.data)
     done = subprocess.run(
-        [sys.executable, "-c", REPLAY, str(path)],
+        [sys.executable, "-c", REPLAY_SCRIPT, str(path)],
         capture_output=True,
         text=True,
         env={"PYTHONHASHSEED": seed, "LC_ALL": locale, "PATH": ""},
         stdin=subprocess.DEVNULL,
     )
-    assert done.stdout.split() == [str(day.count), "True"], done.stderr
+    assert done.stdout.split() == [str(recorded_run.count), "True"], done.stderr
--- a/tests/captures/make.py
+++ b/tests/captures/make.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from lemonhall import decide, interface
-from lemonhall.capture import Replay, Ring, Step, read_capture
+from lemonhall.capture import CaptureRing, Replay, ReplayedCall, read_capture
 from lemonhall.capture.capture_pb2 import Header
-from lemonhall.capture.replay import settings_of
-from lemonhall.capture.ring import Told
-from lemonhall.capture.shapes import pack
+from lemonhall.capture.codec import pack
+from lemonhall.capture.replay import decode_settings
+from lemonhall.capture.ring import RecordedCall
 from lemonhall.config.day import read_day
 from lemonhall.model.played.world import World
 from tests.captures.guards import GUARDS
@@ -30,12 +30,12 @@
     """The decision module with a ring that records its calls. `mark`: the name of the day in the header."""
 
     def __init__(
-        self, settings: interface.Settings, seed: int, rings: dict[int, list[Ring]], mark: str
+        self, settings: interface.Settings, seed: int, rings: dict[int, list[CaptureRing]], mark: str
     ) -> None:
         self.module = decide.Front(settings, seed)
         header = Header(format=1, program="model", front=f"{mark}/front-{settings.index}", seed=seed)
         header.settings = pack([settings])
-        self.ring = Ring(header, 1e15, 1 << 30)
+        self.ring = CaptureRing(header, 1e15, 1 << 30)
         rings.setdefault(settings.index, []).append(self.ring)
         self.count = 0
 
@@ -44,9 +44,9 @@
 
     def handle(self, now: float, events: list[interface.Event]) -> list[interface.Action]:
         if not self.count:
-            self.ring.begin(0, b"", now, now)
+            self.ring.begin_segment(0, b"", now, now)
         actions = self.module.handle(now, events)
-        self.ring.call(Told(self.count, now, now, list(events), list(actions)))
+        self.ring.add_call(RecordedCall(self.count, now, now, list(events), list(actions)))
         self.count += 1
         return actions
 
@@ -57,21 +57,21 @@
     for path, seconds in PLAYED:
         name = path.stem
         day = read_day(path, ((f"day {name}", "length", f"(s){seconds}"),))
-        rings: dict[int, list[Ring]] = {}
+        rings: dict[int, list[CaptureRing]] = {}
         World(day, 5, lambda s, seed, rings=rings, name=name: Recording(s, seed, rings, name)).play()  # type: ignore
         for index, incarnations in rings.items():
             for incarnation, ring in enumerate(incarnations):
-                made[f"{name}-{index}-{incarnation}"] = ring.saved()
+                made[f"{name}-{index}-{incarnation}"] = ring.to_bytes()
     return made
 
 
 def handed_over(data: bytes) -> bytes:
     """The second half of a capture, decided by a successor that took the sessions over."""
     replay = Replay()
-    steps = [s for s in replay.run(read_capture(data).records) if isinstance(s, Step)]
+    steps = [s for s in replay.run(read_capture(data).records) if isinstance(s, ReplayedCall)]
     assert replay.header
-    settings = settings_of(replay.header)
-    predecessor, rings = decide.Front(settings, replay.header.seed), dict[int, list[Ring]]()
+    settings = decode_settings(replay.header)
+    predecessor, rings = decide.Front(settings, replay.header.seed), dict[int, list[CaptureRing]]()
     half = len(steps) // 2
     for step in steps[:half]:
         predecessor.handle(step.now, step.events)
@@ -94,11 +94,13 @@
     successor.handle(predecessor.now, events)
     for step in steps[half:]:
         successor.handle(step.now, step.events)
-    return successor.ring.saved()
+    return successor.ring.to_bytes()
 
 
 def differs(data: bytes, make: Any) -> bool:
-    return any(isinstance(s, Step) and not s.same for s in Replay(make).run(read_capture(data).records))
+    return any(
+        isinstance(s, ReplayedCall) and not s.same for s in Replay(make).run(read_capture(data).records)
+    )
 
 
 def main() -> None:
--- a/tests/captures/test_captures.py
+++ b/tests/captures/test_captures.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from lemonhall.capture import Replay, Step, read_capture
+from lemonhall.capture import Replay, ReplayedCall, read_capture
 from tests.captures.guards import GUARDS
 from tests.captures.make import differs
 
@@ -33,8 +33,8 @@
 @pytest.mark.parametrize("scenario", GUARDS)
 def test_decisions_are_as_recorded(scenario: str) -> None:
     made = read_capture(data_of(scenario))
-    assert not made.troubles
-    steps = [s for s in Replay().run(made.records) if isinstance(s, Step)]
+    assert not made.unreadable
+    steps = [s for s in Replay().run(made.records) if isinstance(s, ReplayedCall)]
     differing = next((s for s in steps if not s.same), None)
     assert len(steps) > 10 and differing is None, f"call {differing.number if differing else 0}"
 
--- a/tests/front/test_capturing.py
+++ b/tests/front/test_capturing.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lemonhall import decide, interface
-from lemonhall.capture import Replay, Step, Told, read_capture
+from lemonhall.capture import OtherRecord, Replay, ReplayedCall, read_capture
 from lemonhall.capture.capture_pb2 import Header
 from lemonhall.config.settings import CaptureSettings
 from lemonhall.front.persistence import capture_writer
@@ -26,7 +26,7 @@
 
 
 def steps_of(data: bytes) -> list[Any]:
-    return list(Replay(why=True).run(read_capture(data).records))
+    return list(Replay(with_reasons=True).run(read_capture(data).records))
 
 
 def test_replay_of_a_capture_repeats_the_decisions(make_front: Build) -> None:
@@ -37,9 +37,13 @@
     w.run_until(lambda: w.module.events_of(interface.AttemptEnded))
     assert w.daemon.capture
     replayed = steps_of(w.daemon.capture.save())
-    steps = [s for s in replayed if isinstance(s, Step)]
+    steps = [s for s in replayed if isinstance(s, ReplayedCall)]
     assert len(steps) == w.daemon.bridge.calls and all(s.same for s in steps)
-    notes = [s.record.word for s in replayed if isinstance(s, Told) and s.record.WhichOneof("what") == "word"]
+    notes = [
+        s.record.word
+        for s in replayed
+        if isinstance(s, OtherRecord) and s.record.WhichOneof("what") == "word"
+    ]
     assert any(session in note.text and note.session == 1 for note in notes)
 
 
@@ -193,4 +197,4 @@
     thread.start()
     w.run_until(lambda: received)
     thread.join()
-    assert [s.same for s in steps_of(received[0]) if isinstance(s, Step)]
+    assert [s.same for s in steps_of(received[0]) if isinstance(s, ReplayedCall)]
