--- a/lemonhall/capture/replay.py
+++ b/lemonhall/capture/replay.py
@@ -174,8 +174,10 @@
     recorded, decided = decisions_by_session(calls, False), decisions_by_session(calls, True)
     found = []
     for session_id in sorted(recorded.keys() | decided.keys()):
-        before = recorded.get(session_id, SessionDecisions())
-        after = decided.get(session_id, SessionDecisions())
+        before, after = (
+            recorded.get(session_id, SessionDecisions()),
+            decided.get(session_id, SessionDecisions()),
+        )
         differences = []
         if before.servers != after.servers:
             differences.append(f"servers {before.servers} then, {after.servers} now")
--- a/lemonhall/capture/ring.py
+++ b/lemonhall/capture/ring.py
@@ -128,7 +128,7 @@
         self.close_block(starts_segment=True)
         self.drop_old_segments(now)
 
-    def add_call(self, call: RecordedCall) -> None:
+    def append_call(self, call: RecordedCall) -> None:
         events = [pseudonymize(event, self.hash_viewer) for event in call.events]
         sessions = session_ids(call)
         self.total_events += len(events)
@@ -146,13 +146,13 @@
         if self.records_size >= BLOCK_BYTES or call.now - self.first_ms >= BLOCK_MS:
             self.close_block()
 
-    def add_gap(self, calls: int, first_ms: float, last_ms: float, reason: str) -> None:
+    def append_gap(self, calls: int, first_ms: float, last_ms: float, reason: str) -> None:
         """Records that `calls` calls were not captured."""
         self.append_record(
             Record(gap=Gap(calls=calls, to=last_ms, why=reason, **{"from": first_ms})), last_ms
         )
 
-    def add_note(self, now: float, who: str, text: str, session: int = 0) -> None:
+    def append_note(self, now: float, who: str, text: str, session: int = 0) -> None:
         """Records a message of another component (`who`), of one session or, with 0, of the whole front."""
         if session:
             self.sessions.add(session)
@@ -190,7 +190,7 @@
                 return
             self.segments.popleft()
 
-    def to_bytes(self) -> bytes:
+    def dump(self) -> bytes:
         """Closes the open block and returns all segments as a capture file."""
         self.close_block()
         return b"".join(block.data for segment in self.segments for block in segment.blocks)
--- a/lemonhall/front/persistence/capture_writer.py
+++ b/lemonhall/front/persistence/capture_writer.py
@@ -176,7 +176,7 @@
         """Returns the ring as the bytes of a capture file, including the latest call."""
         self.drain()
         with self.lock:
-            return self.ring.to_bytes()
+            return self.ring.dump()
 
     def close(self) -> None:
         self.stopping.set()
@@ -198,13 +198,13 @@
             for _ in range(len(self.queue)):
                 kind, record = self.queue.popleft()
                 if kind == "call":
-                    self.ring.add_call(record)
+                    self.ring.append_call(record)
                 elif kind == "begin":
                     self.ring.begin_segment(*record)
                 elif kind == "gap":
-                    self.ring.add_gap(*record)
+                    self.ring.append_gap(*record)
                 else:
-                    self.ring.add_note(*record)
+                    self.ring.append_note(*record)
 
     def on_block(self, block: Block, starts_segment: bool) -> None:
         if self.folder is None:
@@ -220,7 +220,7 @@
                     failures=self.failures,
                 )
             reason = f"the disk did not take it: {error.strerror or error}"
-            self.ring.add_gap(block.calls, block.first_ms, block.last_ms, reason)
+            self.ring.append_gap(block.calls, block.first_ms, block.last_ms, reason)
 
 
 def write_atomically(path: Path, data: bytes) -> None:
--- a/tests/capture/test_capture.py
+++ b/tests/capture/test_capture.py
@@ -115,13 +115,13 @@
                 self.ring.begin_segment(self.count, serialize_module(front), now, now)
                 front.handle = handle  # type: ignore[method-assign]
             actions = original_handle(now, events)
-            self.ring.add_call(RecordedCall(self.count, now, now, list(events), list(actions)))
+            self.ring.append_call(RecordedCall(self.count, now, now, list(events), list(actions)))
             self.count += 1
             return actions
 
         front.handle = handle  # type: ignore[method-assign]
         world.run(steps)
-        self.data = self.ring.to_bytes()
+        self.data = self.ring.dump()
 
 
 def replay_calls(data: bytes, **options: Any) -> list[ReplayedCall]:
@@ -283,11 +283,11 @@
     ring = recorded.ring
     front = recorded.world.front
     del front.handle
-    ring.add_gap(7, 1.0, 2.0, "too much waited")
+    ring.append_gap(7, 1.0, 2.0, "too much waited")
     ring.begin_segment(recorded.count + 7, serialize_module(front), front.now, 0.0)
     actions = front.handle(front.now + 500.0, [interface.TimerDue(0)])
-    ring.add_call(RecordedCall(recorded.count + 7, front.now, 0.0, [interface.TimerDue(0)], actions))
-    entries = list(Replay().run(read_capture(ring.to_bytes()).records))
+    ring.append_call(RecordedCall(recorded.count + 7, front.now, 0.0, [interface.TimerDue(0)], actions))
+    entries = list(Replay().run(read_capture(ring.dump()).records))
     steps = [s for s in entries if isinstance(s, ReplayedCall)]
     assert len(steps) == recorded.count + 1 and all(s.same for s in steps)
     assert any(not isinstance(s, ReplayedCall) and s.record.gap.calls == 7 for s in entries)
@@ -339,8 +339,8 @@
         interface.ServerList(interface.ListKind.FULL, 1, make_servers(3)),
         new_session,
     ]
-    ring.add_call(RecordedCall(0, 10.0, 0.0, events, front.handle(10.0, events)))
-    steps = replay_calls(ring.to_bytes())
+    ring.append_call(RecordedCall(0, 10.0, 0.0, events, front.handle(10.0, events)))
+    steps = replay_calls(ring.dump())
     assert steps[0].same and steps[0].events[1].viewer == 4711 ^ 0xABCDEF
 
 
--- a/tests/captures/make.py
+++ b/tests/captures/make.py
@@ -46,7 +46,7 @@
         if not self.count:
             self.ring.begin_segment(0, b"", now, now)
         actions = self.module.handle(now, events)
-        self.ring.add_call(RecordedCall(self.count, now, now, list(events), list(actions)))
+        self.ring.append_call(RecordedCall(self.count, now, now, list(events), list(actions)))
         self.count += 1
         return actions
 
@@ -61,7 +61,7 @@
         World(day, 5, lambda s, seed, rings=rings, name=name: Recording(s, seed, rings, name)).play()  # type: ignore
         for index, incarnations in rings.items():
             for incarnation, ring in enumerate(incarnations):
-                made[f"{name}-{index}-{incarnation}"] = ring.to_bytes()
+                made[f"{name}-{index}-{incarnation}"] = ring.dump()
     return made
 
 
@@ -94,7 +94,7 @@
     successor.handle(predecessor.now, events)
     for step in steps[half:]:
         successor.handle(step.now, step.events)
-    return successor.ring.to_bytes()
+    return successor.ring.dump()
 
 
 def differs(data: bytes, make: Any) -> bool:
