--- a/lemonhall/links/process.py
+++ b/lemonhall/links/process.py
@@ -45,9 +45,8 @@
         self.network = Network(Endpoints.from_day(day))
         for index, link in enumerate(day.links):
             self.network.add_link(-1 - index, link)  # negative: the links of faults have positive numbers
-        self.datagram_relays: dict[
-            tuple[str, str, str], DatagramRelay
-        ] = {}  # by socket kind, sender, receiver
+        # By the kind of socket (`members`, `peers`), the sender and the receiver.
+        self.datagram_relays: dict[tuple[str, str, str], DatagramRelay] = {}
         self.stream_relays: dict[tuple[str, str], StreamRelay] = {}  # by client, server
         say(ready=True)
 
@@ -115,7 +114,7 @@
     def write_event(self, event: str, **fields: Any) -> None:
         """Writes an event to the tap, where the field `who` is named `from`.
 
-        `left` gets the field `since`: the time in ms before which the connection cannot have ended.
+        `left` gets the field `since`: the time in ms before which the end cannot have arrived.
         """
         if event == "left":
             fields["since"] = round(self.looks.since_ms(), 2)
