--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -15,12 +15,12 @@
 
 from hdrh.histogram import HdrHistogram
 
-from lemonhall.boxlist import Box, State, Update, delimit
+from lemonhall.boxlist import Box, State, Update, encode_delimited
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.loop.event_loop import READ
-from lemonhall.rtsp import Frames, Parser, Request, Response, rtp
+from lemonhall.rtsp import FrameRun, Parser, Request, Response, rtp
 from lemonhall.rtsp.messages import make_request
-from lemonhall.rtsp.parser import frame, split_frames
+from lemonhall.rtsp.parser import encode_frame, split_frames
 from lemonhall.standins.media import sdp
 
 Context = multiprocessing.get_context("spawn")
@@ -31,7 +31,8 @@
     """Interleaved RTP packets of the usual size, one run."""
     header = rtp.RtpHeader
     return b"".join(
-        frame(0, rtp.build_rtp(header(26, False, n, n * 3000, 7)) + b"m" * PACKET) for n in range(count)
+        encode_frame(0, rtp.build_rtp(header(26, False, n, n * 3000, 7)) + b"m" * PACKET)
+        for n in range(count)
     )
 
 
@@ -72,7 +73,7 @@
 
     def packet(self) -> None:
         header = rtp.build_rtp(rtp.RtpHeader(26, False, self.sent & 0xFFFF, self.sent * 3000, 7))
-        self.stream.write(frame(0, header + b"m" * PACKET))
+        self.stream.write(encode_frame(0, header + b"m" * PACKET))
         self.sent += 1
 
     def pour(self) -> None:
@@ -111,7 +112,7 @@
         Box(id=n + 1, address=f"127.0.0.1:{port}", weight=1.0, cell=n % 2, state=State.READY)
         for n, port in enumerate(found)
     ]
-    body = delimit(Update(version=2, full=True, boxes=boxes))
+    body = encode_delimited(Update(version=2, full=True, boxes=boxes))
     kept: list[Stream] = []
 
     class ListConn(Handler):
@@ -158,7 +159,7 @@
                 elif event.status != 200 and not self.seen:
                     self.refused = self.seen = True
                     self.played(self, -1.0)
-            elif isinstance(event, Frames) and not self.seen:
+            elif isinstance(event, FrameRun) and not self.seen:
                 self.seen = True
                 self.played(self, self.loop.now() - self.asked)
 
@@ -257,7 +258,7 @@
                 if self.cseq == 1:
                     self.session = event.session
                     self.send("PLAY")
-            elif isinstance(event, Frames) and not event.rtcp:
+            elif isinstance(event, FrameRun) and not event.is_rtcp:
                 for _, packet in split_frames(event.data):
                     self.packet(rtp.parse_rtp(packet).sequence)
                 if not self.seen:
--- a/benchmarks/state.py
+++ b/benchmarks/state.py
@@ -28,11 +28,11 @@
 
 from benchmarks import front as bench  # noqa: E402
 from benchmarks import rig  # noqa: E402
-from lemonhall.boxlist import Box, State, Update, delimit  # noqa: E402
+from lemonhall.boxlist import Box, State, Update, encode_delimited  # noqa: E402
 from lemonhall.loop import Handler, Loop, Stream, listen  # noqa: E402
-from lemonhall.rtsp import Frames, Parser, Request, Response, rtp  # noqa: E402
+from lemonhall.rtsp import FrameRun, Parser, Request, Response, rtp  # noqa: E402
 from lemonhall.rtsp.messages import make_request  # noqa: E402
-from lemonhall.rtsp.parser import frame  # noqa: E402
+from lemonhall.rtsp.parser import encode_frame  # noqa: E402
 
 # ledger
 
@@ -166,7 +166,7 @@
             at = listen(self.loop, ("127.0.0.1", 0), lambda sock, _: Server(self, sock))
             address = f"127.0.0.1:{at.getsockname()[1]}"
             boxes.append(Box(id=n + 1, address=address, weight=1.0, cell=0, state=State.READY))
-        body = delimit(Update(version=2, full=True, boxes=boxes))
+        body = encode_delimited(Update(version=2, full=True, boxes=boxes))
         self.kept: list[Any] = []
         self.list = listen(self.loop, ("127.0.0.1", 0), lambda sock, _: self.send_list(sock, body))
         self.members = [rig_port() for _ in range(2)]
@@ -292,7 +292,7 @@
         if self.stream.open:
             header = rtp.RtpHeader(26, False, self.sequence & 0xFFFF, self.sequence * 9000, 7)
             self.sequence += 1
-            self.stream.write(frame(0, rtp.build_rtp(header) + b"m" * 400))
+            self.stream.write(encode_frame(0, rtp.build_rtp(header) + b"m" * 400))
             self.loop.call_later(self.every_s, self.tick)
 
 
@@ -303,7 +303,7 @@
         at = listen(loop, ("127.0.0.1", 0), lambda sock, _: Steady(loop, sock, every_s))
         address = f"127.0.0.1:{at.getsockname()[1]}"
         boxes.append(Box(id=n + 1, address=address, weight=1.0, cell=n % 2, state=State.READY))
-    body = delimit(Update(version=2, full=True, boxes=boxes))
+    body = encode_delimited(Update(version=2, full=True, boxes=boxes))
     kept = []
 
     def send_list(sock: Any) -> None:
@@ -333,7 +333,7 @@
         for event in self.parser.feed(view):
             if isinstance(event, Response) and event.cseq == "1":
                 self.stream.write(make_request("PLAY", self.url, 2, ("Session", event.session)).encode())
-            elif isinstance(event, Frames) and not event.rtcp:
+            elif isinstance(event, FrameRun) and not event.is_rtcp:
                 self.times.append(self.loop.now())
                 at = 0
                 data = event.data
--- a/lemonhall/boxlist/__init__.py
+++ b/lemonhall/boxlist/__init__.py
@@ -1,6 +1,21 @@
-"""The box list's form on the wire and on disk: length-delimited protobuf, no I/O."""
+"""The server list as sent to fronts and as cached: length-delimited protobuf. No I/O."""
 
 from lemonhall.boxlist.boxlist_pb2 import Box, State, Update
-from lemonhall.boxlist.codec import CacheError, Delimited, delimit, from_cache, to_cache
+from lemonhall.boxlist.codec import (
+    CacheError,
+    DelimitedDecoder,
+    decode_cache,
+    encode_cache,
+    encode_delimited,
+)
 
-__all__ = ["Box", "CacheError", "Delimited", "State", "Update", "delimit", "from_cache", "to_cache"]
+__all__ = [
+    "Box",
+    "CacheError",
+    "DelimitedDecoder",
+    "State",
+    "Update",
+    "decode_cache",
+    "encode_cache",
+    "encode_delimited",
+]
--- a/lemonhall/boxlist/codec.py
+++ b/lemonhall/boxlist/codec.py
@@ -1,4 +1,4 @@
-"""Messages behind their varint length, in any pieces; and the cached list with its checksum."""
+"""Encoding of server lists: a stream of messages, each after its length as a varint, and the cached list."""
 
 from __future__ import annotations
 
@@ -8,67 +8,67 @@
 from lemonhall.boxlist.boxlist_pb2 import Update
 
 MAGIC = b"LHBL1\n"
-MOST = 1 << 24  # bytes of one message
+MAX_MESSAGE_BYTES = 1 << 24
 
 
 class CacheError(Exception):
-    """A cached list that cannot be used, and why."""
+    """A cached list cannot be used."""
 
 
-def delimit(update: Update) -> bytes:
+def encode_delimited(update: Update) -> bytes:
     body: bytes = update.SerializeToString()
-    size, head = len(body), bytearray()
+    size, prefix = len(body), bytearray()
     while size > 0x7F:
-        head.append(size & 0x7F | 0x80)
+        prefix.append(size & 0x7F | 0x80)
         size >>= 7
-    head.append(size)
-    return bytes(head) + body
+    prefix.append(size)
+    return bytes(prefix) + body
 
 
-class Delimited:
-    """Bytes in, whole messages out. Raises `ValueError` on a length or a body that cannot be."""
+class DelimitedDecoder:
+    """Decodes a stream of messages in pieces of any size. Raises `ValueError` for invalid input."""
 
     def __init__(self) -> None:
-        self.kept = bytearray()
+        self.buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Update]:
-        self.kept += data
-        found: list[Update] = []
+        self.buffer += data
+        updates: list[Update] = []
         while True:
-            size = shift = at = 0
-            for at, byte in enumerate(self.kept[:5], 1):  # noqa: B007
+            size = shift = prefix_bytes = 0
+            for prefix_bytes, byte in enumerate(self.buffer[:5], 1):  # noqa: B007
                 size |= (byte & 0x7F) << shift
                 shift += 7
                 if byte < 0x80:
                     break
             else:
-                if len(self.kept) >= 5:
-                    raise ValueError("a length of more than five bytes")
-                return found
-            if size > MOST:
-                raise ValueError(f"a list of {size} bytes")
-            if len(self.kept) < at + size:
-                return found
+                if len(self.buffer) >= 5:
+                    raise ValueError("length prefix has more than five bytes")
+                return updates
+            if size > MAX_MESSAGE_BYTES:
+                raise ValueError(f"server list of {size} bytes is too large")
+            if len(self.buffer) < prefix_bytes + size:
+                return updates
             try:
-                found.append(Update.FromString(bytes(self.kept[at : at + size])))
+                updates.append(Update.FromString(bytes(self.buffer[prefix_bytes : prefix_bytes + size])))
             except DecodeError as error:
-                raise ValueError(f"no box list: {error}") from error
-            del self.kept[: at + size]
+                raise ValueError(f"not a server list: {error}") from error
+            del self.buffer[: prefix_bytes + size]
 
 
-def to_cache(update: Update) -> bytes:
+def encode_cache(update: Update) -> bytes:
     body: bytes = update.SerializeToString()
     return b"".join([MAGIC, xxhash.xxh3_64_digest(body), body])
 
 
-def from_cache(data: bytes) -> Update:
-    """Raises `CacheError` with the reason: cut off, damaged, or not of this kind."""
+def decode_cache(data: bytes) -> Update:
+    """Raises `CacheError` if the data is truncated, damaged or not a cached list of this version."""
     if not data.startswith(MAGIC):
-        raise CacheError("no cached box list of this version")
+        raise CacheError("not a cached server list of this version")
     body = data[len(MAGIC) + 8 :]
     if data[len(MAGIC) : len(MAGIC) + 8] != xxhash.xxh3_64_digest(body):
-        raise CacheError("the checksum does not fit: cut off or damaged")
+        raise CacheError("checksum mismatch: the cached list is truncated or damaged")
     try:
         return Update.FromString(body)
     except DecodeError as error:
-        raise CacheError(f"no box list: {error}") from error
+        raise CacheError(f"not a server list: {error}") from error
--- a/lemonhall/front/decider/list_client.py
+++ b/lemonhall/front/decider/list_client.py
@@ -11,7 +11,7 @@
 import structlog
 
 from lemonhall import interface
-from lemonhall.boxlist import CacheError, Delimited, Update, from_cache, to_cache
+from lemonhall.boxlist import CacheError, DelimitedDecoder, Update, decode_cache, encode_cache
 from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.servers.server_list import ServerListState
 from lemonhall.loop import Handler, Loop, Stream
@@ -55,7 +55,7 @@
         # added to the backoff, so that fronts that start together do not all connect at once
         self.extra_delay_s: Callable[[], float] = lambda: 0.0
         self.parser: httptools.HttpResponseParser | None = None
-        self.messages = Delimited()
+        self.messages = DelimitedDecoder()
 
     def load_cache(self) -> None:
         """Applies the list cached before a restart. A damaged cache is logged and left in place."""
@@ -63,7 +63,7 @@
             data = self.read_cache()
             if data is None:
                 return
-            update = from_cache(data)
+            update = decode_cache(data)
         except (OSError, CacheError) as error:
             log.warning(
                 "cannot read the cached server list; starting without it",
@@ -90,13 +90,13 @@
     def save_cache(self) -> None:
         self.cache_due = False
         if self.store_service:
-            self.store_service.save_list(to_cache(self.server_list.snapshot()))
+            self.store_service.save_list(encode_cache(self.server_list.snapshot()))
         if self.cache is None:
             return
         temporary = self.cache.with_suffix(".new")
         try:
             with open(temporary, "wb") as file:
-                file.write(to_cache(self.server_list.snapshot()))
+                file.write(encode_cache(self.server_list.snapshot()))
                 file.flush()
                 os.fsync(file.fileno())
             os.replace(temporary, self.cache)
@@ -111,7 +111,7 @@
         self.wanted = True
         if self.stream is None and self.host:
             self.parser = httptools.HttpResponseParser(self)
-            self.messages = Delimited()
+            self.messages = DelimitedDecoder()
             self.stream = Stream.connect(self.loop, (self.host, self.port), self, 2.0)
 
     def subscribe(self, action: interface.Subscribe) -> None:
--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -43,7 +43,7 @@
 def can_hand_over(viewer: ViewerConnection) -> bool:
     """Whether nothing is in progress on the connection that the successor could not continue."""
     stream = viewer.stream
-    if viewer.ending or viewer.slots or viewer.parser.broken or not is_usable(stream):
+    if viewer.ending or viewer.slots or viewer.parser.has_failed or not is_usable(stream):
         return False
     return all(
         s.state is State.READY
@@ -63,7 +63,9 @@
 
 
 def is_playing(attempt: Attempt) -> bool:
-    return attempt.state is AttemptState.PLAYING and is_usable(attempt.stream) and not attempt.parser.broken
+    return (
+        attempt.state is AttemptState.PLAYING and is_usable(attempt.stream) and not attempt.parser.has_failed
+    )
 
 
 def connection_streams(viewer: ViewerConnection) -> list[Stream]:
@@ -109,7 +111,7 @@
         "bandwidth": attempt.bandwidth,
         "start_s": attempt.start_s,
         "began": attempt.started_at,
-        "kept": to_base64(bytes(attempt.parser.kept)),
+        "kept": to_base64(bytes(attempt.parser.buffer)),
         "cseq": attempt.cseq,
         "session": attempt.session,
         "waiting": attempt.pending_methods,
@@ -152,7 +154,7 @@
 def pack_viewer(daemon: Daemon, viewer: ViewerConnection) -> Packed:
     return {
         "peer": str(viewer.peer),
-        "kept": to_base64(bytes(viewer.parser.kept)),
+        "kept": to_base64(bytes(viewer.parser.buffer)),
         "last": viewer.last,
         "last_answer": None if viewer.last_answer is None else to_base64(viewer.last_answer),
         "active_at": viewer.active_at,
@@ -179,7 +181,7 @@
 
 def restore_parser(buffered: str) -> Parser:
     parser = Parser()
-    parser.kept = bytearray(base64.b64decode(buffered))
+    parser.buffer = bytearray(base64.b64decode(buffered))
     return parser
 
 
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -14,8 +14,8 @@
 from lemonhall.interface import Outcome
 from lemonhall.loop import Handler, Loop, Stream, Timer
 from lemonhall.loop.stream import Address
-from lemonhall.rtsp import Frames, Malformed, Parser, Request, Response, reports, rtp
-from lemonhall.rtsp.messages import ask
+from lemonhall.rtsp import FrameRun, MalformedInput, Parser, Request, Response, reports, rtp
+from lemonhall.rtsp.messages import encode_request
 from lemonhall.rtsp.parser import split_frames
 
 TEARDOWN_TIMEOUT_S = 0.5  # without a response to TEARDOWN the connection is reset
@@ -35,7 +35,7 @@
     """The session. Playing and ended are reported at most once each, the others any number of times."""
 
     def attempt_playing(self, attempt: Attempt, took_ms: float) -> None: ...
-    def attempt_media(self, attempt: Attempt, run: Frames) -> None: ...
+    def attempt_media(self, attempt: Attempt, run: FrameRun) -> None: ...
     def attempt_rtcp(self, attempt: Attempt, channel: int, packet: rtp.RtcpPacket) -> None: ...
     def attempt_note(self, attempt: Attempt, kind: int, value: float) -> None: ...
     def attempt_ended(self, attempt: Attempt, outcome: Outcome, report: tuple[float, ...]) -> None: ...
@@ -89,7 +89,9 @@
         self.cseq += 1
         self.pending_methods[str(self.cseq)] = method
         session = [("Session", self.session)] if self.session else []
-        self.stream.write(ask(method, url, self.cseq, *session, *self.headers, *headers, body=body))
+        self.stream.write(
+            encode_request(method, url, self.cseq, *session, *self.headers, *headers, body=body)
+        )
 
     # callbacks of the stream
 
@@ -125,13 +127,13 @@
         for event in self.parser.feed(view):
             if self.state is State.ENDED:
                 return
-            if isinstance(event, Frames):
+            if isinstance(event, FrameRun):
                 self.on_frames(event)
             elif isinstance(event, Response):
                 self.on_response(event)
             elif isinstance(event, Request):
                 self.on_request(event)
-            elif isinstance(event, Malformed):
+            elif isinstance(event, MalformedInput):
                 self.end(Outcome.RESET if self.state is State.PLAYING else Outcome.ERROR)
 
     def on_closed(self, reason: str) -> None:
@@ -176,8 +178,8 @@
         status = "200 OK" if request.method in ("OPTIONS", "GET_PARAMETER") else "501 Not Implemented"
         self.stream.write(f"RTSP/1.0 {status}\r\nCSeq: {request.cseq}\r\n\r\n".encode())
 
-    def on_frames(self, run: Frames) -> None:
-        if run.rtcp:
+    def on_frames(self, run: FrameRun) -> None:
+        if run.is_rtcp:
             self.on_rtcp(run)
         elif self.state in (State.PLAY_SENT, State.PLAYING):
             if not self.media_seen:
@@ -186,16 +188,16 @@
             if self.state is State.PLAYING:
                 self.owner.attempt_media(self, run)
 
-    def on_rtcp(self, run: Frames) -> None:
+    def on_rtcp(self, run: FrameRun) -> None:
         channel, payload = split_frames(run.data)[0]
         try:
             packets = rtp.parse_rtcp(payload)
         except ValueError:
             return
         for packet in packets:
-            if note := rtp.read_note(packet):
+            if note := rtp.parse_note(packet):
                 self.owner.attempt_note(self, *note)
-            elif packet.kind == rtp.BYE and self.state is State.PLAYING:
+            elif packet.packet_type == rtp.BYE and self.state is State.PLAYING:
                 self.owner.attempt_rtcp(self, channel, packet)
                 self.end(Outcome.OK)
                 return
--- a/lemonhall/front/servers/rtp_rewriter.py
+++ b/lemonhall/front/servers/rtp_rewriter.py
@@ -31,7 +31,7 @@
 
     def observe(self, packet: memoryview, now: float) -> None:
         """Records a packet that is forwarded unchanged."""
-        if len(packet) >= rtp.RTP.size:
+        if len(packet) >= rtp.RTP_HEADER.size:
             sequence, timestamp, ssrc = HEADER.unpack_from(packet, 2)
             self.last_sent = (sequence, timestamp, now)
             if self.ssrc is None:
@@ -39,7 +39,7 @@
 
     def rewrite(self, packet: memoryview, now: float) -> None:
         """Rewrites a packet in place to continue the viewer's stream. `packet` must be writable."""
-        if len(packet) < rtp.RTP.size:
+        if len(packet) < rtp.RTP_HEADER.size:
             return
         sequence, timestamp, ssrc = HEADER.unpack_from(packet, 2)
         if self.resync and self.last_sent:
@@ -66,7 +66,7 @@
         body = bytearray(packet.body)
         if self.ssrc is not None and self.offsets is not None and len(body) >= 4:
             struct.pack_into(">I", body, 0, self.ssrc)
-            if packet.kind == rtp.SENDER_REPORT and len(body) >= 16:
+            if packet.packet_type == rtp.SENDER_REPORT and len(body) >= 16:
                 timestamp = struct.unpack_from(">I", body, 12)[0]
                 struct.pack_into(">I", body, 12, (timestamp + self.offsets[1]) & 0xFFFFFFFF)
-        return rtp.build_rtcp(packet.kind, packet.count, bytes(body))
+        return rtp.build_rtcp(packet.packet_type, packet.count, bytes(body))
--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -25,9 +25,9 @@
 from lemonhall.interface import Outcome
 from lemonhall.ipc import RequestState, SetUpRequested
 from lemonhall.loop import Loop, Timer
-from lemonhall.rtsp import Frames, rtp
-from lemonhall.rtsp.messages import answer, make_response
-from lemonhall.rtsp.parser import frame, split_frames
+from lemonhall.rtsp import FrameRun, rtp
+from lemonhall.rtsp.messages import encode_response, make_response
+from lemonhall.rtsp.parser import encode_frame, split_frames
 from lemonhall.store import Token
 
 
@@ -141,7 +141,7 @@
         was = self.state
         self.state = State.ENDED
         if was is State.ASKED:
-            self.answer(answer(454, self.cseq))
+            self.answer(encode_response(454, self.cseq))
         if self.ask:
             self.worker.viewer_gone(self)
         self.worker.forget(self)
@@ -175,7 +175,7 @@
         self.over(made.encode(), "refused")
 
     def failed(self, status: int = 502) -> None:
-        self.over(answer(status, self.cseq), "failed")
+        self.over(encode_response(status, self.cseq), "failed")
 
     def over(self, data: bytes, why: str) -> None:
         """No more of this ask: an answer where one is owed, else the end of the stream."""
@@ -193,7 +193,7 @@
         self.state = State.ENDED
         for track in self.tracks.values():
             if track.rtp.ssrc is not None:
-                bye = frame(track.channels[1], rtp.build_bye(track.rtp.ssrc, why))
+                bye = encode_frame(track.channels[1], rtp.build_bye(track.rtp.ssrc, why))
                 self.viewer.media(self, memoryview(bye))
         self.worker.forget(self)
 
@@ -213,11 +213,11 @@
                 ("Range", f"npt={self.position_s:.3f}-"),
                 ("RTP-Info", ",".join(f"url={self.viewer.url(self, n)}" for n in sorted(self.tracks))),
             ]
-            self.answer(answer(200, self.cseq, *headers))
+            self.answer(encode_response(200, self.cseq, *headers))
         if self.held_back:
             attempt.stream.pause_reading()
 
-    def attempt_media(self, attempt: Attempt, run: Frames) -> None:
+    def attempt_media(self, attempt: Attempt, run: FrameRun) -> None:
         if self.state is not State.PLAYING or self.ask is None or self.ask.attempt is not attempt:
             return
         track = next((t.rtp for t in self.tracks.values() if t.channels[0] == run.channel), None)
@@ -226,7 +226,7 @@
             return
         now = self.worker.loop.now()
         if track.offsets is None and not track.resync:
-            track.observe(run.data[run.last + 4 :], now)
+            track.observe(run.data[run.last_offset + 4 :], now)
             self.viewer.media(self, run.data)
             return
         copy = memoryview(bytearray(run.data))
@@ -236,8 +236,8 @@
 
     def attempt_rtcp(self, attempt: Attempt, channel: int, packet: rtp.RtcpPacket) -> None:
         for track in self.tracks.values():
-            if track.channels[1] == channel and packet.kind != rtp.BYE:
-                self.viewer.media(self, memoryview(frame(channel, track.rtp.rewrite_rtcp(packet))))
+            if track.channels[1] == channel and packet.packet_type != rtp.BYE:
+                self.viewer.media(self, memoryview(encode_frame(channel, track.rtp.rewrite_rtcp(packet))))
 
     def to_server(self, channel: int, payload: memoryview) -> None:
         """A viewer's receiver report goes on to its server while SSRCs are the same on both sides."""
@@ -245,7 +245,7 @@
         if self.state is not State.PLAYING or ask is None or ask.attempt is None:
             return
         if all(t.rtp.offsets is None for t in self.tracks.values()) and ask.attempt.stream.backlog_bytes == 0:
-            ask.attempt.stream.write(frame(channel, payload))
+            ask.attempt.stream.write(encode_frame(channel, payload))
 
     # back-pressure
 
--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -21,11 +21,11 @@
 from lemonhall.front.viewers.slot import Slot
 from lemonhall.interface import Repeat
 from lemonhall.loop import Handler, Stream, Timer
-from lemonhall.rtsp import Frames, Malformed, Parser, Request
+from lemonhall.rtsp import FrameRun, MalformedInput, Parser, Request
 from lemonhall.rtsp.messages import (
     METHODS,
     Transport,
-    answer,
+    encode_response,
     make_request,
     make_response,
     parse_npt,
@@ -84,9 +84,9 @@
                 return
             if isinstance(event, Request):
                 self.on_request(event)
-            elif isinstance(event, Frames):
+            elif isinstance(event, FrameRun):
                 self.on_frames(event)
-            elif isinstance(event, Malformed):
+            elif isinstance(event, MalformedInput):
                 self.refuse_all(event)
         self.watch_head()
 
@@ -102,7 +102,7 @@
     def too_slow(self) -> None:
         self.head_timer = None
         if self.stream.open:
-            self.refuse_all(Malformed(408, "a message that does not end"))
+            self.refuse_all(MalformedInput(408, "a message that does not end"))
 
     def rest(self) -> None:
         """Notes that something happened; one timer a connection looks back at it, none is made anew."""
@@ -119,10 +119,10 @@
             return
         self.idle_timer = self.worker.loop.call_later(left if left > 0 else wait, self.idle)
 
-    def refuse_all(self, what: Malformed) -> None:
+    def refuse_all(self, what: MalformedInput) -> None:
         """Bytes that cannot be read: one answer, then the connection ends. What played on it ends with it."""
         self.worker.counts["malformed"] += 1
-        log.info("connection closed", peer=str(self.peer), status=what.status, why=what.why)
+        log.info("connection closed", peer=str(self.peer), status=what.status, why=what.reason)
         self.ending = True
         self.stream.write(make_response(what.status, what.cseq, ("Connection", "close")).encode())
         self.stream.close()
@@ -135,7 +135,7 @@
             session.viewer_lost()
         self.worker.viewer_closed(self)
 
-    def on_frames(self, run: Frames) -> None:
+    def on_frames(self, run: FrameRun) -> None:
         """Receiver reports of the viewer's; channels that nobody set up are passed over."""
         for channel, payload in split_frames(run.data):
             for session in self.sessions.values():
@@ -215,7 +215,7 @@
         cseq = request.cseq
         key = (cseq, request.method, request.url)
         if not (cseq.isascii() and cseq.isdigit() and len(cseq) <= 10):
-            self.refuse_all(Malformed(400, "a request without a CSeq"))
+            self.refuse_all(MalformedInput(400, "a request without a CSeq"))
             return
         if self.last and cseq == self.last[0]:
             if key != self.last:
@@ -224,7 +224,7 @@
                 self.stream.write(self.last_answer)
             return
         if len(self.slots) >= PENDING_MOST:
-            self.refuse_all(Malformed(503, "too many requests at once", request.cseq))
+            self.refuse_all(MalformedInput(503, "too many requests at once", request.cseq))
             return
         self.last, self.last_answer = key, None
         slot = Slot(request)
@@ -247,7 +247,7 @@
         self.reply(slot, status)
 
     def reply(self, slot: Slot, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
-        self.answer(slot, answer(status, slot.request.cseq, *headers, body=body))
+        self.answer(slot, encode_response(status, slot.request.cseq, *headers, body=body))
 
     def path(self, slot: Slot, request: Request) -> tuple[str, int | None] | None:
         """Path and track of the request's URL; answers 400 itself if it is none."""
--- a/lemonhall/rtsp/messages.py
+++ b/lemonhall/rtsp/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of RTSP 1.0 (RFC 2326, sections 4 to 7) and the headers that carry structure."""
+"""Requests and responses of RTSP 1.0 (RFC 2326, sections 4 to 7), and parsers of structured header values."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     "SET_PARAMETER",
     "TEARDOWN",
 )
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -46,8 +46,8 @@
 }
 
 
-# Fields that are met often, so that their names need neither be checked nor made lower each time.
-LOWER = {
+# Lower-case names of common fields. Looking them up avoids validating and converting the name each time.
+LOWERCASE_NAMES = {
     name: name.lower()
     for name in (
         "CSeq",
@@ -75,26 +75,29 @@
 
 
 class Headers:
-    """Header fields in order; names compare without case (RFC 2326, 4.2). A repeated name is kept."""
+    """Header fields in their order, repeated ones included. Names are case-insensitive (RFC 2326, 4.2)."""
 
-    __slots__ = ("first", "items")
+    __slots__ = ("first_values", "items")
 
-    def __init__(self, items: Iterable[tuple[str, str]] = (), first: dict[str, str] | None = None) -> None:
+    def __init__(
+        self, items: Iterable[tuple[str, str]] = (), first_values: dict[str, str] | None = None
+    ) -> None:
         self.items = list(items)
-        self.first = first  # by name in lower case; None: made when it is asked for
+        self.first_values = first_values  # by lower-case name; None: built at the first lookup
 
     def index(self) -> dict[str, str]:
-        if self.first is None:
-            self.first = {}
-            for key, value in self.items:
-                self.first.setdefault(key.lower(), value)
-        return self.first
+        """Returns the first value of each field by its lower-case name."""
+        if self.first_values is None:
+            self.first_values = {}
+            for name, value in self.items:
+                self.first_values.setdefault(name.lower(), value)
+        return self.first_values
 
     def get(self, name: str, default: str = "") -> str:
-        first = self.first
-        if first is None:
-            first = self.index()
-        return first.get(LOWER.get(name) or name.lower(), default)
+        first_values = self.first_values
+        if first_values is None:
+            first_values = self.index()
+        return first_values.get(LOWERCASE_NAMES.get(name) or name.lower(), default)
 
     def __contains__(self, name: str) -> bool:
         return name.lower() in self.index()
@@ -104,9 +107,9 @@
 
     def add(self, name: str, value: str) -> None:
         if "\r" in value or "\n" in value:
-            raise ValueError(f"header {name}: a value cannot hold a line break")
+            raise ValueError(f"header {name}: value contains a line break")
         self.items.append((name, value))
-        self.first = None
+        self.first_values = None
 
     def __eq__(self, other: object) -> bool:
         return isinstance(other, Headers) and self.items == other.items
@@ -126,11 +129,11 @@
 
     @property
     def session(self) -> str:
-        """The session's id without its parameters (RFC 2326, 12.37)."""
+        """Session identifier without its parameters (RFC 2326, 12.37)."""
         return self.headers.get("Session").split(";", 1)[0].strip()
 
-    def _encode(self, first: str) -> bytes:
-        lines = [first, *(f"{name}: {value}" for name, value in self.headers)]
+    def _encode(self, start_line: str) -> bytes:
+        lines = [start_line, *(f"{name}: {value}" for name, value in self.headers)]
         if self.body or "Content-Type" in self.headers:
             lines.append(f"Content-Length: {len(self.body)}")
         return "\r\n".join([*lines, "", ""]).encode() + self.body
@@ -151,53 +154,58 @@
     reason: str = ""
 
     def encode(self) -> bytes:
-        return self._encode(f"{VERSION} {self.status} {self.reason or REASONS.get(self.status, 'Unknown')}")
+        return self._encode(
+            f"{VERSION} {self.status} {self.reason or REASON_PHRASES.get(self.status, 'Unknown')}"
+        )
 
 
 def make_request(method: str, url: str, cseq: int, *headers: tuple[str, str], body: bytes = b"") -> Request:
-    made = Headers([("CSeq", str(cseq))])
+    fields = Headers([("CSeq", str(cseq))])
     for name, value in headers:
-        made.add(name, value)
-    return Request(made, body, method, url)
+        fields.add(name, value)
+    return Request(fields, body, method, url)
 
 
 def make_response(status: int, cseq: str, *headers: tuple[str, str], body: bytes = b"") -> Response:
-    made = Headers([("CSeq", cseq)] if cseq else [])
+    fields = Headers([("CSeq", cseq)] if cseq else [])
     for name, value in headers:
-        made.add(name, value)
-    return Response(made, body, status)
+        fields.add(name, value)
+    return Response(fields, body, status)
 
 
-STATUS_LINES = {status: f"{VERSION} {status} {reason}\r\n" for status, reason in REASONS.items()}
+STATUS_LINES = {status: f"{VERSION} {status} {reason}\r\n" for status, reason in REASON_PHRASES.items()}
 
 
-def written(first: str, cseq: str, headers: Sequence[tuple[str, str]], body: bytes) -> bytes:
-    """A message as bytes, for what is sent and not looked at again. Raises `ValueError` for a line break."""
+def encode_message(start_line: str, cseq: str, headers: Sequence[tuple[str, str]], body: bytes) -> bytes:
+    """Encodes a message without building a `Message`, which is faster for messages that are only sent.
+
+    Raises `ValueError` if a header value contains a line break.
+    """
     fields = "".join([f"{name}: {value}\r\n" for name, value in headers])
     if body:
         fields += f"Content-Length: {len(body)}\r\n"
-    text = f"{first}CSeq: {cseq}\r\n{fields}\r\n"
+    text = f"{start_line}CSeq: {cseq}\r\n{fields}\r\n"
     if text.count("\n") != len(headers) + 3 + bool(body) or text.count("\r") != len(headers) + 3 + bool(body):
-        raise ValueError("a header's value cannot hold a line break")
+        raise ValueError("a header value contains a line break")
     return text.encode() + body
 
 
-def answer(status: int, cseq: str, *headers: tuple[str, str], body: bytes = b"") -> bytes:
-    first = STATUS_LINES.get(status) or f"{VERSION} {status} Unknown\r\n"
-    return written(first, cseq, headers, body)
+def encode_response(status: int, cseq: str, *headers: tuple[str, str], body: bytes = b"") -> bytes:
+    status_line = STATUS_LINES.get(status) or f"{VERSION} {status} Unknown\r\n"
+    return encode_message(status_line, cseq, headers, body)
 
 
-def ask(method: str, url: str, cseq: int, *headers: tuple[str, str], body: bytes = b"") -> bytes:
-    return written(f"{method} {url} {VERSION}\r\n", str(cseq), headers, body)
+def encode_request(method: str, url: str, cseq: int, *headers: tuple[str, str], body: bytes = b"") -> bytes:
+    return encode_message(f"{method} {url} {VERSION}\r\n", str(cseq), headers, body)
 
 
 @dataclass(frozen=True)
 class Transport:
-    """One transport of a Transport header (RFC 2326, 12.39)."""
+    """One transport specification of a Transport header (RFC 2326, 12.39)."""
 
     protocol: str
     unicast: bool
-    channels: tuple[int, int] | None  # RTP and RTCP channel, where interleaved
+    channels: tuple[int, int] | None  # RTP and RTCP channel of an interleaved transport
     ssrc: int | None = None
     mode: str = "PLAY"
 
@@ -216,30 +224,30 @@
 
 @lru_cache(maxsize=4096)
 def parse_transport(text: str) -> tuple[Transport, ...]:
-    """The transports that a header offers, in its order. Raises `ValueError` on a channel that is none."""
-    found = []
+    """Returns the offered transports in their order. Raises `ValueError` for invalid interleaved channels."""
+    transports = []
     for offer in text.split(","):
-        first, *rest = [part.strip() for part in offer.split(";")]
-        if not first:
+        protocol, *parameters = [part.strip() for part in offer.split(";")]
+        if not protocol:
             continue
-        options = dict(part.partition("=")[::2] for part in rest)
+        options = dict(parameter.partition("=")[::2] for parameter in parameters)
         channels = None
         if "interleaved" in options:
-            pair = re.fullmatch(r"(\d{1,3})(?:-(\d{1,3}))?", options["interleaved"])
-            if not pair:
-                raise ValueError(f"interleaved={options['interleaved']} names no channels")
-            low = int(pair[1])
-            channels = (low, int(pair[2]) if pair[2] else low + 1)
+            match = re.fullmatch(r"(\d{1,3})(?:-(\d{1,3}))?", options["interleaved"])
+            if not match:
+                raise ValueError(f"interleaved={options['interleaved']} is not a pair of channels")
+            first_channel = int(match[1])
+            channels = (first_channel, int(match[2]) if match[2] else first_channel + 1)
             if max(channels) > 255 or channels[0] == channels[1]:
                 raise ValueError(f"interleaved={options['interleaved']} is out of range")
-        ssrc = options.get("ssrc", "")
-        known = int(ssrc, 16) if re.fullmatch(r"[0-9A-Fa-f]{1,8}", ssrc) else None
-        found.append(Transport(first, "multicast" not in options, channels, known))
-    return tuple(found)
+        ssrc_text = options.get("ssrc", "")
+        ssrc = int(ssrc_text, 16) if re.fullmatch(r"[0-9A-Fa-f]{1,8}", ssrc_text) else None
+        transports.append(Transport(protocol, "multicast" not in options, channels, ssrc))
+    return tuple(transports)
 
 
 def parse_npt(text: str) -> float | None:
-    """The start of a Range in normal play time (RFC 2326, 3.6), seconds; None: none given, or `now`."""
+    """Returns the start of a Range in normal play time (RFC 2326, 3.6) in seconds. None: absent or `now`."""
     match = re.match(r"\s*npt\s*=\s*(?:(\d+):(\d\d):(\d\d(?:\.\d*)?)|(\d+(?:\.\d*)?))", text)
     if not match:
         return None
@@ -249,20 +257,20 @@
 
 
 def split_url(url: str) -> tuple[str, str]:
-    """Host and port as written, and the path with its query. Raises `ValueError` if it is no RTSP URL."""
-    parts = URL.fullmatch(url)
-    if not parts:
-        raise ValueError(f"{url[:80]!r} is no RTSP URL")
-    path, query = parts[2] or "/", parts[3]
-    return parts[1], f"{path}?{query}" if query else path
+    """Returns host and port as written, and the path with its query. Raises `ValueError` for other URLs."""
+    match = URL_PATTERN.fullmatch(url)
+    if not match:
+        raise ValueError(f"{url[:80]!r} is not an RTSP URL")
+    path, query = match[2] or "/", match[3]
+    return match[1], f"{path}?{query}" if query else path
 
 
-URL = re.compile(r"(?i:rtspu?)://([^/?#\s]+)(/[^?#\s]*)?(?:\?([^#\s]*))?(?:#\S*)?")
-TRACK = re.compile(r"/(?:trackID|streamid|track)=(\d{1,3})/?$", re.IGNORECASE)
+URL_PATTERN = re.compile(r"(?i:rtspu?)://([^/?#\s]+)(/[^?#\s]*)?(?:\?([^#\s]*))?(?:#\S*)?")
+TRACK_SUFFIX = re.compile(r"/(?:trackID|streamid|track)=(\d{1,3})/?$", re.IGNORECASE)
 
 
 def split_track(path: str) -> tuple[str, int | None]:
-    """A path without its track suffix, and the track's number, if it names one."""
-    if match := TRACK.search(path):
+    """Returns the path without its track suffix, and the track number, None if there is no suffix."""
+    if match := TRACK_SUFFIX.search(path):
         return path[: match.start()] or "/", int(match[1])
     return (path[:-1] if path.endswith("/") and len(path) > 1 else path), None
--- a/lemonhall/rtsp/reports.py
+++ b/lemonhall/rtsp/reports.py
@@ -1,4 +1,4 @@
-"""Load reports in answers, as ORCA's text form puts them (`endpoint-load-metrics: TEXT k=v, ...`). Pure."""
+"""Load reports in responses, in the text format of ORCA (`endpoint-load-metrics: TEXT k=v, ...`). No I/O."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 def decode(text: str, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of `fields` in their order; empty if one is missing or the text is of another form."""
-    kind, _, rest = text.strip().partition(" ")
-    if kind.upper() != "TEXT":
+    """Returns the values of `fields` in their order, or `()` if one is missing or the format is another."""
+    format_name, _, rest = text.strip().partition(" ")
+    if format_name.upper() != "TEXT":
         return ()
-    found: dict[str, float] = {}
-    for part in rest.split(","):
-        name, equals, value = part.strip().partition("=")
+    values: dict[str, float] = {}
+    for metric in rest.split(","):
+        name, equals, value = metric.strip().partition("=")
         try:
             number = float(value)
         except ValueError:
             continue
         if equals and isfinite(number) and number >= 0:
-            found[name.removeprefix("named_metrics.")] = number
-    if any(name not in found for name in fields):
+            values[name.removeprefix("named_metrics.")] = number
+    if any(name not in values for name in fields):
         return ()
-    return tuple(found[name] for name in fields)
+    return tuple(values[name] for name in fields)
--- a/lemonhall/rtsp/sdp.py
+++ b/lemonhall/rtsp/sdp.py
@@ -1,4 +1,4 @@
-"""What a front needs of SDP (RFC 4566 as used by RFC 2326, appendix C): tracks, their controls and clocks."""
+"""Parses the tracks of an SDP (RFC 4566, as used by RFC 2326, appendix C), their controls and clock rates."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
     kind: str  # video, audio, ...
     payload_type: int
     clock_rate: int  # Hz
-    control: str  # as the server wrote it
+    control: str  # as in the server's SDP
 
 
 @dataclass(frozen=True)
 class Description:
-    """A session's tracks, and the text with each control made `trackID=N` (what the viewer is given)."""
+    """The tracks of a session, and the SDP for the viewer, with each control replaced by `trackID=N`."""
 
     tracks: tuple[Track, ...]
     text: bytes
-    length_s: float  # from a=range:npt, 0: not told
+    length_s: float  # from a=range:npt; 0: not given
 
 
-STATIC_CLOCKS = {
+# Hz, by static payload type (RFC 3551)
+STATIC_CLOCK_RATES = {
     0: 8000,
     8: 8000,
     10: 44100,
@@ -34,34 +35,34 @@
     32: 90000,
     33: 90000,
 }
-MEDIA = re.compile(r"m=(\w+) \d+(?:/\d+)? RTP/\w+ (\d{1,3})(?: .*)?")
-RANGE = re.compile(r"a=range:npt=0?(?:\.0*)?-(\d+(?:\.\d+)?)")
+MEDIA_LINE = re.compile(r"m=(\w+) \d+(?:/\d+)? RTP/\w+ (\d{1,3})(?: .*)?")
+RANGE_LINE = re.compile(r"a=range:npt=0?(?:\.0*)?-(\d+(?:\.\d+)?)")
 
 
 def parse(body: bytes) -> Description:
-    """Raises `ValueError` on what is no SDP or holds no track."""
+    """Raises `ValueError` if the body is not an SDP or has no track."""
     try:
         lines = body.decode().replace("\r\n", "\n").rstrip("\n").split("\n")
     except UnicodeDecodeError as error:
-        raise ValueError("an SDP that is not UTF-8") from error
+        raise ValueError("SDP is not UTF-8") from error
     if lines[0] != "v=0":
-        raise ValueError("an SDP that does not begin with v=0")
+        raise ValueError("SDP does not begin with v=0")
     tracks: list[Track] = []
-    text: list[str] = []
-    length = 0.0
+    output_lines: list[str] = []
+    length_s = 0.0
     for number, line in enumerate(lines, 1):
         if line[1:2] != "=":
-            raise ValueError(f"SDP line {number}: {line[:40]!r}")
+            raise ValueError(f"SDP line {number}: {line[:40]!r} is not a field")
         if line.startswith("m="):
-            media = MEDIA.fullmatch(line)
+            media = MEDIA_LINE.fullmatch(line)
             if not media:
-                raise ValueError(f"SDP line {number}: {line[:40]!r} is no RTP track")
+                raise ValueError(f"SDP line {number}: {line[:40]!r} is not an RTP track")
             payload_type = int(media[2])
-            tracks.append(Track(media[1], payload_type, STATIC_CLOCKS.get(payload_type, 90000), ""))
-            text += [line, f"a=control:trackID={len(tracks) - 1}"]
+            tracks.append(Track(media[1], payload_type, STATIC_CLOCK_RATES.get(payload_type, 90000), ""))
+            output_lines += [line, f"a=control:trackID={len(tracks) - 1}"]
             continue
-        if found := RANGE.match(line):
-            length = float(found[1])
+        if range_line := RANGE_LINE.match(line):
+            length_s = float(range_line[1])
         if line.startswith("a=control:"):
             if tracks:
                 tracks[-1] = Track(
@@ -70,9 +71,9 @@
             continue
         rtpmap = re.match(r"a=rtpmap:(\d+) [^/]+/(\d+)", line)
         if rtpmap and tracks and int(rtpmap[1]) == tracks[-1].payload_type and int(rtpmap[2]) > 0:
-            old = tracks[-1]
-            tracks[-1] = Track(old.kind, old.payload_type, int(rtpmap[2]), old.control)
-        text.append(line)
+            track = tracks[-1]
+            tracks[-1] = Track(track.kind, track.payload_type, int(rtpmap[2]), track.control)
+        output_lines.append(line)
     if not tracks:
-        raise ValueError("an SDP without a track")
-    return Description(tuple(tracks), ("\r\n".join(text) + "\r\n").encode(), length)
+        raise ValueError("SDP has no track")
+    return Description(tuple(tracks), ("\r\n".join(output_lines) + "\r\n").encode(), length_s)
--- a/lemonhall/standins/box.py
+++ b/lemonhall/standins/box.py
@@ -18,9 +18,9 @@
 from lemonhall.interface import NoteKind
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.loop.event_loop import Timer
-from lemonhall.rtsp import Malformed, Parser, Request, reports, rtp
+from lemonhall.rtsp import MalformedInput, Parser, Request, reports, rtp
 from lemonhall.rtsp.messages import make_response, parse_npt, parse_transport, split_url
-from lemonhall.rtsp.parser import frame
+from lemonhall.rtsp.parser import encode_frame
 from lemonhall.standins import media
 from lemonhall.standins.arrival import Looks, data_ago_ms
 from lemonhall.standins.control import say
@@ -60,7 +60,7 @@
                 self.box.tap.message(self.box.who, self.conn, "in", event, self.stream.bytes_read, ago_ms)
                 self.via = event.headers.get("Via").rpartition(" ")[2] or self.via
                 self.box.on_request(self, event, ago_ms)
-            elif isinstance(event, Malformed):
+            elif isinstance(event, MalformedInput):
                 self.stream.abort()
 
     def respond(self, request: Request, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
@@ -110,7 +110,7 @@
         self.stamp = (self.stamp + round(media.CLOCK / fps)) & 0xFFFFFFFF
         self.left_s -= 1 / fps
         if self.left_s <= 0:
-            self.conn.stream.write(frame(self.channels[1], rtp.build_bye(self.ssrc, "end")))
+            self.conn.stream.write(encode_frame(self.channels[1], rtp.build_bye(self.ssrc, "end")))
             self.end()
             return
         self.credit = min(2.0, self.credit + box.share())
@@ -124,12 +124,12 @@
                 rtp.RtpHeader(media.PAYLOAD_TYPE, n == len(parts), self.sequence, self.stamp, self.ssrc)
             )
             self.sequence = (self.sequence + 1) & 0xFFFF
-            out.append(frame(self.channels[0], head + part))
+            out.append(encode_frame(self.channels[0], head + part))
         self.conn.stream.write(b"".join(out))
 
     def note(self, kind: int, value: float) -> None:
         if self.started and not self.box.still:
-            self.conn.stream.write(frame(self.channels[1], rtp.build_note(self.ssrc, kind, value)))
+            self.conn.stream.write(encode_frame(self.channels[1], rtp.build_note(self.ssrc, kind, value)))
 
     def end(self) -> None:
         if self.timer:
--- a/lemonhall/standins/boxlist.py
+++ b/lemonhall/standins/boxlist.py
@@ -9,7 +9,7 @@
 
 import httptools
 
-from lemonhall.boxlist import Box, State, Update, delimit
+from lemonhall.boxlist import Box, State, Update, encode_delimited
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.standins.control import say
 from lemonhall.standins.tap import Tap
@@ -51,7 +51,7 @@
             update = Update.FromString(update.SerializeToString())
             for box in update.boxes:
                 box.address = through.get(box.address, box.address)
-        body = delimit(update)
+        body = encode_delimited(update)
         self.stream.write(f"{len(body):x}\r\n".encode() + body + b"\r\n")
         if not update.boxes and not update.full:
             return
--- a/lemonhall/standins/viewers.py
+++ b/lemonhall/standins/viewers.py
@@ -13,7 +13,7 @@
 from lemonhall.interface import Repeat
 from lemonhall.loop import Handler, Loop, Stream
 from lemonhall.loop.event_loop import Timer
-from lemonhall.rtsp import Frames, Parser, Request, Response, rtp
+from lemonhall.rtsp import FrameRun, Parser, Request, Response, rtp
 from lemonhall.rtsp.messages import make_request
 from lemonhall.rtsp.parser import split_frames
 from lemonhall.standins.control import say
@@ -97,7 +97,7 @@
             if isinstance(event, Response):
                 self.crowd.tap.message("viewer", self.conn, "in", event)
                 self.on_response(event)
-            elif isinstance(event, Frames):
+            elif isinstance(event, FrameRun):
                 self.on_frames(event)
             elif isinstance(event, Request):
                 self.crowd.tap.message("viewer", self.conn, "in", event)
@@ -147,13 +147,13 @@
             else:
                 self.again_or_done(response)
 
-    def on_frames(self, run: Frames) -> None:
-        if run.rtcp:
+    def on_frames(self, run: FrameRun) -> None:
+        if run.is_rtcp:
             try:
                 packets = rtp.parse_rtcp(split_frames(run.data)[0][1])
             except ValueError:
                 return
-            if any(p.kind == rtp.BYE for p in packets):
+            if any(p.packet_type == rtp.BYE for p in packets):
                 self.crowd.tap.write("viewer", self.conn, "bye", ask=self.ask)
                 self.broken()
         elif not self.media_seen:
--- a/tests/front/harness.py
+++ b/tests/front/harness.py
@@ -13,9 +13,9 @@
 from lemonhall.config.settings import read_settings
 from lemonhall.front.process.daemon import Daemon
 from lemonhall.loop import Handler, Loop, Stream, listen
-from lemonhall.rtsp import Frames, Parser, Request, Response, rtp
+from lemonhall.rtsp import FrameRun, Parser, Request, Response, rtp
 from lemonhall.rtsp.messages import make_request, parse_transport
-from lemonhall.rtsp.parser import frame, split_frames
+from lemonhall.rtsp.parser import encode_frame, split_frames
 from lemonhall.standins.media import sdp
 
 TERMS = """
@@ -51,7 +51,7 @@
                 if offers := parse_transport(event.headers.get("Transport")):
                     self.channel = (offers[0].channels or (0, 1))[0]
                 self.scripted_server.answer(self, event)
-            elif isinstance(event, Frames):
+            elif isinstance(event, FrameRun):
                 self.scripted_server.frames += split_frames(bytes(event.data))
 
     def reply(self, request: Request, status: int = 200, *headers: str, body: bytes = b"") -> None:
@@ -63,7 +63,7 @@
         if sequence is None:
             sequence, self.sequence = self.sequence, self.sequence + 1
         header = rtp.build_rtp(rtp.RtpHeader(26, False, sequence, stamp, self.scripted_server.ssrc))
-        return frame(self.channel, header + payload)
+        return encode_frame(self.channel, header + payload)
 
     def media(self, payload: bytes = b"media", stamp: int = 9000) -> None:
         self.stream.write(self.packet(payload, stamp=stamp))
@@ -119,7 +119,7 @@
 
     def on_data(self, view: memoryview) -> None:
         for event in self.parser.feed(view):
-            if isinstance(event, Frames):
+            if isinstance(event, FrameRun):
                 self.received += [(c, bytes(p)) for c, p in split_frames(event.data)]
             else:
                 self.received.append(event)
@@ -146,7 +146,7 @@
     @property
     def byes(self) -> int:
         rtcp = [h[1] for h in self.received if isinstance(h, tuple) and h[0] % 2]
-        return sum(p.kind == rtp.BYE for data in rtcp for p in rtp.parse_rtcp(data))
+        return sum(p.packet_type == rtp.BYE for data in rtcp for p in rtp.parse_rtcp(data))
 
 
 class RecordingModule:
--- a/tests/front/process_harness.py
+++ b/tests/front/process_harness.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from lemonhall.boxlist import Box, State, Update, delimit
+from lemonhall.boxlist import Box, State, Update, encode_delimited
 from lemonhall.loop import Handler, Loop, Stream, listen
 from lemonhall.rtsp import rtp
 from tests.front.harness import TERMS, Client, ScriptedServer, ServerConnection
@@ -31,7 +31,7 @@
             Box(id=s.server_id, address=f"127.0.0.1:{s.port}", weight=1.0, state=State.READY)
             for s in self.scripted_servers
         ]
-        body = delimit(Update(version=1, full=True, boxes=entries))
+        body = encode_delimited(Update(version=1, full=True, boxes=entries))
         stream.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/x-protobuf\r\n\r\n" + body)
         self.streams.append(stream)
 
--- a/tests/front/test_daemon.py
+++ b/tests/front/test_daemon.py
@@ -18,7 +18,7 @@
 import pytest
 
 from lemonhall import interface as i
-from lemonhall.boxlist import Box, State, Update, delimit
+from lemonhall.boxlist import Box, State, Update, encode_delimited
 from lemonhall.front.decider.list_client import ListClient
 from lemonhall.front.decider.peers import PeerSocket, encode
 from lemonhall.front.servers.descriptions import choose_server
@@ -86,11 +86,13 @@
     harness.client.start()
     harness.run_until(lambda: harness.server.streams)
     assert b"User-Agent: lemonhall/f0" in harness.server.heads[0]
-    data = delimit(make_update(5, True, (1, 1), (2, 1))) + delimit(make_update(6, False, (2, 2), (3, 1)))
+    data = encode_delimited(make_update(5, True, (1, 1), (2, 1))) + encode_delimited(
+        make_update(6, False, (2, 2), (3, 1))
+    )
     for offset in range(0, len(data), 7):
         harness.server.push(data[offset : offset + 7])
-    harness.server.push(delimit(make_update(6, False, (1, 0))))  # already known
-    harness.server.push(delimit(make_update(7, False, (1, 0))))
+    harness.server.push(encode_delimited(make_update(6, False, (1, 0))))  # already known
+    harness.server.push(encode_delimited(make_update(7, False, (1, 0))))
     harness.run_until(lambda: len(harness.received_events) == 3)
     kinds = [e.kind for e in harness.received_events if isinstance(e, i.ServerList)]
     assert kinds == [i.ListKind.FULL, i.ListKind.CHANGES, i.ListKind.CHANGES]
