--- a/lemonhall/rtsp/rtp.py
+++ b/lemonhall/rtsp/rtp.py
@@ -27,7 +27,7 @@
 def parse_rtp(packet: bytes | memoryview) -> RtpHeader:
     """Parses the fixed header (RFC 3550, 5.1). Raises `ValueError` if it is incomplete or not version 2."""
     if len(packet) < RTP_HEADER.size or packet[0] >> 6 != 2:
-        raise ValueError(f"packet of {len(packet)} bytes is not an RTP packet")
+        raise ValueError(f"{len(packet)} bytes are not an RTP packet")
     _, marker_and_type, sequence, timestamp, ssrc = RTP_HEADER.unpack_from(packet)
     return RtpHeader(marker_and_type & 0x7F, bool(marker_and_type & 0x80), sequence, timestamp, ssrc)
 
--- a/lemonhall/rtsp/sdp.py
+++ b/lemonhall/rtsp/sdp.py
@@ -52,7 +52,7 @@
     length_s = 0.0
     for number, line in enumerate(lines, 1):
         if line[1:2] != "=":
-            raise ValueError(f"SDP line {number}: {line[:40]!r} is not a field")
+            raise ValueError(f"invalid SDP line {number}: {line[:40]!r}")
         if line.startswith("m="):
             media = MEDIA_LINE.fullmatch(line)
             if not media:
