--- a/lemonhall/front/persistence/store_service.py
+++ b/lemonhall/front/persistence/store_service.py
@@ -272,9 +272,9 @@
             self.counts["settled_ran" if ran else "settled_free"] += 1
             self.write(write, urgent=False)
 
-    def settle_unsent(self, token: Token, turn: int, attempts: int) -> None:
+    def settle_unsent(self, token: Token, turn: int, attempt_number: int) -> None:
         """Records that an attempt of an earlier decider was provably never sent."""
-        if write := self.ledger.free_unsent(token, turn, attempts, self.wall()):
+        if write := self.ledger.free_unsent(token, turn, attempt_number, self.wall()):
             self.counts["settled_unsent"] += 1
             self.write(write, urgent=False)
 
