--- a/lemonhall/front/viewers/viewer.py
+++ b/lemonhall/front/viewers/viewer.py
@@ -21,11 +21,11 @@
 from lemonhall.front.viewers.session import Session, SessionHost, State, ViewerTrack
 from lemonhall.interface import Repeat
 from lemonhall.loop import Handler, Stream, Timer
-from lemonhall.rtsp import Frames, Malformed, Parser, Request
+from lemonhall.rtsp import FrameRun, MalformedInput, Parser, Request
 from lemonhall.rtsp.messages import (
     METHODS,
     Transport,
-    answer,
+    encode_response,
     make_request,
     make_response,
     parse_npt,
@@ -86,9 +86,9 @@
                 return
             if isinstance(event, Request):
                 self.on_request(event)
-            elif isinstance(event, Frames):
+            elif isinstance(event, FrameRun):
                 self.on_frames(event)
-            elif isinstance(event, Malformed):
+            elif isinstance(event, MalformedInput):
                 self.close_with_error(event)
         self.update_message_timer()
 
@@ -105,7 +105,7 @@
     def on_message_timeout(self) -> None:
         self.message_timer = None
         if self.stream.open:
-            self.close_with_error(Malformed(408, "message not complete within the time limit"))
+            self.close_with_error(MalformedInput(408, "message not complete within the time limit"))
 
     def mark_active(self) -> None:
         """Records activity. The connection's only idle timer compares with it and is not set anew."""
@@ -124,14 +124,14 @@
             remaining_s if remaining_s > 0 else idle_s, self.check_idle
         )
 
-    def close_with_error(self, error: Malformed) -> None:
+    def close_with_error(self, error: MalformedInput) -> None:
         """Responds once to input that cannot be processed, and closes; sessions end with the connection."""
         self.worker.counts["malformed"] += 1
         log.info(
             "request not processable; connection closed",
             peer=str(self.peer),
             status=error.status,
-            reason=error.why,
+            reason=error.reason,
         )
         self.closing_on_error = True
         self.stream.write(make_response(error.status, error.cseq, ("Connection", "close")).encode())
@@ -145,7 +145,7 @@
             session.on_viewer_lost()
         self.worker.on_viewer_closed(self)
 
-    def on_frames(self, run: Frames) -> None:
+    def on_frames(self, run: FrameRun) -> None:
         """Passes receiver reports to their session; frames of channels without a track are ignored."""
         for channel, payload in split_frames(run.data):
             for session in self.sessions.values():
@@ -232,7 +232,7 @@
         cseq = request.cseq
         key = (cseq, request.method, request.url)
         if not (cseq.isascii() and cseq.isdigit() and len(cseq) <= 10):
-            self.close_with_error(Malformed(400, "CSeq is missing or not a number of at most 10 digits"))
+            self.close_with_error(MalformedInput(400, "CSeq is missing or not a number of at most 10 digits"))
             return
         if self.last_request and cseq == self.last_request[0]:
             if key != self.last_request:
@@ -241,7 +241,7 @@
                 self.stream.write(self.last_response)
             return
         if len(self.slots) >= MAX_PENDING_REQUESTS:
-            self.close_with_error(Malformed(503, "too many pending requests", request.cseq))
+            self.close_with_error(MalformedInput(503, "too many pending requests", request.cseq))
             return
         self.last_request, self.last_response = key, None
         slot = ResponseSlot(request)
@@ -264,7 +264,7 @@
         self.respond(slot, status)
 
     def respond(self, slot: ResponseSlot, status: int, *headers: tuple[str, str], body: bytes = b"") -> None:
-        self.complete_slot(slot, answer(status, slot.request.cseq, *headers, body=body))
+        self.complete_slot(slot, encode_response(status, slot.request.cseq, *headers, body=body))
 
     def parse_path(self, slot: ResponseSlot, request: Request) -> tuple[str, int | None] | None:
         """Returns path and track of the request's URL. Responds with 400 to a malformed one; returns None."""
