--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -166,7 +166,7 @@
 
 
 def unpack_stream(daemon: Daemon, packed: Packed, fd: int, handler: Handler, high: int) -> Stream:
-    """Restores a stream in its earlier state, but frozen."""
+    """Restores a stream in its earlier state, with its I/O suspended."""
     stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, io_suspended=True)
     if unsent := base64.b64decode(packed["out"]):
         stream.send_queue = deque([memoryview(unsent)])
@@ -227,7 +227,7 @@
 
 
 def unpack_viewer(daemon: Daemon, packed: Packed, fds: list[int]) -> ViewerConnection:
-    """Restores a frozen connection; nothing is read, written or reported before `start_viewer`.
+    """Restores a suspended connection; nothing is read, written or reported before `start_viewer`.
 
     Removes the descriptors that it needs from `fds`. Raises `KeyError`, `ValueError` or `TypeError` for
     invalid data.
@@ -298,7 +298,7 @@
 # at the source
 
 
-def freeze_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+def suspend_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
     """Stops all activity on the connection; the decider's messages for its sessions are ignored."""
     viewer.idle_timer.cancel()
     if viewer.head_timer:
@@ -311,8 +311,8 @@
             daemon.worker.asks.pop(session.ask.number, None)
 
 
-def thaw_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """Resumes a frozen connection that stays with this process."""
+def resume_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+    """Resumes a suspended connection that stays with this process."""
     for session in viewer.sessions.values():
         if session.ask and session.state is State.PLAYING:
             daemon.worker.asks[session.ask.number] = session.ask
@@ -323,7 +323,7 @@
 
 
 def release_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """Forgets a connection that the successor owns: the module here drops its sessions, claims go along."""
+    """Forgets a connection that the successor owns, and its sessions; its claims belong to the successor."""
     discard_viewer(viewer)
     worker = daemon.worker
     worker.viewers.discard(viewer)
--- a/lemonhall/front/handover/front_handover.py
+++ b/lemonhall/front/handover/front_handover.py
@@ -58,7 +58,7 @@
         """Raises `OSError` if the path cannot be bound."""
         self.daemon = daemon
         self.token: OwnershipToken | None = None
-        self.frozen: list[ViewerConnection] = []
+        self.suspended_viewers: list[ViewerConnection] = []
         self.timeout_timer: Timer | None = None
         self.poll_timer: Timer | None = None
         self.viewers_handed_over = 0
@@ -128,7 +128,7 @@
             if daemon.list_client.server_list.version
             else "",
             "born_ms": daemon.list_client.server_list.front_started_ms,
-            "clock": [daemon.start_wall_ms, daemon.start],
+            "clock": [daemon.start_wall_ms, daemon.start_monotonic_s],
             "fleet": list(daemon.membership.share.reported) if daemon.membership else None,
             "limits": connection_state.to_base64(
                 daemon.set_up_requests.limits.machine.escrow.handover_state()
@@ -158,7 +158,7 @@
                     break
                 ready.append(viewer)
         if ready:
-            self.frozen = ready
+            self.suspended_viewers = ready
             self.perform_all(self.source.on_batch_ready())
         else:
             self.poll_timer = self.loop.call_later(POLL_INTERVAL_S, self.prepare_next)
@@ -166,24 +166,28 @@
     def send_batch(self, batch: int) -> None:
         self.failpoint("hand")
         daemon = self.daemon
-        for viewer in self.frozen:
-            connection_state.freeze_viewer(daemon, viewer)
+        for viewer in self.suspended_viewers:
+            connection_state.suspend_viewer(daemon, viewer)
         daemon.decider_queue.deliver()
         daemon.bridge.flush()  # earlier messages about these sessions are processed before they are packed
         self.token = OwnershipToken()
         fds = [self.token.fd]
-        for viewer in self.frozen:
+        for viewer in self.suspended_viewers:
             fds += [s.sock.fileno() for s in connection_state.connection_streams(viewer)]
         assert self.channel
         self.channel.send(
-            {"portion": batch, "viewers": [connection_state.pack_viewer(daemon, v) for v in self.frozen]}, fds
+            {
+                "portion": batch,
+                "viewers": [connection_state.pack_viewer(daemon, v) for v in self.suspended_viewers],
+            },
+            fds,
         )
         self.failpoint("sent")
 
     def resume_batch(self) -> None:
-        viewers, self.frozen = self.frozen, []
+        viewers, self.suspended_viewers = self.suspended_viewers, []
         for viewer in viewers:
-            connection_state.thaw_viewer(self.daemon, viewer)
+            connection_state.resume_viewer(self.daemon, viewer)
 
     def release_batch(self, batch: int) -> None:
         if batch == 0:
@@ -193,7 +197,7 @@
                 viewers=len(self.daemon.worker.viewers),
             )
             return
-        viewers, self.frozen = self.frozen, []
+        viewers, self.suspended_viewers = self.suspended_viewers, []
         for viewer in viewers:
             connection_state.release_viewer(self.daemon, viewer)
         self.viewers_handed_over += len(viewers)
@@ -320,7 +324,7 @@
     def adopt_state(self, message: dict[str, Any]) -> None:
         """Restores clock, server list and learned state of the old front before this front opens."""
         daemon = self.daemon
-        daemon.start_wall_ms, daemon.start = message["clock"]
+        daemon.start_wall_ms, daemon.start_monotonic_s = message["clock"]
         daemon.list_client.server_list.front_started_ms = message["born_ms"]
         daemon.inherited = self.inherited
         if message["list"]:
--- a/lemonhall/front/handover/state_machine.py
+++ b/lemonhall/front/handover/state_machine.py
@@ -19,7 +19,7 @@
 class Action(Enum):
     """What a process has to do. Effects that concern a batch carry its number."""
 
-    SEND = auto()  # source: freeze the batch and send it with its token
+    SEND = auto()  # source: suspend the batch and send it with its token
     CLAIM_TOKEN = auto()  # both: read the batch's token and pass the result to `on_token_claimed`
     RESUME = auto()  # source: resume the batch, this process still owns it
     RELEASE = auto()  # source: the successor owns the batch; close the copies here
--- a/lemonhall/front/process/daemon.py
+++ b/lemonhall/front/process/daemon.py
@@ -108,7 +108,7 @@
         wall: Callable[[], float] = time.time,
     ) -> None:
         self.settings, self.loop, self.wall = settings, loop or Loop(), wall
-        self.start_wall_ms, self.start = wall() * 1000, self.loop.now()
+        self.start_wall_ms, self.start_monotonic_s = wall() * 1000, self.loop.now()
         random = Random(settings.seed)
         self.bridge = Bridge(make(settings.to_module(), settings.seed), self.now_ms)
         self.list_client = ListClient(
@@ -176,7 +176,7 @@
             {
                 i.SetTimer: self.set_timer,
                 i.Probe: self.probe,
-                i.SendToPeers: self.tell_peers,
+                i.SendToPeers: self.send_to_peers,
                 i.Subscribe: self.list_client.subscribe,
                 i.Reload: self.list_client.reload,
                 i.LogMessage: lambda action: log.info("remark", text=action.text),
@@ -225,7 +225,7 @@
             for change in changes:
                 self.capture.add_note(self.now_ms(), "settings", change.what)
         if self.set_up_requests.limits:
-            self.set_up_requests.limits.apply_plan(self.subsystems.limits_plan())
+            self.set_up_requests.limits.apply_plan(self.subsystems.limit_settings())
         elif settings.terms.fleet_limits:
             self.subsystems.open_limits()
         self.hooks.apply_settings(settings)
@@ -237,7 +237,7 @@
 
     def now_ms(self) -> float:
         """The decision module's clock: Unix time at the start, monotonic from then on."""
-        return self.start_wall_ms + (self.loop.now() - self.start) * 1000
+        return self.start_wall_ms + (self.loop.now() - self.start_monotonic_s) * 1000
 
     def on_error(self, error: Exception) -> None:
         """Counts and logs an exception of one callback, with its trace; everything else goes on."""
@@ -309,7 +309,7 @@
                 Path(settings.record), settings, self.loop.now() * 1000
             )
         if self.store_service:
-            self.restore_kept_state(self.store_service, fresh)
+            self.restore_stored_state(self.store_service, fresh)
         self.open_handover()
         if self.workers:
             self.workers.start_accepting()
@@ -454,7 +454,7 @@
         get_memory: Callable[[], i.LearnedState] | None = getattr(self.bridge.decider, "memory", None)
         return get_memory() if get_memory and self.bridge.calls else None
 
-    def restore_kept_state(self, store_service: StoreService, fresh: bool) -> None:
+    def restore_stored_state(self, store_service: StoreService, fresh: bool) -> None:
         """Restores what an earlier process stored, unless a running front handed its state over.
 
         Sessions that were playing then have ended with their process.
@@ -588,7 +588,7 @@
     def set_timer(self, action: i.SetTimer) -> None:
         self.loop.call_later(action.after_ms / 1000, self.bridge.enqueue, i.TimerDue(action.token))
 
-    def tell_peers(self, action: i.SendToPeers) -> None:
+    def send_to_peers(self, action: i.SendToPeers) -> None:
         if self.peers:
             self.peers.send(action)
 
--- a/lemonhall/front/process/subsystems.py
+++ b/lemonhall/front/process/subsystems.py
@@ -99,12 +99,11 @@
             if not self.front.list_client.server_list.boxes:
                 driver.request_list()
         if not settings.list_url:
-            driver.record_list_alive(
-                0.0, len(self.front.list_client.server_list.boxes)
-            )  # there is no list to wait for
+            # There is no list to wait for.
+            driver.record_list_alive(0.0, len(self.front.list_client.server_list.boxes))
         elif not (fresh and settings.members):
             self.front.list_client.start()
-        else:  # by then peers that recover as well have announced it
+        else:  # by then, peers that recover as well have announced themselves
             self.front.loop.call_later(RECOVERY_WAIT_S, self.start_list_client)
         if fresh and settings.members:
             driver.verify_store(settings.members.period_ms)
@@ -168,7 +167,7 @@
         if self.front.capture:
             self.front.capture.add_note(self.front.now_ms(), "halls", text)
 
-    def limits_plan(self) -> LimitSettings:
+    def limit_settings(self) -> LimitSettings:
         settings = self.front.settings
         return LimitSettings.of(
             settings.terms, settings.members.period_ms if settings.members else MAX_PERIOD_MS
@@ -183,7 +182,7 @@
         random = Random(SystemRandom().getrandbits(64))
         incarnation, fresh = int(self.front.wall() * 1000), settings.workers == 0
         machine = FleetLimits(
-            self.limits_plan(),
+            self.limit_settings(),
             settings.index,
             settings.fronts,
             settings.hall,
--- a/lemonhall/front/workers/worker_process.py
+++ b/lemonhall/front/workers/worker_process.py
@@ -61,7 +61,7 @@
             control,
         )
         self.loop = control.loop
-        self.start, self.start_wall_ms = self.loop.now(), time.time() * 1000
+        self.start_monotonic_s, self.start_wall_ms = self.loop.now(), time.time() * 1000
         self.server_list = ServerListState()
         self.worker: Worker | None = None
         self.connection: MessageConnection | None = None
@@ -80,7 +80,7 @@
         self.loop.call_later(COUNTER_INTERVAL_S, self.report_counters)
 
     def now_ms(self) -> float:
-        return self.start_wall_ms + (self.loop.now() - self.start) * 1000
+        return self.start_wall_ms + (self.loop.now() - self.start_monotonic_s) * 1000
 
     def on_error(self, error: Exception) -> None:
         if self.worker:
--- a/tests/front/test_handover_states.py
+++ b/tests/front/test_handover_states.py
@@ -18,7 +18,7 @@
     def __init__(self, machine: Any, owns: set[int], serves: bool) -> None:
         self.machine, self.owns, self.serves = machine, owns, serves
         self.alive = True
-        self.frozen: set[int] = set()
+        self.suspended: set[int] = set()
         self.pending: list[Effect] = []
         self.drains = False
         self.inbox: list[tuple[str, int]] = []
@@ -48,7 +48,7 @@
             fields = sorted((k, str(v)) for k, v in vars(p.machine).items())
             pending = [(e.action.name, e.batch) for e in p.pending]
             flags = (p.serves, p.alive, p.saw_peer_end, p.drains)
-            return (fields, sorted(p.owns), sorted(p.frozen), pending, p.inbox, flags)
+            return (fields, sorted(p.owns), sorted(p.suspended), pending, p.inbox, flags)
 
         rest = (
             sorted(self.tokens),
@@ -125,7 +125,7 @@
         effect = process.pending.pop(0)
         batch, action = effect.batch, effect.action
         if action is Action.SEND:
-            process.frozen.add(batch)
+            process.suspended.add(batch)
             self.tokens.add(batch)
             other.inbox.append(("batch", batch))
         elif action is Action.CLAIM_TOKEN:
@@ -137,17 +137,17 @@
                 process.owns.discard(batch)
             process.pending += process.machine.on_token_claimed(batch, won)
             if won and process is self.new:
-                self.old.owns.discard(batch)  # it is frozen there and not touched any more
+                self.old.owns.discard(batch)  # it is suspended there and not used any more
         elif action is Action.RESUME:
-            process.frozen.discard(batch)
+            process.suspended.discard(batch)
             if batch == 0:
                 process.owns.add(0)
                 process.serves = True
         elif action is Action.RELEASE:
-            process.frozen.discard(batch)
+            process.suspended.discard(batch)
             process.serves &= batch != 0
         elif action is Action.PREPARE_NEXT:
-            remaining = sorted(n for n in process.owns if n and n not in process.frozen)
+            remaining = sorted(n for n in process.owns if n and n not in process.suspended)
             process.pending += (
                 process.machine.on_batch_ready() if remaining else process.machine.on_nothing_left()
             )
@@ -169,7 +169,7 @@
 
     def violation(self) -> str:
         both = self.old.owns & self.new.owns if self.old.alive and self.new.alive else set()
-        in_use = both - self.old.frozen
+        in_use = both - self.old.suspended
         if in_use:
             return f"both own {in_use}"
         return ""
@@ -184,8 +184,8 @@
         missing = set(range(1, self.batches + 1)) - owned - self.lost
         if missing:
             return f"no process owns {missing}"
-        stuck = self.old.frozen & self.old.owns if self.old.alive else set()
-        return f"frozen for good {stuck}" if stuck else ""
+        stuck = self.old.suspended & self.old.owns if self.old.alive else set()
+        return f"suspended for good {stuck}" if stuck else ""
 
 
 def explore(first: HandoverModel) -> tuple[int, list[str]]:
