--- a/lemonhall/front/decider/list_client.py
+++ b/lemonhall/front/decider/list_client.py
@@ -1,5 +1,4 @@
-"""Client of the server list service: receives the list over HTTP, caches it on disk, and reports it to the
-module."""
+"""Receives the server list over HTTP, caches it on disk for a restart, and reports it to the module."""
 
 from __future__ import annotations
 
@@ -11,7 +10,7 @@
 import httptools
 import structlog
 
-from lemonhall import interface as i
+from lemonhall import interface
 from lemonhall.boxlist import CacheError, Delimited, Update, from_cache, to_cache
 from lemonhall.front.persistence.store_service import StoreService
 from lemonhall.front.servers.server_list import ServerListState
@@ -36,7 +35,7 @@
         url: str,
         cache: str,
         name: str,
-        on_event: Callable[[i.Event], None],
+        on_event: Callable[[interface.Event], None],
         front_started_ms: float = 0.0,
     ) -> None:
         parts = urlsplit(url)
@@ -76,8 +75,7 @@
             self.on_event(event)
 
     def adopt_list(self, update: Update) -> bool:
-        """Applies a list received from other fronts if this front has none. Returns whether it was
-        applied."""
+        """Applies a list of other fronts if this front has none. Returns whether it was applied."""
         if self.server_list.version or self.server_list.boxes:
             return False
         if event := self.server_list.apply(update, cached=True):
@@ -85,8 +83,8 @@
         return event is not None
 
     def read_cache(self) -> bytes | None:
-        if self.store_service and (kept := self.store_service.load_list()):
-            return kept
+        if self.store_service and (stored := self.store_service.load_list()):
+            return stored
         return self.cache.read_bytes() if self.cache and self.cache.exists() else None
 
     def save_cache(self) -> None:
@@ -116,7 +114,7 @@
             self.messages = Delimited()
             self.stream = Stream.connect(self.loop, (self.host, self.port), self, 2.0)
 
-    def subscribe(self, action: i.Subscribe) -> None:
+    def subscribe(self, action: interface.Subscribe) -> None:
         self.wanted = action.on
         if not action.on:
             if self.stream:
@@ -126,7 +124,7 @@
             self.attempts += 1
             self.loop.call_later(delay_s + self.extra_delay_s(), self.start)
 
-    def reload(self, _: i.Reload | None) -> None:
+    def reload(self, _: interface.Reload | None) -> None:
         """Requests the full list by a new GET, whose response starts with it."""
         if self.stream:
             self.stream.close()
@@ -189,4 +187,4 @@
         self.stream = None
         self.fresh = False
         if self.wanted:
-            self.on_event(i.ServerList(i.ListKind.FAILED, self.server_list.version, ()))
+            self.on_event(interface.ServerList(interface.ListKind.FAILED, self.server_list.version, ()))
--- a/lemonhall/front/servers/attempt.py
+++ b/lemonhall/front/servers/attempt.py
@@ -211,18 +211,20 @@
 
     # called by the session
 
-    def set_bandwidth(self, kb: float, rung: int) -> None:
-        """Sends SET_PARAMETER with the rung and its rate `kb` (kB/s) once PLAY was sent; before, the next
-        request carries the rate."""
-        self.bandwidth = kb
+    def set_bandwidth(self, rate_kb: float, rung: int) -> None:
+        """Changes the rate to `rate_kb` (kB/s): by SET_PARAMETER once PLAY was sent, before with the next
+        request."""
+        self.bandwidth = rate_kb
         if self.state in (State.PLAY_SENT, State.PLAYING):
             body = f"rung: {rung}\r\n".encode()
             content_type = ("Content-Type", "text/parameters")
             self.send("SET_PARAMETER", self.url, self.bandwidth_header(), content_type, body=body)
 
     def teardown(self, outcome: Outcome = Outcome.OK) -> None:
-        """Sends TEARDOWN and ends with `outcome` after the response. Before media plays the connection is
-        reset and the outcome is `CANCELLED`."""
+        """Sends TEARDOWN and ends with `outcome` after the response.
+
+        Before media plays the connection is reset instead, and the outcome is `CANCELLED`.
+        """
         if self.state is State.PLAYING:
             self.state, self.teardown_outcome = State.TEARING_DOWN, outcome
             self.stream.resume_reading()
