--- a/tests/front/test_hard_cases.py
+++ b/tests/front/test_hard_cases.py
@@ -54,7 +54,7 @@
     script_all(harness, "SETUP", never_answer)
     client, _, _ = harness.send_play("/claims/one")
     harness.run_until(lambda: harness.set_up_count() == 1)
-    assert sum(harness.module.inner.seats.values()) == 1  # reserved while the attempt is in progress
+    assert sum(harness.module.inner.seats_taken.values()) == 1  # reserved while the attempt is in progress
     client.stream.abort()
     harness.run_until(lambda: harness.module.events_of(i.AttemptEnded))
     ended = harness.module.events_of(i.AttemptEnded)[0]
@@ -63,7 +63,9 @@
     harness.run_until(lambda: any(c.reason for b in harness.scripted_servers for c in b.connections))
     harness.run_for(0.2)
     assert harness.set_up_count() == 1  # not retried
-    assert not +harness.module.inner.seats and not harness.daemon.set_up_requests.open_requests  # released
+    assert (
+        not +harness.module.inner.seats_taken and not harness.daemon.set_up_requests.open_requests
+    )  # released
 
 
 @pytest.mark.parametrize("backwards", [False, True])
@@ -91,7 +93,7 @@
     harness.run_for(0.2)
     assert harness.set_up_count() == 1 and not harness.daemon.set_up_requests.open_requests
     assert not harness.module.inner.sessions
-    assert not any(server.sessions for server in harness.module.inner.boxes.values())
+    assert not any(server.sessions for server in harness.module.inner.tracked_servers.values())
 
 
 def test_a_server_resets_between_setup_and_play_of_a_paid_session(make_front: Build) -> None:
