--- a/lemonhall/front/handover/connection_state.py
+++ b/lemonhall/front/handover/connection_state.py
@@ -43,7 +43,7 @@
 def can_hand_over(viewer: ViewerConnection) -> bool:
     """Whether nothing is in progress on the connection that the successor could not continue."""
     stream = viewer.stream
-    if viewer.closing_on_error or viewer.slots or viewer.parser.broken or not is_usable(stream):
+    if viewer.closing_on_error or viewer.slots or viewer.parser.has_failed or not is_usable(stream):
         return False
     return all(
         s.state is State.READY
@@ -63,7 +63,9 @@
 
 
 def is_playing(attempt: Attempt) -> bool:
-    return attempt.state is AttemptState.PLAYING and is_usable(attempt.stream) and not attempt.parser.broken
+    return (
+        attempt.state is AttemptState.PLAYING and is_usable(attempt.stream) and not attempt.parser.has_failed
+    )
 
 
 def connection_streams(viewer: ViewerConnection) -> list[Stream]:
@@ -109,7 +111,7 @@
         "bandwidth": attempt.bandwidth,
         "start_s": attempt.start_s,
         "began": attempt.started_at,
-        "kept": to_base64(bytes(attempt.parser.kept)),
+        "kept": to_base64(bytes(attempt.parser.buffer)),
         "cseq": attempt.cseq,
         "session": attempt.session,
         "waiting": attempt.pending_methods,
@@ -152,7 +154,7 @@
 def pack_viewer(daemon: Daemon, viewer: ViewerConnection) -> Packed:
     return {
         "peer": str(viewer.peer),
-        "kept": to_base64(bytes(viewer.parser.kept)),
+        "kept": to_base64(bytes(viewer.parser.buffer)),
         "last": viewer.last_request,
         "last_answer": None if viewer.last_response is None else to_base64(viewer.last_response),
         "active_at": viewer.active_at,
@@ -166,7 +168,7 @@
 
 
 def unpack_stream(daemon: Daemon, packed: Packed, fd: int, handler: Handler, high: int) -> Stream:
-    """Restores a stream in its earlier state, but frozen."""
+    """Restores a stream in its earlier state, with its I/O suspended."""
     stream = Stream(daemon.loop, socket.socket(fileno=fd), handler, high, io_suspended=True)
     if unsent := base64.b64decode(packed["out"]):
         stream.send_queue = deque([memoryview(unsent)])
@@ -179,7 +181,7 @@
 
 def restore_parser(buffered: str) -> Parser:
     parser = Parser()
-    parser.kept = bytearray(base64.b64decode(buffered))
+    parser.buffer = bytearray(base64.b64decode(buffered))
     return parser
 
 
@@ -227,7 +229,7 @@
 
 
 def unpack_viewer(daemon: Daemon, packed: Packed, fds: list[int]) -> ViewerConnection:
-    """Restores a frozen connection; nothing is read, written or reported before `start_viewer`.
+    """Restores a suspended connection; nothing is read, written or reported before `start_viewer`.
 
     Removes the descriptors that it needs from `fds`. Raises `KeyError`, `ValueError` or `TypeError` for
     invalid data.
@@ -298,7 +300,7 @@
 # at the source
 
 
-def freeze_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+def suspend_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
     """Stops all activity on the connection; the decider's messages for its sessions are ignored."""
     viewer.idle_timer.cancel()
     if viewer.message_timer:
@@ -311,8 +313,8 @@
             daemon.worker.requests_by_number.pop(session.set_up_request.number, None)
 
 
-def thaw_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """Resumes a frozen connection that stays with this process."""
+def resume_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
+    """Resumes a suspended connection that stays with this process."""
     for session in viewer.sessions.values():
         if session.set_up_request and session.state is State.PLAYING:
             daemon.worker.requests_by_number[session.set_up_request.number] = session.set_up_request
@@ -323,7 +325,7 @@
 
 
 def release_viewer(daemon: Daemon, viewer: ViewerConnection) -> None:
-    """Forgets a connection that the successor owns: the module here drops its sessions, claims go along."""
+    """Forgets a connection that the successor owns, and its sessions; its claims belong to the successor."""
     discard_viewer(viewer)
     worker = daemon.worker
     worker.viewers.discard(viewer)
