--- a/lemonhall/rtsp/messages.py
+++ b/lemonhall/rtsp/messages.py
@@ -86,7 +86,7 @@
         self.first_values = first_values  # by lower-case name; None: built at the first lookup
 
     def index(self) -> dict[str, str]:
-        """Returns the first value of each field by its lower-case name."""
+        """Returns the first value of each field by its lower-case name. The parser joins Transport fields."""
         if self.first_values is None:
             self.first_values = {}
             for name, value in self.items:
@@ -177,7 +177,7 @@
 
 
 def encode_message(start_line: str, cseq: str, headers: Sequence[tuple[str, str]], body: bytes) -> bytes:
-    """Encodes a message without building a `Message`, which is faster for messages that are only sent.
+    """Encodes a message that is sent and not inspected afterwards, without building a `Message`.
 
     Raises `ValueError` if a header value contains a line break.
     """
--- a/lemonhall/rtsp/parser.py
+++ b/lemonhall/rtsp/parser.py
@@ -101,17 +101,17 @@
         """
         buffer = self.buffer
         if buffer[0] == FRAME_MARKER:
-            header_bytes = max(0, FRAME_HEADER_BYTES - len(buffer))
-            buffer += view[:header_bytes]
+            missing_header = max(0, FRAME_HEADER_BYTES - len(buffer))
+            buffer += view[:missing_header]
             if len(buffer) < FRAME_HEADER_BYTES:
                 return -1
-            payload_bytes = FRAME_HEADER_BYTES + (buffer[2] << 8 | buffer[3]) - len(buffer)
-            buffer += view[header_bytes : header_bytes + payload_bytes]
-            if len(view) - header_bytes < payload_bytes:
+            missing_payload = FRAME_HEADER_BYTES + (buffer[2] << 8 | buffer[3]) - len(buffer)
+            buffer += view[missing_header : missing_header + missing_payload]
+            if len(view) - missing_header < missing_payload:
                 return -1
             self.buffer = bytearray()
             events.append(FrameRun(memoryview(buffer), bool(buffer[1] & 1)))
-            return header_bytes + payload_bytes
+            return missing_header + missing_payload
         old_length = len(buffer)
         buffer += view[: self.limits.max_head_bytes + self.limits.max_body_bytes + 4]
         combined = memoryview(bytes(buffer))
@@ -135,7 +135,7 @@
 
         Returns the offset of the first byte that is not part of a complete frame.
         """
-        run_start, last, end, run_channel, last_size = offset, offset, len(view), -1, -1
+        run_start, last_frame, end, run_channel, last_size = offset, offset, len(view), -1, -1
         while offset + FRAME_HEADER_BYTES <= end:
             marker, channel, size = FRAME_HEADER.unpack_from(view, offset)
             if marker != FRAME_MARKER or offset + FRAME_HEADER_BYTES + size > end:
@@ -143,7 +143,7 @@
             after = offset + FRAME_HEADER_BYTES + size
             if channel != run_channel:
                 if offset > run_start:
-                    events.append(FrameRun(view[run_start:offset], False, last - run_start))
+                    events.append(FrameRun(view[run_start:offset], False, last_frame - run_start))
                 run_start, run_channel = offset, channel
                 if channel & 1:
                     events.append(FrameRun(view[offset:after], True))
@@ -153,9 +153,9 @@
                     view, offset, size + FRAME_HEADER_BYTES
                 )
             last_size = size
-            last, offset = after - size - FRAME_HEADER_BYTES, after
+            last_frame, offset = after - size - FRAME_HEADER_BYTES, after
         if offset > run_start:
-            events.append(FrameRun(view[run_start:offset], False, last - run_start))
+            events.append(FrameRun(view[run_start:offset], False, last_frame - run_start))
         return offset
 
     def _fail(self, events: list[Event], status: int, reason: str, cseq: str = "") -> int:
@@ -267,8 +267,8 @@
 def count_equal_headers(view: memoryview, offset: int, frame_bytes: int) -> int:
     """Counts the consecutive frames of equal size from `offset` whose headers are identical.
 
-    Does without a loop over the frames: one strided slice holds the same header byte of all frames, and
-    stripping the leading repetitions of its first byte tells how many frames agree in it.
+    Avoids a loop over the frames: one strided slice holds the same header byte of all frames, and
+    stripping the leading repetitions of its first byte shows how many frames agree in it.
     """
     count = (len(view) - offset) // frame_bytes
     end = offset + count * frame_bytes
