--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -22,7 +22,7 @@
 
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from lemonhall.audit.halls import of_halls  # noqa: E402
+from lemonhall.audit.zones import zone_report  # noqa: E402
 from lemonhall.config.day import Day, read_day  # noqa: E402
 from lemonhall.model.played.world import play  # noqa: E402
 from lemonhall.model.stats import bar  # noqa: E402
@@ -88,19 +88,19 @@
     finally:
         ZoneMonitor.set_up_rate = pace  # type: ignore[method-assign]
     # without the machine nothing is limited: what it would have been held against is the same
-    found = of_halls(played.trace, replace(told, faults=day.faults))
+    found = zone_report(played.trace, replace(told, faults=day.faults))
     assert found
-    lost = [at for at, _, _ in played.trace.hall_faults]
-    tipped = sum(at > min(lost) for at, _ in played.trace.tipped)
+    lost = [at for at, _, _ in played.trace.zone_faults]
+    tipped = sum(at > min(lost) for at, _ in played.trace.overloads)
     return {
         "version": version,
         "seed": seed,
         "service": played.report.service,
         "rules": played.report.rules_broken,
         "refused": played.report.refused,
-        "most": found.most,
-        "allowed": found.allowed,
-        "pushed": found.pushed_over,
+        "most": found.spilled_most,
+        "allowed": found.spilled_allowed,
+        "pushed": found.overloaded,
         "tipped": tipped,
         "recovered": found.recovered_s,
         "seconds": played.seconds,
--- a/lemonhall/audit/__init__.py
+++ b/lemonhall/audit/__init__.py
@@ -1,4 +1,4 @@
-"""The six rules and the service of a run, from what passed the sockets of viewers, servers and the list."""
+"""Checks a run against the six rules and measures its service, from the taps of all processes."""
 
 from lemonhall.audit.rules import Report, audit
 from lemonhall.audit.trace import Trace, read_taps
--- a/lemonhall/audit/rules.py
+++ b/lemonhall/audit/rules.py
@@ -1,7 +1,7 @@
-"""The six rules (BRIEF), each a function of the trace and the terms: what broke it, as sentences. Pure.
+"""The six rules (BRIEF). Each check takes the trace and the terms, and returns a text for each violation.
 
-Two processes' taps see one happening at slightly different times; `SLACK_MS` is allowed for that wherever two
-of them are held against each other, always in the front's favour and never more.
+The taps of two processes record one event at slightly different times. Wherever their times are compared,
+`SLACK_MS` is allowed in favour of the front, and no more. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -11,233 +11,252 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from lemonhall.audit.trace import NEVER_RAN, Ask, Attempt, Trace
+from lemonhall.audit.trace import NEVER_RAN_STATUSES, Attempt, SetUpRequest, Trace
 from lemonhall.config.settings import Terms
 from lemonhall.interface import Repeat, ServerState
 
 SLACK_MS = 250.0
-ENDS_SLACK_MS = 200.0  # of an attempt's end, which is told early by two looks (standins/arrival.py) at most
+ENDS_SLACK_MS = 200.0  # an attempt's end is recorded at most two polls too early (standins/arrival.py)
 Check = Callable[[Trace, Terms], list[str]]
 
 
-def is_paid(ask: Ask | None, terms: Terms) -> bool:
-    return ask is not None and terms.classes[ask.cls].repeat is not Repeat.SAFE
+def is_paid(request: SetUpRequest | None, terms: Terms) -> bool:
+    return request is not None and terms.classes[request.cls].repeat is not Repeat.SAFE
 
 
-def front_down(trace: Trace, ask: Ask) -> bool:
-    """Whether its front was killed, or did not run, while the answer was owed: rules bind who runs."""
-    end, gone = ask.at + ask.deadline_ms, trace.kills + trace.frozen
-    return any(front == ask.front and at <= end and back >= ask.at for at, back, front in gone)
+def front_was_down(trace: Trace, request: SetUpRequest) -> bool:
+    """Whether the front was killed or frozen before the deadline: the rules apply to running fronts only."""
+    end, outages = request.at + request.deadline_ms, trace.front_kills + trace.front_freezes
+    return any(
+        front == request.front and at <= end and back_at >= request.at for at, back_at, front in outages
+    )
 
 
-def far_off(trace: Trace, ask: Ask) -> bool:
-    """Whether something stood between it and its front while the answer was owed: neither knows the other's
-    clock, and an answer in time there may be late here."""
-    end = ask.at + ask.deadline_ms
-    return any(front == ask.front and at <= end and to >= ask.at for at, to, front in trace.late)
+def front_was_delayed(trace: Trace, request: SetUpRequest) -> bool:
+    """Whether the link between viewer and front was delayed before the deadline.
+
+    Neither side knows the other's clock, so an answer that the front sent in time may arrive late.
+    """
+    end = request.at + request.deadline_ms
+    return any(
+        front == request.front and at <= end and until >= request.at
+        for at, until, front in trace.front_delays
+    )
 
 
-def worker_killed(trace: Trace, ask: Ask) -> bool:
-    """Whether its connection ended with a worker of its front that was killed then, its answer owed."""
-    if ask.answers or not ask.cut:
+def worker_was_killed(trace: Trace, request: SetUpRequest) -> bool:
+    """Whether the connection of an unanswered request ended because a worker of the front was killed."""
+    if request.answers or not request.closed_by_front:
         return False
-    kills = [at for at, front in trace.worker_kills if front == ask.front]
-    return any(0 <= ask.closed_at - at <= SLACK_MS for at in kills)
+    kills = [at for at, front in trace.worker_kills if front == request.front]
+    return any(0 <= request.closed_at - at <= SLACK_MS for at in kills)
 
 
 def unanswered(trace: Trace, terms: Terms) -> list[str]:
     """Rule 1: no answer, or one later than the deadline and its grace."""
-    broken = []
-    for ask in trace.asks.values():
-        if ask.vanished or front_down(trace, ask) or worker_killed(trace, ask) or far_off(trace, ask):
+    violations = []
+    for request in trace.requests.values():
+        if (
+            request.vanished
+            or front_was_down(trace, request)
+            or worker_was_killed(trace, request)
+            or front_was_delayed(trace, request)
+        ):
             continue
-        limit = ask.at + ask.deadline_ms + terms.answer_grace_ms
-        if not any(at <= limit for at, _ in ask.answers):
-            said = "late" if ask.answers else "never"
-            broken.append(f"ask {ask.token} at {ask.front} was answered {said}")
-    return broken
+        limit = request.at + request.deadline_ms + terms.answer_grace_ms
+        if not any(at <= limit for at, _ in request.answers):
+            problem = "answered too late" if request.answers else "not answered"
+            violations.append(f"request {request.token} at {request.front} was {problem}")
+    return violations
 
 
 def answered_twice(trace: Trace, terms: Terms) -> list[str]:
     """Rule 1: more than one answer to one request."""
     return [
-        f"ask {a.token} at {a.front} got {len(a.answers)} answers: {[s for _, s in a.answers]}"
-        for a in trace.asks.values()
-        if len(a.answers) > 1
+        f"request {r.token} at {r.front} got {len(r.answers)} answers: {[status for _, status in r.answers]}"
+        for r in trace.requests.values()
+        if len(r.answers) > 1
     ]
 
 
 def paid_set_up_twice(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 2: a paid session sent again, or refused, though an earlier attempt may have run."""
-    broken = []
-    for token, attempts in trace.by_token().items():
-        ask = trace.asks.get(token)
-        if not is_paid(ask, terms):
+    """Rule 2: a paid session was set up again, or refused, although an earlier attempt may have run."""
+    violations = []
+    for token, attempts in trace.attempts_by_token().items():
+        request = trace.requests.get(token)
+        if not is_paid(request, terms):
             continue
-        assert ask
+        assert request
         for n, attempt in enumerate(attempts[1:], 1):
             if any(not earlier.never_ran for earlier in attempts[:n]):
-                broken.append(f"ask {token}: set up again at {attempt.box}")
-        if any(s in NEVER_RAN for _, s in ask.answers) and any(not a.never_ran for a in attempts):
-            broken.append(f"ask {token}: refused though an attempt may have run")
-    return broken + claim_twice(trace, terms)
+                violations.append(f"request {token}: set up again at {attempt.server}")
+        if any(status in NEVER_RAN_STATUSES for _, status in request.answers) and any(
+            not a.never_ran for a in attempts
+        ):
+            violations.append(f"request {token}: refused although an attempt may have run")
+    return violations + claim_set_up_twice(trace, terms)
 
 
-def claim_twice(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 2 over several asks, at whichever fronts: one claim, told by the token that the viewer had."""
+def claim_set_up_twice(trace: Trace, terms: Terms) -> list[str]:
+    """Rule 2 over several requests, at any fronts: those with the same claim token are for one session."""
     by_claim: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in trace.attempts:
-        ask = trace.asks.get(attempt.token)
-        if is_paid(ask, terms) and ask and ask.claim:
-            by_claim[ask.claim].append(attempt)
-    broken = []
+        request = trace.requests.get(attempt.token)
+        if is_paid(request, terms) and request and request.claim:
+            by_claim[request.claim].append(attempt)
+    violations = []
     for claim, attempts in by_claim.items():
-        attempts.sort(key=lambda a: a.at)
+        attempts.sort(key=lambda attempt: attempt.at)
         for n, later in enumerate(attempts):
-            if any(not e.never_ran and e.token != later.token for e in attempts[:n]):
-                broken.append(f"claim {claim}: set up again by ask {later.token} at {later.box}")
-    return broken
+            if any(not earlier.never_ran and earlier.token != later.token for earlier in attempts[:n]):
+                violations.append(f"claim {claim}: set up again by request {later.token} at {later.server}")
+    return violations
 
 
 def attempts_at_once(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 2: two attempts of one session out at the same time."""
-    broken = []
-    for token, attempts in trace.by_token().items():
+    """Rule 2: two attempts of one session were open at the same time."""
+    violations = []
+    for token, attempts in trace.attempts_by_token().items():
         if not token:
             continue
         for n, later in enumerate(attempts):
             if any(earlier.end - ENDS_SLACK_MS > later.at for earlier in attempts[:n]):
-                broken.append(f"ask {token}: at {later.box} while an earlier attempt was out")
-    return broken
+                violations.append(f"request {token}: at {later.server} while an earlier attempt was open")
+    return violations
 
 
 def after_drain(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 3: a set-up later than the grace after the front was told that the server drains or is gone."""
+    """Rule 3: a set-up later than the grace time after the front knew that the server drains or is gone."""
     ended: dict[tuple[str, int], float] = {}
     known: dict[str, set[int]] = defaultdict(set)
-    for at, front, full, states in trace.told:
-        for life, state in states.items():
+    for at, front, is_complete, states in trace.list_updates:
+        for incarnation, state in states.items():
             if state == ServerState.READY:
-                ended.pop((front, life), None)
+                ended.pop((front, incarnation), None)
             else:
-                ended.setdefault((front, life), at)
-        if full:
-            for life in known[front] - states.keys():
-                ended.setdefault((front, life), at)
+                ended.setdefault((front, incarnation), at)
+        if is_complete:
+            for incarnation in known[front] - states.keys():
+                ended.setdefault((front, incarnation), at)
         known[front] |= states.keys()
-    broken = []
+    violations = []
     for attempt in trace.attempts:
-        at = ended.get((attempt.front, attempt.life), inf)
+        at = ended.get((attempt.front, attempt.incarnation), inf)
         if attempt.at > at + terms.drain_grace_ms + SLACK_MS:
-            late = (attempt.at - at) / 1000
-            broken.append(f"{attempt.front}: set-up at {attempt.box} {late:.1f} s after it was told")
-    return broken
+            late_s = (attempt.at - at) / 1000
+            violations.append(
+                f"{attempt.front}: set-up at {attempt.server} {late_s:.1f} s after it knew of its end"
+            )
+    return violations
 
 
-def knew_cold(trace: Trace, box: str, life: int, start: float) -> dict[str, float]:
-    """From when each front knew that this life of a server is young (WIRE, rule 4).
+def cold_known_since(trace: Trace, server: str, incarnation: int, start: float) -> dict[str, float]:
+    """Returns since when each front knew that this incarnation of a server is cold (WIRE, rule 4).
 
-    By the list, as a witness of the failure before (sessions or attempts there broke), or because the front
-    itself started later and so knows nothing of it.
+    A front knows it from the list, from the failure before if its sessions or attempts there broke, or
+    because it started later than the server and so has no record of it.
     """
-    knew: dict[str, float] = {}
-    for at, front, _, states in trace.told:
-        if life in states:
-            knew.setdefault(front, at)
-    for (name, _), (died, witnesses) in trace.deaths.items():
-        if name == box and died <= start:
-            for front in witnesses:
-                knew[front] = min(died, knew.get(front, inf))
-    for _, back, front in trace.kills:
-        if back > start:
-            knew[front] = min(back, knew.get(front, inf))
-    return knew
+    known_since: dict[str, float] = {}
+    for at, front, _, states in trace.list_updates:
+        if incarnation in states:
+            known_since.setdefault(front, at)
+    for (name, _), (died_at, fronts) in trace.server_deaths.items():
+        if name == server and died_at <= start:
+            for front in fronts:
+                known_since[front] = min(died_at, known_since.get(front, inf))
+    for _, back_at, front in trace.front_kills:
+        if back_at > start:
+            known_since[front] = min(back_at, known_since.get(front, inf))
+    return known_since
 
 
 def cold_pushed_over(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 4: more set-ups within a span at a server that has just started than it can take.
+    """Rule 4: more set-ups within a span at a server that has just started than it can accept.
 
-    It is broken by those who knew: if most of the span came from fronts that could not know, nobody did.
+    Only fronts that knew of the start violate the rule: it holds if at least half of the set-ups in the span
+    came from fronts that could not know.
     """
-    by_life: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
-    for attempt in sorted(trace.attempts, key=lambda a: a.at):
-        by_life[attempt.box, attempt.life].append(attempt)
-    broken = []
+    by_incarnation: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
+    for attempt in sorted(trace.attempts, key=lambda attempt: attempt.at):
+        by_incarnation[attempt.server, attempt.incarnation].append(attempt)
+    violations = []
     places = max(terms.places_by_kind)
-    for key, sent in by_life.items():
-        start, cold = trace.starts.get(key, (0.0, False))
+    for key, attempts in by_incarnation.items():
+        start, cold = trace.server_starts.get(key, (0.0, False))
         if not cold:
             continue
-        knew = knew_cold(trace, *key, start)
-        for n, at in enumerate(a.at for a in sent):
+        known_since = cold_known_since(trace, *key, start)
+        for n, at in enumerate(attempt.at for attempt in attempts):
             if at - start >= terms.warm_ms:
                 break
             warmth = max(terms.cold_from, (at - start) / terms.warm_ms)
             most = terms.overload_factor * places / terms.warm_ms * warmth * terms.tip_after_ms + 2
-            span = [a for a in sent[: n + 1] if a.at > at - terms.tip_after_ms]
-            knowing = sum(knew.get(a.front, inf) <= a.at for a in span)
+            span = [attempt for attempt in attempts[: n + 1] if attempt.at > at - terms.tip_after_ms]
+            knowing = sum(known_since.get(attempt.front, inf) <= attempt.at for attempt in span)
             if len(span) > max(2.0, most) and knowing * 2 > len(span):
-                broken.append(f"{key[0]}: {len(span)} set-ups in a span that takes {most:.1f}")
+                violations.append(f"{key[0]}: {len(span)} set-ups in a span that allows {most:.1f}")
                 break
-    return broken
+    return violations
 
 
 def under_floor(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 5: a rate under that of the class's floor, at set-up or later."""
-    broken = []
+    """Rule 5: a rate below that of the class's floor, at set-up or later."""
+    violations = []
     for attempt in trace.attempts:
-        ask = trace.asks.get(attempt.token)
-        if ask is None:
+        request = trace.requests.get(attempt.token)
+        if request is None:
             continue
-        cls = terms.classes[ask.cls]
-        least = terms.ladder_kb[cls.floor] * cls.scale * 8000
-        if any(bits < least - 1 for _, bits in attempt.rates):
-            broken.append(f"ask {ask.token}: under its floor at {attempt.box}")
-    return broken
+        cls = terms.classes[request.cls]
+        floor_bits = terms.ladder_kb[cls.floor] * cls.scale * 8000
+        if any(bits < floor_bits - 1 for _, bits in attempt.rates):
+            violations.append(f"request {request.token}: below its floor at {attempt.server}")
+    return violations
 
 
 def over_seats(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 5: more sessions of one title and class at one front than its seats, set-ups included."""
-    held: dict[tuple[str, int, str], list[tuple[float, int]]] = defaultdict(list)
+    """Rule 5: more sessions and set-ups of one title and class at one front than the class has seats."""
+    steps_by_key: dict[tuple[str, int, str], list[tuple[float, int]]] = defaultdict(list)
     for attempt in trace.attempts:
-        ask = trace.asks.get(attempt.token)
-        if ask and terms.classes[ask.cls].seats and not attempt.never_ran:
-            key = (attempt.front, ask.cls, ask.title)
+        request = trace.requests.get(attempt.token)
+        if request and terms.classes[request.cls].seats and not attempt.never_ran:
+            key = (attempt.front, request.cls, request.title)
             end = max(attempt.at, attempt.end - ENDS_SLACK_MS)
-            held[key] += [(attempt.at, 1), (end, -1)]
-    broken = []
-    for (front, cls, title), steps in held.items():
-        now = most = 0
+            steps_by_key[key] += [(attempt.at, 1), (end, -1)]
+    violations = []
+    for (front, cls, title), steps in steps_by_key.items():
+        current = most = 0
         for _, step in sorted(steps):
-            now += step
-            most = max(most, now)
+            current += step
+            most = max(most, current)
         if most > terms.classes[cls].seats:
             seats = terms.classes[cls].seats
-            broken.append(f"{front}: {most} of {title} for {seats} seats")
-    return broken
+            violations.append(f"{front}: {most} sessions of {title} for {seats} seats")
+    return violations
 
 
 def over_budget(trace: Trace, terms: Terms) -> list[str]:
-    """Rule 6: further attempts of one front within the span over its free ones and its share."""
+    """Rule 6: more retries of one front within the span than its free ones and its share allow."""
     if terms.retry_free is None:
         return []
-    further: dict[str, list[float]] = defaultdict(list)
-    for attempts in trace.by_token().values():
+    retries: dict[str, list[float]] = defaultdict(list)
+    for attempts in trace.attempts_by_token().values():
         for attempt in attempts[1:]:
-            further[attempt.front].append(attempt.at)
-    taken: dict[str, list[float]] = defaultdict(list)
-    for ask in trace.asks.values():
-        taken[ask.front].append(ask.at)
-    broken = []
-    for front, times in further.items():
+            retries[attempt.front].append(attempt.at)
+    request_times: dict[str, list[float]] = defaultdict(list)
+    for request in trace.requests.values():
+        request_times[request.front].append(request.at)
+    violations = []
+    for front, times in retries.items():
         times.sort()
         for at in times:
-            again = sum(at - terms.retry_span_ms + SLACK_MS < t <= at for t in times)
-            asked = sum(at - terms.retry_span_ms - SLACK_MS < t <= at + SLACK_MS for t in taken[front])
-            if again > terms.retry_free + terms.retry_share * asked:
-                broken.append(f"{front}: {again} further attempts, {asked} asked, in one span")
+            retried = sum(at - terms.retry_span_ms + SLACK_MS < time <= at for time in times)
+            requested = sum(
+                at - terms.retry_span_ms - SLACK_MS < time <= at + SLACK_MS for time in request_times[front]
+            )
+            if retried > terms.retry_free + terms.retry_share * requested:
+                violations.append(f"{front}: {retried} retries for {requested} requests in one span")
                 break
-    return broken
+    return violations
 
 
 CHECKS: dict[str, Check] = {
@@ -261,14 +280,14 @@
 }
 
 
-def earned(attempt: Attempt, ask: Ask, terms: Terms) -> float:
-    """Worth of what one attempt played: seconds at each rung times the rung's worth times the class's."""
+def played_worth(attempt: Attempt, request: SetUpRequest, terms: Terms) -> float:
+    """Returns the worth that one attempt played: seconds at each rung times the worths of rung and class."""
     if attempt.media_at == inf or not attempt.rates:
         return 0.0
-    cls = terms.classes[ask.cls]
-    marks = [*attempt.rates, (attempt.end, 0.0)]
+    cls = terms.classes[request.cls]
+    rates = [*attempt.rates, (attempt.end, 0.0)]
     total = 0.0
-    for (since, bits), (until, _) in zip(marks, marks[1:], strict=False):
+    for (since, bits), (until, _) in zip(rates, rates[1:], strict=False):
         since = max(since, attempt.media_at)
         if until <= since or until == inf:
             continue
@@ -279,34 +298,44 @@
 
 
 def service(trace: Trace, terms: Terms) -> float:
-    """Worth played over worth asked; a person's tries are one asking, and no more than was asked counts."""
-    return service_by(trace, terms, lambda ask: "").get("", 0.0)
+    """Returns the worth played over the worth requested.
 
+    All tries of a person count as one request, and no more than was requested counts as played.
+    """
+    return service_by(trace, terms, lambda request: "").get("", 0.0)
 
-def service_by(trace: Trace, terms: Terms, group: Callable[[Ask], str]) -> dict[str, float]:
-    """The same for groups of asks (class, hall); a person belongs to the group of the first try."""
+
+def service_by(trace: Trace, terms: Terms, group: Callable[[SetUpRequest], str]) -> dict[str, float]:
+    """Returns the service of groups of requests (class, zone). A person is in the group of the first try."""
     groups: dict[str, str] = {}
-    asked: dict[str, float] = {}
-    got: dict[str, float] = defaultdict(float)
-    for ask in trace.asks.values():
-        person = ask.token.partition(".")[0]
-        if not ask.vanished:
-            worth = terms.classes[ask.cls].worth * ask.length_ms / 1000 * terms.ladder_worth[ask.top]
-            asked[person] = max(asked.get(person, 0.0), worth)
-            groups.setdefault(person, group(ask))
+    requested: dict[str, float] = {}
+    played_by_person: dict[str, float] = defaultdict(float)
+    for request in trace.requests.values():
+        person = request.token.partition(".")[0]
+        if not request.vanished:
+            worth = (
+                terms.classes[request.cls].worth
+                * request.length_ms
+                / 1000
+                * terms.ladder_worth[request.top_rung]
+            )
+            requested[person] = max(requested.get(person, 0.0), worth)
+            groups.setdefault(person, group(request))
     for attempt in trace.attempts:
-        if found := trace.asks.get(attempt.token):
-            got[found.token.partition(".")[0]] += earned(attempt, found, terms)
+        if found := trace.requests.get(attempt.token):
+            played_by_person[found.token.partition(".")[0]] += played_worth(attempt, found, terms)
     totals: dict[str, float] = defaultdict(float)
     played: dict[str, float] = defaultdict(float)
-    for person, worth in asked.items():
+    for person, worth in requested.items():
         totals[groups[person]] += worth
-        played[groups[person]] += min(got[person], worth)
+        played[groups[person]] += min(played_by_person[person], worth)
     return {name: played[name] / total for name, total in totals.items() if total}
 
 
 @dataclass
 class Report:
+    """The result of one run. Counts are of requests; `broken` holds the violations by check."""
+
     sessions: int
     played: int
     refused: int
@@ -315,15 +344,15 @@
     service: float = 0.0
     faults: dict[str, int] = field(default_factory=dict)
     seconds: float = 0.0
-    trace: Trace | None = None  # what it was made of
-    began_ms: float = 0.0  # of the trace's clock: when viewers began to come
-    halls: dict[str, float] = field(default_factory=dict)  # what spilled, where halls may (audit/halls.py)
-    limits: dict[str, float] = field(default_factory=dict)  # of the fleet, where there are (audit/limits.py)
-    returned: dict[str, float] = field(default_factory=dict)  # after fronts were killed (audit/returns.py)
+    trace: Trace | None = None
+    began_ms: float = 0.0  # when viewers began to arrive, on the trace's clock
+    zones: dict[str, float] = field(default_factory=dict)  # spilled sessions (audit/zones.py)
+    limits: dict[str, float] = field(default_factory=dict)  # fleet-wide limits (audit/limits.py)
+    recovery: dict[str, float] = field(default_factory=dict)  # of killed fronts (audit/recovery.py)
 
     @property
     def rules_broken(self) -> int:
-        return sum(len(b) for b in self.broken.values())
+        return sum(len(violations) for violations in self.broken.values())
 
     def to_json(self) -> dict[str, object]:
         counts = {name: len(self.broken[name]) for name in CHECKS}
@@ -333,9 +362,9 @@
             "refused": self.refused,
             "failed": self.failed,
             **counts,
-            **self.halls,
+            **self.zones,
             **self.limits,
-            **self.returned,
+            **self.recovery,
             "rules_broken": self.rules_broken,
             "service": round(self.service, 4),
             "faults": self.faults,
@@ -344,12 +373,12 @@
 
 
 def audit(trace: Trace, terms: Terms) -> Report:
-    """All rules and the service of one run."""
-    finals = [ask.answers[0][1] for ask in trace.asks.values() if ask.answers]
-    played = sum(200 <= s < 300 for s in finals)
-    refused = sum(s in NEVER_RAN for s in finals)
+    """Checks all rules and measures the service of one run."""
+    statuses = [request.answers[0][1] for request in trace.requests.values() if request.answers]
+    played = sum(200 <= status < 300 for status in statuses)
+    refused = sum(status in NEVER_RAN_STATUSES for status in statuses)
     broken = {name: check(trace, terms) for name, check in CHECKS.items()}
-    made = Report(len(trace.asks), played, refused, len(finals) - played - refused, broken)
-    made.service, made.faults = service(trace, terms), dict(trace.faults)
-    made.trace = trace
-    return made
+    report = Report(len(trace.requests), played, refused, len(statuses) - played - refused, broken)
+    report.service, report.faults = service(trace, terms), dict(trace.faults)
+    report.trace = trace
+    return report
--- a/lemonhall/audit/trace.py
+++ b/lemonhall/audit/trace.py
@@ -1,4 +1,7 @@
-"""From tap records to asks, attempts and what fronts were told. Pure but for `read_taps`."""
+"""Builds the trace of a run from tap records: viewers' requests, attempts at servers, and list updates.
+
+Only `read_taps` does I/O.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 
 from lemonhall.problem import BadInput
 
-ASK = re.compile(r"[?&]ask=([\w.]+)")
-NEVER_RAN = (453, 503)  # answers to a SETUP that prove that nothing was set up
-Record = dict[str, Any]
+REQUEST_TOKEN = re.compile(r"[?&]ask=([\w.]+)")
+NEVER_RAN_STATUSES = (453, 503)  # answers to SETUP that prove that no session was set up
+TapRecord = dict[str, Any]
 
 
 @dataclass
-class Ask:
-    """One PLAY of a viewer's. Times in ms."""
+class SetUpRequest:
+    """One PLAY request of a viewer. Times are in ms."""
 
     token: str
     at: float
@@ -30,72 +33,79 @@
     front: str
     deadline_ms: float
     length_ms: float
-    top: int
-    tries: int
-    claim: str = ""  # a paid claim's token: the same over several asks
-    answers: list[tuple[float, int]] = field(default_factory=list)
-    left_at: float = inf  # vanished or gave up: from here nobody can see an answer
+    top_rung: int
+    tries: int  # 1 for the first try of the viewer
+    claim: str = ""  # token of a paid claim, the same in all requests for it
+    answers: list[tuple[float, int]] = field(default_factory=list)  # time, status
+    left_at: float = inf  # when the viewer vanished or gave up; it sees no answer after that
     vanished: bool = False
     closed_at: float = inf
-    cut: bool = False  # it was the front's end that closed
+    closed_by_front: bool = False
 
 
 @dataclass
 class Attempt:
-    """One SETUP at a media server, with the rates asked of it until its end.
+    """One SETUP at a media server, with the rates requested of it until its end.
 
-    `at` and `end` are of the front's side of a link that holds things back: it answers for what it sends.
-    They are when what began and ended it came, or the earliest that it can have, not when it was read.
+    `at` and `end` are times on the front's side of a link that delays data, because the front is responsible
+    for what it sends. They are the earliest times at which the data that began and ended the attempt can have
+    arrived, not the times at which it was read.
     """
 
     token: str
-    box: str
-    life: int
+    server: str
+    incarnation: int
     front: str
     at: float
     status: int = 0  # 0: not answered
     end: float = inf
-    rates: list[tuple[float, float]] = field(default_factory=list)  # since when, bits a second
+    rates: list[tuple[float, float]] = field(default_factory=list)  # since when, bit/s
     media_at: float = inf
 
     @property
     def never_ran(self) -> bool:
-        return self.status in NEVER_RAN
+        return self.status in NEVER_RAN_STATUSES
 
 
 @dataclass
 class Trace:
-    asks: dict[str, Ask] = field(default_factory=dict)
+    """Everything that the rules are checked against. Times are in ms."""
+
+    requests: dict[str, SetUpRequest] = field(default_factory=dict)  # by token
     attempts: list[Attempt] = field(default_factory=list)
-    told: list[tuple[float, str, bool, dict[int, int]]] = field(default_factory=list)
-    starts: dict[tuple[str, int], tuple[float, bool]] = field(default_factory=dict)  # (box, life): at, cold
-    deaths: dict[tuple[str, int], tuple[float, set[str]]] = field(
-        default_factory=dict
-    )  # at, who had sessions
-    kills: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, front
-    hall_faults: list[tuple[float, str, str]] = field(default_factory=list)  # at, kind, hall
-    tipped: list[tuple[float, str]] = field(default_factory=list)  # at, box that was pushed over
-    frozen: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, front that did not run
-    late: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, front far from its viewers
-    worker_kills: list[tuple[float, str]] = field(default_factory=list)  # at, front
-    turned_away: list[tuple[float, int]] = field(default_factory=list)  # tries that came to no ask: at, class
-    connects: list[tuple[float, str]] = field(default_factory=list)  # at, box
+    # time, front, whether the list is complete, state by server incarnation
+    list_updates: list[tuple[float, str, bool, dict[int, int]]] = field(default_factory=list)
+    # by server and incarnation: time, whether it started cold
+    server_starts: dict[tuple[str, int], tuple[float, bool]] = field(default_factory=dict)
+    # by server and incarnation: time, fronts that had sessions there
+    server_deaths: dict[tuple[str, int], tuple[float, set[str]]] = field(default_factory=dict)
+    front_kills: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, front
+    zone_faults: list[tuple[float, str, str]] = field(default_factory=list)  # time, kind, zone
+    overloads: list[tuple[float, str]] = field(default_factory=list)  # time, server that failed under load
+    front_freezes: list[tuple[float, float, str]] = field(default_factory=list)  # from, to, front
+    # from, to, front whose links to viewers were delayed
+    front_delays: list[tuple[float, float, str]] = field(default_factory=list)
+    worker_kills: list[tuple[float, str]] = field(default_factory=list)  # time, front
+    # time and class of tries that reached no front
+    rejected_tries: list[tuple[float, int]] = field(default_factory=list)
+    connections: list[tuple[float, str]] = field(default_factory=list)  # time, server
     list_calls: list[float] = field(default_factory=list)
-    full: list[tuple[float, str, float]] = field(default_factory=list)  # at, front, seconds since its start
+    # time at which a front reported its full phase, front, seconds since its start
+    front_recoveries: list[tuple[float, str, float]] = field(default_factory=list)
     faults: dict[str, int] = field(default_factory=dict)
 
-    def by_token(self) -> dict[str, list[Attempt]]:
-        found: dict[str, list[Attempt]] = defaultdict(list)
+    def attempts_by_token(self) -> dict[str, list[Attempt]]:
+        by_token: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in self.attempts:
-            found[attempt.token].append(attempt)
-        for attempts in found.values():
-            attempts.sort(key=lambda a: a.at)
-        return found
+            by_token[attempt.token].append(attempt)
+        for attempts in by_token.values():
+            attempts.sort(key=lambda attempt: attempt.at)
+        return by_token
 
 
-def read_taps(paths: Iterable[Path]) -> list[Record]:
-    """All records in the order of time. Raises `BadInput` with file and line for what is none."""
-    records: list[Record] = []
+def read_taps(paths: Iterable[Path]) -> list[TapRecord]:
+    """Returns all records in the order of time. Raises `BadInput` with the line of an invalid record."""
+    records: list[TapRecord] = []
     for path in paths:
         for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
             try:
@@ -104,215 +114,228 @@
             except (ValueError, KeyError, TypeError) as error:
                 raise BadInput(f"{path}:{number}", "no tap record") from error
             records.append(record)
-    return sorted(records, key=lambda r: r["t"])
+    return sorted(records, key=lambda record: record["t"])
 
 
-def earliest(r: Record) -> float:
-    """When what was read here can have come first (standins/arrival.py)."""
-    return float(r["since"] if "since" in r else r["t"])
+def earliest_arrival(record: TapRecord) -> float:
+    """The earliest time at which the data of a record can have arrived (see standins/arrival.py)."""
+    return float(record["since"] if "since" in record else record["t"])
 
 
-class Links:
-    """What relays noted of connections, by their port at the far side: bytes that came, that were passed on.
+class RelayLog:
+    """What relays recorded of connections, by port at the far side: bytes received and bytes forwarded.
 
-    Without relays nothing is noted, and every time is that of the far side.
+    Without relays there are no records, and all times are those of the far side.
     """
 
     def __init__(self) -> None:
-        self.through: set[int] = set()
-        self.left: dict[int, float] = {}  # when the near side ended
-        self.came: dict[int, list[tuple[int, float]]] = defaultdict(list)  # bytes up to then, when
-        self.held: dict[int, list[tuple[int, tuple[str, bool, dict[int, int]]]]] = defaultdict(list)
-        self.ports: dict[tuple[str, int], int] = {}  # of a box's connection
-        self.conns: dict[int, tuple[str, int]] = {}
-
-    def note(self, what: str, port: int, count: int, at: float) -> None:
+        self.relayed: set[int] = set()
+        self.near_closed_at: dict[int, float] = {}
+        self.received: dict[int, list[tuple[int, float]]] = defaultdict(list)  # total bytes, time
+        # list updates that a relay has not forwarded yet: total bytes sent with the update, update
+        self.pending: dict[int, list[tuple[int, tuple[str, bool, dict[int, int]]]]] = defaultdict(list)
+        self.ports: dict[tuple[str, int], int] = {}  # by server and connection
+        self.connections: dict[int, tuple[str, int]] = {}
+
+    def add_event(self, what: str, port: int, count: int, at: float) -> None:
         if what == "through":
-            self.through.add(port)
-            self.came.pop(port, None)
-            self.left.pop(port, None)
+            self.relayed.add(port)
+            self.received.pop(port, None)
+            self.near_closed_at.pop(port, None)
         elif what == "came":
-            self.came[port].append((count, at))
+            self.received[port].append((count, at))
         elif what == "left":
-            self.left[port] = at
+            self.near_closed_at[port] = at
 
-    def sent(self, port: int, read: int, at: float) -> float:
-        """When the last of so many bytes came to the relay; `at`, if it was passed on at once."""
-        return min((when for count, when in self.came.get(port, ()) if count >= read), default=at)
+    def sent_at(self, port: int, read: int, at: float) -> float:
+        """When the first `read` bytes had arrived at the relay; `at` for a connection without a relay."""
+        return min((time for count, time in self.received.get(port, ()) if count >= read), default=at)
 
-    def hold(self, port: int, sent: int, told: tuple[str, bool, dict[int, int]]) -> bool:
-        """News on its way to a front through a relay: not told until it is passed on."""
-        if port in self.through:
-            self.held[port].append((sent, told))
-        return port in self.through
+    def hold(self, port: int, sent: int, update: tuple[str, bool, dict[int, int]]) -> bool:
+        """Keeps a list update until the relay has forwarded it. Returns False if there is no relay."""
+        if port in self.relayed:
+            self.pending[port].append((sent, update))
+        return port in self.relayed
 
-    def given(self, port: int, count: int) -> list[tuple[str, bool, dict[int, int]]]:
-        """The news that so many bytes hold."""
-        found = [told for sent, told in self.held[port] if sent <= count]
-        self.held[port] = [(sent, told) for sent, told in self.held[port] if sent > count]
-        return found
+    def take_forwarded(self, port: int, count: int) -> list[tuple[str, bool, dict[int, int]]]:
+        """Removes and returns the updates that are contained in the first `count` bytes."""
+        updates = [update for sent, update in self.pending[port] if sent <= count]
+        self.pending[port] = [(sent, update) for sent, update in self.pending[port] if sent > count]
+        return updates
 
 
-class Reader:
-    """Builds a trace from records in the order of time."""
+class TraceReader:
+    """Builds a trace from tap records, which must be in the order of time."""
 
     def __init__(self) -> None:
         self.trace = Trace()
-        self.by_conn: dict[int, Ask] = {}  # a viewer's connection
+        self.by_connection: dict[int, SetUpRequest] = {}  # viewers' connections
         self.cseqs: dict[int, str] = {}
-        self.waiting: dict[tuple[str, int, str], Attempt] = {}  # SETUP by box, connection, CSeq
-        self.open: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
+        self.unanswered: dict[tuple[str, int, str], Attempt] = {}  # by server, connection, CSeq
+        self.running: dict[tuple[str, int], list[Attempt]] = defaultdict(list)
         self.sessions: dict[tuple[str, str], Attempt] = {}
-        self.lives: dict[str, int] = {}
-        self.links = Links()
-
-    def read(self, records: Iterable[Record]) -> Trace:
-        for r in records:
-            who: str = r["who"]
-            if who == "viewer":
-                self.viewer(r)
-            elif who == "list":
-                states = {int(n): int(state) for n, state in r["boxes"].items()}
-                told = (r["front"], r["full"], states)
-                self.trace.list_calls += [r["t"]] * r["full"]  # a call is answered by the whole of it
-                if not self.links.hold(r.get("port", 0), r.get("sent", 0), told):
-                    self.trace.told.append((r["t"], *told))
-            elif who == "links":
-                self.link(r)
-            elif who == "day":
-                self.day(r)
+        self.incarnations: dict[str, int] = {}
+        self.relays = RelayLog()
+
+    def read(self, records: Iterable[TapRecord]) -> Trace:
+        for record in records:
+            source: str = record["who"]
+            if source == "viewer":
+                self.on_viewer_record(record)
+            elif source == "list":
+                states = {int(n): int(state) for n, state in record["boxes"].items()}
+                update = (record["front"], record["full"], states)
+                # A call for the list is answered by the complete list.
+                self.trace.list_calls += [record["t"]] * record["full"]
+                if not self.relays.hold(record.get("port", 0), record.get("sent", 0), update):
+                    self.trace.list_updates.append((record["t"], *update))
+            elif source == "links":
+                self.on_relay_record(record)
+            elif source == "day":
+                self.on_day_record(record)
             else:
-                self.box(who[4:], r)
+                self.on_server_record(source[4:], record)
         return self.trace
 
-    def link(self, r: Record) -> None:
-        what, late = r["what"], self.trace.late
+    def on_relay_record(self, record: TapRecord) -> None:
+        what, delays = record["what"], self.trace.front_delays
         if what == "told":
-            self.trace.told += [(r["t"], *told) for told in self.links.given(r["port"], r["bytes"])]
+            self.trace.list_updates += [
+                (record["t"], *update)
+                for update in self.relays.take_forwarded(record["port"], record["bytes"])
+            ]
         elif what == "late":
-            late.append((r["t"], inf, r["there"]))
+            delays.append((record["t"], inf, record["there"]))
         elif what == "fine":
-            late[:] = [(at, min(to, r["t"]) if f == r["there"] else to, f) for at, to, f in late]
+            delays[:] = [
+                (since, min(until, record["t"]) if front == record["there"] else until, front)
+                for since, until, front in delays
+            ]
         else:
-            at = earliest(r)
-            self.links.note(what, r["port"], r["bytes"], at)
-            if what == "left" and (conn := self.links.conns.get(r["port"])):
-                for attempt in self.open.get(conn, ()):
+            at = earliest_arrival(record)
+            self.relays.add_event(what, record["port"], record["bytes"], at)
+            if what == "left" and (connection := self.relays.connections.get(record["port"])):
+                for attempt in self.running.get(connection, ()):
                     attempt.end = min(attempt.end, at)
 
-    def day(self, r: Record) -> None:
-        if r["what"] == "front-frozen":
-            self.trace.frozen.append((r["t"], inf, r["front"]))
-        elif r["what"] == "front-thawed":
-            self.trace.frozen = [
-                (at, min(to, r["t"]) if front == r["front"] else to, front)
-                for at, to, front in self.trace.frozen
+    def on_day_record(self, record: TapRecord) -> None:
+        if record["what"] == "front-frozen":
+            self.trace.front_freezes.append((record["t"], inf, record["front"]))
+        elif record["what"] == "front-thawed":
+            self.trace.front_freezes = [
+                (since, min(until, record["t"]) if front == record["front"] else until, front)
+                for since, until, front in self.trace.front_freezes
             ]
-        elif r["what"] == "front-full":
-            self.trace.full.append((r["t"], r["front"], r["after"]))
-        elif r["what"] == "front-killed":
-            self.trace.kills.append((r["t"], inf, r["front"]))
-        elif r["what"] == "front-back":
-            at, _, front = next(k for k in reversed(self.trace.kills) if k[2] == r["front"])
-            self.trace.kills.remove((at, inf, front))
-            self.trace.kills.append((at, r["t"], front))
-        elif r["what"] == "fault":
-            self.trace.faults[r["kind"]] = self.trace.faults.get(r["kind"], 0) + 1
-            if r["kind"] == "worker-killed":
-                self.trace.worker_kills.append((r["t"], r["target"]))
-            if r["kind"] in ("hall-dark", "hall-flap"):
-                self.trace.hall_faults.append((r["t"], r["kind"], r["target"]))
-
-    def viewer(self, r: Record) -> None:
-        conn, what = r["conn"], r["what"]
-        ask = self.by_conn.get(conn)
+        elif record["what"] == "front-full":
+            self.trace.front_recoveries.append((record["t"], record["front"], record["after"]))
+        elif record["what"] == "front-killed":
+            self.trace.front_kills.append((record["t"], inf, record["front"]))
+        elif record["what"] == "front-back":
+            at, _, front = next(
+                kill for kill in reversed(self.trace.front_kills) if kill[2] == record["front"]
+            )
+            self.trace.front_kills.remove((at, inf, front))
+            self.trace.front_kills.append((at, record["t"], front))
+        elif record["what"] == "fault":
+            self.trace.faults[record["kind"]] = self.trace.faults.get(record["kind"], 0) + 1
+            if record["kind"] == "worker-killed":
+                self.trace.worker_kills.append((record["t"], record["target"]))
+            if record["kind"] in ("hall-dark", "hall-flap"):
+                self.trace.zone_faults.append((record["t"], record["kind"], record["target"]))
+
+    def on_viewer_record(self, record: TapRecord) -> None:
+        connection, what = record["conn"], record["what"]
+        request = self.by_connection.get(connection)
         if what == "ask":
-            made = Ask(
-                r["ask"],
-                r["t"],
-                r["cls"],
-                r["tenant"],
-                r["title"],
-                r["front"],
-                r["deadline"],
-                r["length"],
-                r["top"],
-                r["tries"],
-                r.get("claim", ""),
+            new_request = SetUpRequest(
+                record["ask"],
+                record["t"],
+                record["cls"],
+                record["tenant"],
+                record["title"],
+                record["front"],
+                record["deadline"],
+                record["length"],
+                record["top"],
+                record["tries"],
+                record.get("claim", ""),
             )
-            self.trace.asks[made.token] = self.by_conn[conn] = made
-            self.cseqs[conn] = r["cseq"]
+            self.trace.requests[new_request.token] = self.by_connection[connection] = new_request
+            self.cseqs[connection] = record["cseq"]
         elif what == "turned-away":
-            self.trace.turned_away.append((r["t"], r["cls"]))
-        elif ask is None:
+            self.trace.rejected_tries.append((record["t"], record["cls"]))
+        elif request is None:
             return
-        elif what == "response" and r["cseq"] == self.cseqs[conn]:
-            ask.answers.append((r["t"], r["status"]))
+        elif what == "response" and record["cseq"] == self.cseqs[connection]:
+            request.answers.append((record["t"], record["status"]))
         elif what in ("gave-up", "vanished"):
-            ask.left_at = min(ask.left_at, r["t"])
-            ask.vanished |= what == "vanished"
+            request.left_at = min(request.left_at, record["t"])
+            request.vanished |= what == "vanished"
         elif what == "close":
-            ask.closed_at = r["t"]
-            ask.cut = r["reason"] != "local"
+            request.closed_at = record["t"]
+            request.closed_by_front = record["reason"] != "local"
 
-    def box(self, box: str, r: Record) -> None:
-        what, conn = r["what"], r["conn"]
+    def on_server_record(self, server: str, record: TapRecord) -> None:
+        what, connection = record["what"], record["conn"]
         if what == "start":
-            self.lives[box] = r["life"]
-            self.trace.starts[box, r["life"]] = (r["t"], r["cold"])
+            self.incarnations[server] = record["life"]
+            self.trace.server_starts[server, record["life"]] = (record["t"], record["cold"])
         elif what == "die":
-            there = [a for (at, _), some in self.open.items() if at == box for a in some]
-            witnesses = {a.front for a in there if a.end > r["t"]}
-            self.trace.deaths[box, r["life"]] = (r["t"], witnesses)
-            if r.get("why") == "tipped":
-                self.trace.tipped.append((r["t"], box))
+            attempts = [a for (name, _), some in self.running.items() if name == server for a in some]
+            fronts = {attempt.front for attempt in attempts if attempt.end > record["t"]}
+            self.trace.server_deaths[server, record["life"]] = (record["t"], fronts)
+            if record.get("why") == "tipped":
+                self.trace.overloads.append((record["t"], server))
         elif what == "open":
-            self.trace.connects.append((r["t"], box))
-            self.links.conns[r.get("port", 0)] = (box, conn)
-            self.links.ports[box, conn] = r.get("port", 0)
+            self.trace.connections.append((record["t"], server))
+            self.relays.connections[record.get("port", 0)] = (server, connection)
+            self.relays.ports[server, connection] = record.get("port", 0)
         elif what == "request":
-            self.box_request(box, conn, r)
+            self.on_server_request(server, connection, record)
         elif what == "response":
-            attempt = self.waiting.pop((box, conn, r["cseq"]), None)
+            attempt = self.unanswered.pop((server, connection, record["cseq"]), None)
             if attempt:
-                attempt.status = r["status"]
-                if r["status"] == 200:
-                    self.sessions[box, r["headers"].get("Session", "")] = attempt
+                attempt.status = record["status"]
+                if record["status"] == 200:
+                    self.sessions[server, record["headers"].get("Session", "")] = attempt
                 else:
-                    attempt.end = min(attempt.end, r["t"])
+                    attempt.end = min(attempt.end, record["t"])
         elif what == "media":
-            if attempt := self.sessions.get((box, r["session"])):
-                attempt.media_at = min(attempt.media_at, r["t"])
+            if attempt := self.sessions.get((server, record["session"])):
+                attempt.media_at = min(attempt.media_at, record["t"])
         elif what == "close":
-            for attempt in self.open.pop((box, conn), []):
-                attempt.end = min(attempt.end, max(attempt.at, earliest(r)))
+            for attempt in self.running.pop((server, connection), []):
+                attempt.end = min(attempt.end, max(attempt.at, earliest_arrival(record)))
 
-    def box_request(self, box: str, conn: int, r: Record) -> None:
-        headers = r["headers"]
-        bits = headers.get("Bandwidth", "")
+    def on_server_request(self, server: str, connection: int, record: TapRecord) -> None:
+        headers = record["headers"]
+        bandwidth = headers.get("Bandwidth", "")
         session = headers.get("Session", "").partition(";")[0]
-        came = r["t"] - r.get("ago", 0.0)
-        sent = self.links.sent(self.links.ports.get((box, conn), 0), r.get("read", 0), came)
-        if r["method"] == "SETUP" and not session:
-            token = ASK.search(r["url"])
+        arrived_at = record["t"] - record.get("ago", 0.0)
+        sent_at = self.relays.sent_at(
+            self.relays.ports.get((server, connection), 0), record.get("read", 0), arrived_at
+        )
+        if record["method"] == "SETUP" and not session:
+            token = REQUEST_TOKEN.search(record["url"])
             attempt = Attempt(
                 token[1] if token else "",
-                box,
-                self.lives.get(box, 0),
+                server,
+                self.incarnations.get(server, 0),
                 headers.get("Via", "").rpartition(" ")[2],
-                sent,
-                end=self.links.left.get(self.links.ports.get((box, conn), 0), inf),  # held back until now
+                sent_at,
+                # The front may have closed the connection while the relay delayed the request.
+                end=self.relays.near_closed_at.get(self.relays.ports.get((server, connection), 0), inf),
             )
             self.trace.attempts.append(attempt)
-            self.waiting[box, conn, r["cseq"]] = attempt
-            self.open[box, conn].append(attempt)
-        elif r["method"] == "TEARDOWN" and (ended := self.sessions.get((box, session))):
-            ended.end = min(ended.end, sent)
+            self.unanswered[server, connection, record["cseq"]] = attempt
+            self.running[server, connection].append(attempt)
+        elif record["method"] == "TEARDOWN" and (ended := self.sessions.get((server, session))):
+            ended.end = min(ended.end, sent_at)
             return
         else:
-            found = self.sessions.get((box, session))
+            found = self.sessions.get((server, session))
             if found is None:
                 return
             attempt = found
-        if bits.isdigit():
-            attempt.rates.append((r["t"], float(bits)))
+        if bandwidth.isdigit():
+            attempt.rates.append((record["t"], float(bandwidth)))
--- a/lemonhall/cli/day.py
+++ b/lemonhall/cli/day.py
@@ -27,8 +27,8 @@
     click.echo(f"  played {report.played}, refused {report.refused}, failed {report.failed}")
     click.echo(f"  service {report.service:.3f} (worth in time over worth asked; stand-ins, not machines)")
     click.echo(f"  faults  {', '.join(f'{k} {n}' for k, n in sorted(report.faults.items())) or 'none'}")
-    if report.halls:
-        h = report.halls
+    if report.zones:
+        h = report.zones
         click.echo(
             f"  halls   spilled {100 * h['spilled_most']:.3g}% of links "
             f"of {100 * h['spilled_allowed']:.3g}% allowed, {h['returned_pushed_over']:g} pushed over "
@@ -42,8 +42,8 @@
             f"  limits  over by {m['limit_over_most']:g}, begun {m['limit_over_bound']:.3g} of what may, "
             f"used {m['limit_used_share']:.3g} of what could be{stale}"
         )
-    if report.returned:
-        r = report.returned
+    if report.recovery:
+        r = report.recovery
         full = f"in {r['full_service_s']:g} s" if r["full_service_s"] >= 0 else "not within the day"
         click.echo(
             f"  return  full service {full}; at one server {r['connects_most']:g} times the usual "
--- a/lemonhall/day/runner.py
+++ b/lemonhall/day/runner.py
@@ -20,10 +20,10 @@
 from typing import Any
 
 from lemonhall.audit import Report, audit, read_taps
-from lemonhall.audit.halls import of_halls
-from lemonhall.audit.limits import of_limits
-from lemonhall.audit.returns import of_returns
-from lemonhall.audit.trace import Reader
+from lemonhall.audit.limits import limits_report
+from lemonhall.audit.recovery import recovery_report
+from lemonhall.audit.trace import TraceReader
+from lemonhall.audit.zones import zone_report
 from lemonhall.config.day import Day, FaultSpec, read_day
 from lemonhall.day import state
 from lemonhall.day.children import Child
@@ -534,18 +534,18 @@
                 held.close()
         self.tap.flush()
         records = read_taps(sorted(self.folder.glob("*.tap")))
-        report = audit(Reader().read(records), self.day.terms)
+        report = audit(TraceReader().read(records), self.day.terms)
         report.began_ms = next((r["t"] for r in records if r["who"] == "day" and r["what"] == "go"), 0.0)
         report.seconds = time.monotonic() - began
-        spilled = of_halls(report.trace, self.day) if report.trace else None
-        report.halls = spilled.to_json() if spilled else {}
-        limits = of_limits(report.trace, self.day, self.limits_told) if report.trace else None
+        spilled = zone_report(report.trace, self.day) if report.trace else None
+        report.zones = spilled.to_json() if spilled else {}
+        limits = limits_report(report.trace, self.day, self.limits_told) if report.trace else None
         report.limits = limits.to_json() if limits else {}
         if limits:  # what the fronts said at their end, and what was seen of each
             told = {"fronts": self.limits_told, "seen": limits.by_limit}
             (self.folder / "limits.json").write_text(json.dumps(told, indent=1), encoding="utf-8")
-        returned = of_returns(report.trace, self.day.terms) if report.trace else None
-        report.returned = returned.to_json() if returned else {}
+        returned = recovery_report(report.trace, self.day.terms) if report.trace else None
+        report.recovery = returned.to_json() if returned else {}
         return report
 
     def set_out(self) -> None:
--- a/lemonhall/model/played/fleet.py
+++ b/lemonhall/model/played/fleet.py
@@ -58,7 +58,7 @@
         self.error_part, self.slow_since = 0.0, None
         self.recent.clear()
         self.started = world.sim.now
-        world.trace.starts[self.spec.name, self.life] = (world.sim.now, cold)
+        world.trace.server_starts[self.spec.name, self.life] = (world.sim.now, cold)
         first = world.named.uniform("first-report", self.spec.name, self.life, 0, 1000)
         world.sim.after(first, self.tell_late, self.life)
         world.box_list.says(self, self.life, ServerState.READY)
@@ -69,7 +69,7 @@
         world = self.world
         self.alive = False
         witnesses = {a.front.name for a in self.attempts}
-        world.trace.deaths[self.spec.name, self.life] = (world.sim.now, witnesses)
+        world.trace.server_deaths[self.spec.name, self.life] = (world.sim.now, witnesses)
         life = self.life
         for attempt in list(self.attempts):
             self.let_go(attempt)
@@ -134,7 +134,7 @@
         if not self.alive:
             world.sim.after(world.hop(), attempt.refused)
             return
-        world.trace.connects.append((world.sim.now, self.spec.name))
+        world.trace.connections.append((world.sim.now, self.spec.name))
         attempt.sent = True
         seen = Seen(attempt.ask.token, self.spec.name, self.life, attempt.front.name, world.sim.now)
         seen.rates.append((world.sim.now, round(attempt.kb * 8000)))
@@ -173,7 +173,7 @@
             self.recent.popleft()
         if len(self.recent) > max(2.0, terms.overload_factor * pace * terms.tip_after_ms + 2):
             self.world.count("tipped")
-            self.world.trace.tipped.append((now, self.spec.name))
+            self.world.trace.overloads.append((now, self.spec.name))
             self.die()
 
     def set_up(self, attempt: Caller, life: int) -> None:
--- a/lemonhall/model/played/fronts.py
+++ b/lemonhall/model/played/fronts.py
@@ -201,7 +201,7 @@
             self.let(let.request_id, let.retry_after_ms)
         for one in machine.entered_phases:
             if one.phase is Phase.FULL:
-                self.world.trace.full.append((now, self.name, one.after_ms / 1000))
+                self.world.trace.front_recoveries.append((now, self.name, one.after_ms / 1000))
         machine.entered_phases.clear()
         full = machine.phases.phase is Phase.FULL
         self.world.sim.after(PERIOD_MS if full else TURN_MS, self.tick_return, whose)
@@ -358,7 +358,7 @@
         if not self.up:
             return
         states = {s.id: int(s.state) for s in lines}
-        self.world.trace.told.append((self.world.sim.now, self.name, full, states))
+        self.world.trace.list_updates.append((self.world.sim.now, self.name, full, states))
         if full:
             self.heard = {}
         for line in lines:
--- a/lemonhall/model/played/viewers.py
+++ b/lemonhall/model/played/viewers.py
@@ -5,7 +5,7 @@
 from math import ceil
 from typing import Any
 
-from lemonhall.audit.trace import Ask as SeenAsk
+from lemonhall.audit.trace import SetUpRequest as SeenAsk
 from lemonhall.interface import Repeat
 from lemonhall.model.played.draws import Wish
 from lemonhall.model.played.fronts import Ask, Front
@@ -46,7 +46,7 @@
         world, wish, front = self.world, self.wish, self.front
         assert front
         if not front.up:
-            world.trace.turned_away.append((world.sim.now, wish.cls))
+            world.trace.rejected_tries.append((world.sim.now, wish.cls))
             self.again(None)
             return
         cls = world.day.terms.classes[wish.cls]
@@ -64,7 +64,7 @@
             wish.tries,
             f"{wish.number}.{wish.claim}" if self.has_claim else "",
         )
-        world.trace.asks[token] = self.seen
+        world.trace.requests[token] = self.seen
         self.state = "asked"
         self.ask = front.ask(self, token)
         self.later(cls.deadline_ms + world.day.terms.answer_grace_ms, self.give_up)
@@ -132,7 +132,7 @@
         """Its connection broke: the front was killed, or the worker that it was at."""
         self.ask = None
         if self.seen and not self.seen.answers:
-            self.seen.closed_at, self.seen.cut = self.world.sim.now, True
+            self.seen.closed_at, self.seen.closed_by_front = self.world.sim.now, True
         if self.state == "playing" and self.seen:
             self.broken(self.seen.token)
         elif self.state != "away":
--- a/lemonhall/model/played/world.py
+++ b/lemonhall/model/played/world.py
@@ -11,10 +11,10 @@
 from lemonhall import decide
 from lemonhall import interface as i
 from lemonhall.audit import Report, audit
-from lemonhall.audit.halls import of_halls
-from lemonhall.audit.limits import of_limits
-from lemonhall.audit.returns import of_returns
+from lemonhall.audit.limits import limits_report
+from lemonhall.audit.recovery import recovery_report
 from lemonhall.audit.trace import Trace
+from lemonhall.audit.zones import zone_report
 from lemonhall.config.day import Day, FaultSpec
 from lemonhall.config.routing import title_of
 from lemonhall.config.settings import FrontSettings
@@ -201,7 +201,7 @@
         self.sim.after(fault.for_ms, setattr, self.box_list, "lag_ms", self.day.list_lag_ms)
 
     def on_hall_dark(self, fault: FaultSpec, hall: str) -> None:
-        self.trace.hall_faults.append((self.sim.now, fault.kind, hall))
+        self.trace.zone_faults.append((self.sim.now, fault.kind, hall))
         self.darken(fault, hall)
 
     def darken(self, fault: FaultSpec, hall: str) -> None:
@@ -254,7 +254,7 @@
     def on_front_killed(self, fault: FaultSpec, name: str) -> None:
         front = next(f for f in self.fronts if f.name == name)
         now = self.sim.now
-        self.trace.kills.append((now, now + fault.for_ms, name))
+        self.trace.front_kills.append((now, now + fault.for_ms, name))
         front.kill()
         self.sim.after(fault.for_ms, self.front_back, front)
 
@@ -305,13 +305,13 @@
         self.sim.run(self.day.length_ms + OVER_MS)
         report = audit(self.trace, self.day.terms)
         report.seconds = self.timer() - began
-        if spilled := of_halls(self.trace, self.day):
-            report.halls = spilled.to_json()
+        if spilled := zone_report(self.trace, self.day):
+            report.zones = spilled.to_json()
         machines = [f.limits.machine for f in self.fronts if f.limits]
-        if limits := of_limits(self.trace, self.day, [m.status(self.sim.now) for m in machines]):
+        if limits := limits_report(self.trace, self.day, [m.status(self.sim.now) for m in machines]):
             report.limits = limits.to_json()
-        if returned := of_returns(self.trace, self.day.terms):
-            report.returned = returned.to_json()
+        if returned := recovery_report(self.trace, self.day.terms):
+            report.recovery = returned.to_json()
         return Played(
             self.trace,
             report,
--- a/lemonhall/model/record.py
+++ b/lemonhall/model/record.py
@@ -25,7 +25,7 @@
     terms = day.terms
     halls = {f.name: terms.halls[f.hall] for f in day.fronts}
     first: dict[str, Any] = {}
-    for ask in trace.asks.values():
+    for ask in trace.requests.values():
         person = ask.token.partition(".")[0]
         if person not in first or ask.tries < first[person].tries:
             first[person] = ask
@@ -38,7 +38,7 @@
             "title": ask.title,
             "hall": halls[ask.front],
             "length_ms": ask.length_ms,
-            "top": ask.top,
+            "top": ask.top_rung,
             "vanishes": ask.vanished,
         }
         for person, ask in first.items()
--- a/lemonhall/model/result.py
+++ b/lemonhall/model/result.py
@@ -11,8 +11,8 @@
 import pyarrow as pa
 import pyarrow.parquet as pq
 
-from lemonhall.audit.rules import earned, service_by
-from lemonhall.audit.trace import NEVER_RAN
+from lemonhall.audit.rules import played_worth, service_by
+from lemonhall.audit.trace import NEVER_RAN_STATUSES
 from lemonhall.config.day import Day
 from lemonhall.model.bounds import upper_bound
 from lemonhall.model.played.world import Played
@@ -68,14 +68,14 @@
     terms = day.terms
     got: dict[str, float] = {}
     for attempt in played.trace.attempts:
-        if ask := played.trace.asks.get(attempt.token):
-            got[attempt.token] = got.get(attempt.token, 0.0) + earned(attempt, ask, terms)
+        if ask := played.trace.requests.get(attempt.token):
+            got[attempt.token] = got.get(attempt.token, 0.0) + played_worth(attempt, ask, terms)
     halls = {f.name: terms.halls[f.hall] for f in day.fronts}
     rows: list[dict[str, Any]] = []
-    for ask in played.trace.asks.values():
+    for ask in played.trace.requests.values():
         first = ask.answers[0] if ask.answers else (inf, 0)
         status = first[1]
-        verdict = "played" if 200 <= status < 300 else "refused" if status in NEVER_RAN else "failed"
+        verdict = "played" if 200 <= status < 300 else "refused" if status in NEVER_RAN_STATUSES else "failed"
         rows.append(
             {
                 "ask": ask.token,
@@ -86,7 +86,7 @@
                 "hall": halls[ask.front],
                 "front": ask.front,
                 "length_ms": ask.length_ms,
-                "top": ask.top,
+                "top": ask.top_rung,
                 "tries": ask.tries,
                 "verdict": verdict if ask.answers else "none",
                 "answered_ms": first[0] - ask.at if ask.answers else None,
--- a/tests/day/test_returns.py
+++ b/tests/day/test_returns.py
@@ -8,8 +8,8 @@
 import pytest
 
 from lemonhall.audit import Report
-from lemonhall.audit.returns import crowds, of_returns
-from lemonhall.audit.trace import Ask, Trace
+from lemonhall.audit.recovery import mass_kills, recovery_report
+from lemonhall.audit.trace import SetUpRequest, Trace
 from lemonhall.config.day import read_day
 from lemonhall.day import play_day
 from lemonhall.problem import BadInput
@@ -50,11 +50,11 @@
     path = day(tmp_path, FAULTS[what])
     report: Report = play_day(read_day(path), path, keep=tmp_path / "kept")
     assert {k: v for k, v in report.broken.items() if v} == {}
-    assert report.trace and report.returned["stale_decisions"] == 0
-    back = {front for at, front, _ in report.trace.full if at >= crowds(report.trace)[-1]}
-    killed = {front for _, _, front in report.trace.kills}
+    assert report.trace and report.recovery["stale_decisions"] == 0
+    back = {front for at, front, _ in report.trace.front_recoveries if at >= mass_kills(report.trace)[-1]}
+    killed = {front for _, _, front in report.trace.front_kills}
     assert killed <= back
-    assert report.returned["full_service_worst_s"] < WITHIN_S
+    assert report.recovery["full_service_worst_s"] < WITHIN_S
     said = "".join(p.read_text(errors="replace") for p in (tmp_path / "kept").glob("f*.log"))
     assert '"event": "fault"' not in said
     if "older" in what:
@@ -73,10 +73,10 @@
     """Asks of one class at these times, with their answers (0: none), around a crowd that dies at 10 s."""
     trace = Trace()
     for n, (at, status) in enumerate(tries):
-        ask = Ask(f"{n}.1", at, 0, 0, "", "f0", 4000.0, 1000.0, 3, 1)
+        ask = SetUpRequest(f"{n}.1", at, 0, 0, "", "f0", 4000.0, 1000.0, 3, 1)
         ask.answers = [(at + 50, status)] if status else []
-        trace.asks[ask.token] = ask
-    trace.kills = [(10_000.0, 11_500.0, f"f{n}") for n in range(4)]
+        trace.requests[ask.token] = ask
+    trace.front_kills = [(10_000.0, 11_500.0, f"f{n}") for n in range(4)]
     return trace
 
 
@@ -85,14 +85,14 @@
     before = [(float(t), 200) for t in range(6000, 10_000, 20)]
     after = [(float(t), 200) for t in range(14_000, 20_000, 20)]
     bad = [(float(t), 503) for t in range(11_500, 14_000, 20)]
-    found = of_returns(made(before + bad + after), terms)
+    found = recovery_report(made(before + bad + after), terms)
     assert found and 3.8 <= found.full_service_s <= 4.0
     trace = made(before + after)
-    trace.turned_away = [(float(t), 0) for t in range(10_000, 14_000, 20)]  # nobody was there to be asked
-    found = of_returns(trace, terms)
+    trace.rejected_tries = [(float(t), 0) for t in range(10_000, 14_000, 20)]  # nobody was there to be asked
+    found = recovery_report(trace, terms)
     assert found and 3.8 <= found.full_service_s <= 4.0
-    found = of_returns(made(before + bad), terms)
+    found = recovery_report(made(before + bad), terms)
     assert found and found.full_service_s == -1
     few = made(before)
-    few.kills = few.kills[:2]
-    assert of_returns(few, terms) is None
+    few.front_kills = few.front_kills[:2]
+    assert recovery_report(few, terms) is None
--- a/tests/model/test_model.py
+++ b/tests/model/test_model.py
@@ -91,8 +91,8 @@
     day = read_day(DAYS / f"{name}.kdl")
     played = play(day, 2)
     assert played.report.rules_broken == 0, played.report.broken
-    killed = {f for _, _, f in played.trace.kills}
-    for ask in played.trace.asks.values():
+    killed = {f for _, _, f in played.trace.front_kills}
+    for ask in played.trace.requests.values():
         assert len(ask.answers) == 1 or ask.vanished or ask.front in killed
     assert played.counts.get("overdue", 0) == 0
     for attempt in played.trace.attempts:
@@ -190,7 +190,7 @@
     file = tmp_path / "asked.parquet"
     save(record(short, played.trace, 0.0), file)
     asked = wishes_of(short, file)
-    people = {a.token.partition(".")[0] for a in played.trace.asks.values()}
+    people = {a.token.partition(".")[0] for a in played.trace.requests.values()}
     assert len(asked) == len(people)
     again = play(short, 6, asked=asked)
     assert abs(again.report.service - played.report.service) < 0.05
@@ -250,7 +250,7 @@
     )
     played = play(crowd, 1)
     assert played.report.rules_broken == 0
-    again = sorted(a.at for a in played.trace.asks.values() if a.tries > 1)
+    again = sorted(a.at for a in played.trace.requests.values() if a.tries > 1)
     most = max(sum(t - 1000 < x <= t for x in again) for t in again[::50])
     assert most > 150
 
@@ -267,8 +267,8 @@
 
 def test_classes_that_are_paid_are_never_sent_twice(short: Day) -> None:
     played = play(short, 9)
-    for token, attempts in played.trace.by_token().items():
-        cls = short.terms.classes[played.trace.asks[token].cls]
+    for token, attempts in played.trace.attempts_by_token().items():
+        cls = short.terms.classes[played.trace.requests[token].cls]
         if cls.repeat is Repeat.PAID:
             assert all(a.never_ran for a in attempts[:-1])
 
--- a/tests/zones/test_recovery_ramp.py
+++ b/tests/zones/test_recovery_ramp.py
@@ -40,25 +40,25 @@
     with monkeypatch.context() as patched:
         patched.setattr(ZoneMonitor, "set_up_rate", lambda self, now: 1e9)
         unlimited = [played(name, seed) for seed in (1, 2, 3)]
-    assert any(p.report.halls["returned_pushed_over"] for p in unlimited)
+    assert any(p.report.zones["returned_pushed_over"] for p in unlimited)
     assert any(p.report.broken["cold_pushed_over"] for p in unlimited)
-    assert [p.report.halls["returned_pushed_over"] for p in ramped] == [0, 0, 0]
+    assert [p.report.zones["returned_pushed_over"] for p in ramped] == [0, 0, 0]
     assert not any(p.report.broken["cold_pushed_over"] for p in ramped)
 
 
 def test_limits_hold_and_no_rule_is_broken_with_the_unchanged_module() -> None:
     for name in ("hall-dark", "hall-flap", "fronts-apart"):
         report = played(name, 1, make=decide.Front).report
-        assert report.rules_broken == 0 and report.halls["returned_pushed_over"] == 0
-        assert 0 < report.halls["spilled_most"] <= report.halls["spilled_allowed"]
+        assert report.rules_broken == 0 and report.zones["returned_pushed_over"] == 0
+        assert 0 < report.zones["spilled_most"] <= report.zones["spilled_allowed"]
 
 
 def test_the_audit_detects_fronts_that_ignore_the_limits(monkeypatch: pytest.MonkeyPatch) -> None:
     limited = played("hall-dark", 4, make=decide.Front).report
-    assert limited.halls["spilled_most"] <= limited.halls["spilled_allowed"]
+    assert limited.zones["spilled_most"] <= limited.zones["spilled_allowed"]
     monkeypatch.setattr(LimitShare, "free", lambda self: 1_000_000_000)
     report = played("hall-dark", 4, make=decide.Front).report
-    assert report.halls["spilled_most"] > report.halls["spilled_allowed"]
+    assert report.zones["spilled_most"] > report.zones["spilled_allowed"]
 
 
 FAULTS = {
@@ -84,5 +84,5 @@
     for seed in (1, 2):
         report = play(read_day(path, (HIGH_LOAD,)), seed).report
         assert report.rules_broken == 0, report.broken
-        assert report.halls["returned_pushed_over"] == 0
-        assert 0 < report.halls["spilled_most"] <= report.halls["spilled_allowed"], report.halls
+        assert report.zones["returned_pushed_over"] == 0
+        assert 0 < report.zones["spilled_most"] <= report.zones["spilled_allowed"], report.zones
