--- a/lemonhall/audit/recovery.py
+++ b/lemonhall/audit/recovery.py
@@ -116,7 +116,7 @@
 def most_connections(trace: Trace, since: float, until: float) -> int:
     """Returns the most new connections at one server within `STEP_MS`."""
     by_server: dict[str, list[float]] = defaultdict(list)
-    for at, server in trace.connections:
+    for at, server in trace.server_connections:
         if since <= at < until:
             by_server[server].append(at)
     return max(map(most_in_step, by_server.values()), default=0)
--- a/lemonhall/audit/trace.py
+++ b/lemonhall/audit/trace.py
@@ -88,7 +88,7 @@
     worker_kills: list[tuple[float, str]] = field(default_factory=list)  # time, front
     # time and class of tries that reached no front
     rejected_tries: list[tuple[float, int]] = field(default_factory=list)
-    connections: list[tuple[float, str]] = field(default_factory=list)  # time, server
+    server_connections: list[tuple[float, str]] = field(default_factory=list)  # time, server
     list_calls: list[float] = field(default_factory=list)
     # time at which a front reported its full phase, front, seconds since its start
     front_recoveries: list[tuple[float, str, float]] = field(default_factory=list)
@@ -287,7 +287,7 @@
             if record.get("why") == "tipped":
                 self.trace.overloads.append((record["t"], server))
         elif what == "open":
-            self.trace.connections.append((record["t"], server))
+            self.trace.server_connections.append((record["t"], server))
             self.relays.connections[record.get("port", 0)] = (server, connection)
             self.relays.ports[server, connection] = record.get("port", 0)
         elif what == "request":
--- a/lemonhall/model/played/fleet.py
+++ b/lemonhall/model/played/fleet.py
@@ -134,7 +134,7 @@
         if not self.alive:
             world.sim.after(world.hop(), attempt.refused)
             return
-        world.trace.connections.append((world.sim.now, self.spec.name))
+        world.trace.server_connections.append((world.sim.now, self.spec.name))
         attempt.sent = True
         seen = Seen(attempt.ask.token, self.spec.name, self.life, attempt.front.name, world.sim.now)
         seen.rates.append((world.sim.now, round(attempt.kb * 8000)))
