--- a/lemonhall/front/viewers/session.py
+++ b/lemonhall/front/viewers/session.py
@@ -25,9 +25,9 @@
 from lemonhall.interface import Outcome
 from lemonhall.ipc import RequestState, SetUpRequested
 from lemonhall.loop import Loop, Timer
-from lemonhall.rtsp import Frames, rtp
-from lemonhall.rtsp.messages import answer, make_response
-from lemonhall.rtsp.parser import frame, split_frames
+from lemonhall.rtsp import FrameRun, rtp
+from lemonhall.rtsp.messages import encode_response, make_response
+from lemonhall.rtsp.parser import encode_frame, split_frames
 from lemonhall.store import Token
 
 
@@ -153,7 +153,7 @@
         previous = self.state
         self.state = State.ENDED
         if previous is State.STARTING:
-            self.respond(answer(454, self.play_cseq))
+            self.respond(encode_response(454, self.play_cseq))
         if self.set_up_request:
             self.worker.on_viewer_gone(self)
         self.worker.remove_session(self)
@@ -190,7 +190,7 @@
         self.respond_or_end(response.encode(), "refused")
 
     def fail(self, status: int = 502) -> None:
-        self.respond_or_end(answer(status, self.play_cseq), "failed")
+        self.respond_or_end(encode_response(status, self.play_cseq), "failed")
 
     def respond_or_end(self, response: bytes, bye_reason: str) -> None:
         """Gives up the set-up request: sends the response if PLAY waits for it, otherwise ends the stream."""
@@ -208,7 +208,7 @@
         self.state = State.ENDED
         for track in self.tracks.values():
             if track.rewriter.ssrc is not None:
-                bye = frame(track.channels[1], rtp.build_bye(track.rewriter.ssrc, bye_reason))
+                bye = encode_frame(track.channels[1], rtp.build_bye(track.rewriter.ssrc, bye_reason))
                 self.viewer.send_media(self, memoryview(bye))
         self.worker.remove_session(self)
 
@@ -231,11 +231,11 @@
                     ",".join(f"url={self.viewer.track_url(self, number)}" for number in sorted(self.tracks)),
                 ),
             ]
-            self.respond(answer(200, self.play_cseq, *headers))
+            self.respond(encode_response(200, self.play_cseq, *headers))
         if self.server_paused:
             attempt.stream.pause_reading()
 
-    def attempt_media(self, attempt: Attempt, run: Frames) -> None:
+    def attempt_media(self, attempt: Attempt, run: FrameRun) -> None:
         if (
             self.state is not State.PLAYING
             or self.set_up_request is None
@@ -248,7 +248,7 @@
             return
         now = self.worker.loop.now()
         if rewriter.offsets is None and not rewriter.resync:
-            rewriter.observe(run.data[run.last + 4 :], now)
+            rewriter.observe(run.data[run.last_offset + 4 :], now)
             self.viewer.send_media(self, run.data)
             return
         copy = memoryview(bytearray(run.data))
@@ -258,8 +258,10 @@
 
     def attempt_rtcp(self, attempt: Attempt, channel: int, packet: rtp.RtcpPacket) -> None:
         for track in self.tracks.values():
-            if track.channels[1] == channel and packet.kind != rtp.BYE:
-                self.viewer.send_media(self, memoryview(frame(channel, track.rewriter.rewrite_rtcp(packet))))
+            if track.channels[1] == channel and packet.packet_type != rtp.BYE:
+                self.viewer.send_media(
+                    self, memoryview(encode_frame(channel, track.rewriter.rewrite_rtcp(packet)))
+                )
 
     def forward_rtcp(self, channel: int, payload: memoryview) -> None:
         """Forwards a viewer's receiver report to its server as long as both sides use the same SSRC."""
@@ -270,7 +272,7 @@
             all(t.rewriter.offsets is None for t in self.tracks.values())
             and request.attempt.stream.backlog_bytes == 0
         ):
-            request.attempt.stream.write(frame(channel, payload))
+            request.attempt.stream.write(encode_frame(channel, payload))
 
     # back-pressure
 
